--- /dev/null
+++ b/daemon/src/test/java/org/gullsaddle/entry/ClaimsTests.java
@@ -0,0 +1,43 @@
+package org.gullsaddle.entry;
+
+import java.io.IOException;
+
+import org.junit.jupiter.api.Test;
+
+import org.gullsaddle.base.Completion;
+import org.gullsaddle.base.Fingerprint;
+import org.gullsaddle.base.Json;
+import org.gullsaddle.base.RequestId;
+import org.gullsaddle.base.Usage;
+import org.gullsaddle.route.CallOutcome;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+class ClaimsTests {
+
+	private static final String OPEN = "{\"request\":\"r1\",\"content\":\"c0ffee\"}";
+
+	private static final String SETTLED = """
+			{"request":"r1","content":"c0ffee","outcome":{"request":"r1","servedBy":"booking@v1",\
+			"completion":{"status":201,"contentType":"text/plain","finishReason":"stop",\
+			"usage":{"promptTokens":1,"outputTokens":2}},"text":"ok"}}""";
+
+	private static final RequestId REQUEST = new RequestId("r1");
+
+	private static final Fingerprint CONTENT = new Fingerprint("c0ffee");
+
+	/**
+	 * Guards against a renamed component, which a node of another build would skip.
+	 */
+	@Test
+	void claimHasTheTextThatEarlierBuildsWrote() throws IOException {
+		Claims.Claim open = new Claims.Claim(REQUEST, CONTENT, null);
+		Claims.Claim settled = new Claims.Claim(REQUEST, CONTENT, new CallOutcome(REQUEST, "booking@v1",
+				new Completion(201, "text/plain", "stop", new Usage(1, 2)), "ok"));
+		assertThat(Json.write(open)).isEqualTo(OPEN);
+		assertThat(Json.write(settled)).isEqualTo(SETTLED);
+		assertThat(Json.read(OPEN, Claims.Claim.class)).isEqualTo(open);
+		assertThat(Json.read(SETTLED, Claims.Claim.class)).isEqualTo(settled);
+	}
+
+}
--- a/daemon/src/test/java/org/gullsaddle/wire/FrameCodecTests.java
+++ b/daemon/src/test/java/org/gullsaddle/wire/FrameCodecTests.java
@@ -1,5 +1,10 @@
 package org.gullsaddle.wire;
 
+import java.io.IOException;
+import java.io.InputStream;
+import java.nio.charset.StandardCharsets;
+import java.util.HashMap;
+import java.util.HexFormat;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
@@ -86,6 +91,18 @@
 		assertThat(envelope.stamp()).isEqualTo(42);
 	}
 
+	/**
+	 * Guards against a renamed component, which a node of another build would skip.
+	 */
+	@ParameterizedTest
+	@MethodSource("frames")
+	void frameHasTheBytesThatEarlierBuildsWrote(Frame frame) throws IOException {
+		String kind = PLAIN.readTree(FrameCodec.write(42, frame)).at("/frame/k").asText();
+		byte[] kept = kept().get(kind);
+		assertThat(FrameCodec.write(42, frame)).isEqualTo(kept);
+		assertThat(FrameCodec.read(kept)).isEqualTo(new FrameCodec.Envelope(42, frame));
+	}
+
 	@Test
 	void everyKindOfFrameIsTried() throws YamlException {
 		long kinds = Stream.of(Frame.class.getPermittedSubclasses())
@@ -122,6 +139,21 @@
 			.withMessageContaining("is larger than");
 	}
 
+	/**
+	 * Reads one frame a line: its kind and its bytes in hexadecimal, written by an
+	 * earlier build.
+	 */
+	private static Map<String, byte[]> kept() throws IOException {
+		Map<String, byte[]> kept = new HashMap<>();
+		try (InputStream in = FrameCodecTests.class.getResourceAsStream("/frames.txt")) {
+			for (String line : new String(in.readAllBytes(), StandardCharsets.US_ASCII).split("\n")) {
+				String[] parts = line.split(" ");
+				kept.put(parts[0], HexFormat.of().parseHex(parts[1]));
+			}
+		}
+		return kept;
+	}
+
 	private static byte[] bytes(String json) throws Exception {
 		return PLAIN.writeValueAsBytes(new ObjectMapper().readTree(json));
 	}
