--- a/core/src/main/java/org/gullsaddle/serve/ReleaseKey.java
+++ b/core/src/main/java/org/gullsaddle/serve/ReleaseKey.java
@@ -7,9 +7,9 @@
  * apart
  * @param session whether requests before and after it may have the same value
  * @param route its route
- * @param tokens how large its prompt is, 0 for a request without one
+ * @param promptTokens how large its prompt is, 0 for a request without one
  */
-public record ReleaseKey(String value, boolean session, String route, long tokens) {
+public record ReleaseKey(String value, boolean session, String route, long promptTokens) {
 
 	/**
 	 * Makes the key of a request without a prompt.
--- a/core/src/main/java/org/gullsaddle/serve/ReleaseUse.java
+++ b/core/src/main/java/org/gullsaddle/serve/ReleaseUse.java
@@ -50,7 +50,7 @@
 	 * @param nodes how many nodes share the slack, 0 if that is not known
 	 */
 	boolean allows(int nodes) {
-		double slack = (nodes > 0) ? this.limits.slack() / nodes : 0;
+		double slack = (nodes > 0) ? this.limits.extraRequests() / nodes : 0;
 		return this.sentToTarget + 1 <= this.limits.share() * (this.sent + 1) + slack;
 	}
 
@@ -61,7 +61,7 @@
 	boolean spent(Collection<RolloutNote> notes) {
 		int all = this.sent + notes.stream().mapToInt(RolloutNote::sent).sum();
 		int toTarget = this.sentToTarget + notes.stream().mapToInt(RolloutNote::sentToTarget).sum();
-		return toTarget > this.limits.share() * all + this.limits.slack();
+		return toTarget > this.limits.share() * all + this.limits.extraRequests();
 	}
 
 	/**
--- a/core/src/main/java/org/gullsaddle/serve/ReplicaRules.java
+++ b/core/src/main/java/org/gullsaddle/serve/ReplicaRules.java
@@ -204,12 +204,12 @@
 		}
 		List<Replica> allowed = wanted.rollout()
 			.get()
-			.allowed(now, able, wanted.key(), leftOut, wanted.nodes().orElse(0));
+			.chooseReplicas(now, able, wanted.key(), leftOut, wanted.nodes().orElse(0));
 		boolean asked = allowed.stream().anyMatch((replica) -> !this.backpressure.takes(now, replica));
 		if (!asked || !allLeftOut(allowed, leftOut) || wanted.key().session()) {
 			return allowed;
 		}
-		List<Replica> former = wanted.rollout().get().former(able);
+		List<Replica> former = wanted.rollout().get().oldReplicas(able);
 		return former.isEmpty() ? allowed : former;
 	}
 
--- a/core/src/main/java/org/gullsaddle/serve/Rollout.java
+++ b/core/src/main/java/org/gullsaddle/serve/Rollout.java
@@ -19,12 +19,12 @@
  * whether it is bad. Confined to one thread.
  * <p>
  * A request goes to the new release if its key's number, the same on every node, is below
- * the share. The share of sessions is the same on all routes and, by {@link RolloutTime},
- * at all nodes, and only rises until the verdict, so that a session changes its release
- * at most once. That is in the second half: one that was served by the old release just
- * before must keep it, and a node does not know the sessions of the others. Requests
- * without a session are tried from the start. Nodes pool their evidence by notes: one
- * node sees too few answers of a small share to know in time.
+ * the share. The share of sessions is the same on all routes and, by
+ * {@link RolloutClock}, at all nodes, and only rises until the verdict, so that a session
+ * changes its release at most once. That is in the second half: one that was served by
+ * the old release just before must keep it, and a node does not know the sessions of the
+ * others. Requests without a session are tried from the start. Nodes pool their evidence
+ * by notes: one node sees too few answers of a small share to know in time.
  * <p>
  * Until the release is proved its requests fill one replica after the other, so that it
  * is tried under load, and stay within an allowance that the nodes share. What bounds
@@ -36,57 +36,57 @@
 public final class Rollout {
 
 	/** A hundred to one for a bad release. */
-	private static final double THRESHOLD = Math.log(100);
+	private static final double EVIDENCE_THRESHOLD = Math.log(100);
 
 	/**
 	 * How much longer than this node another one may have known the order for both to
 	 * have known it from the start, in milliseconds.
 	 */
-	private static final long LATE_MILLIS = 3000;
+	private static final long MAX_LEARNED_LATER_MILLIS = 3000;
 
 	/**
 	 * How many replicas of the old release must be unreachable, one after the other, to
 	 * take it that they have stopped, as they do at the end.
 	 */
-	private static final int GONE = 3;
+	private static final int MIN_UNREACHABLE_OLD_REPLICAS = 3;
 
 	/** How many kinds of request are judged, each by itself; later ones count as one. */
 	private static final int MAX_KINDS = 64;
 
-	private static final AnswerKind OTHER_KINDS = new AnswerKind("other", "");
+	private static final AnswerKind OTHER_KIND = new AnswerKind("other", "");
 
 	private final RolloutOrder order;
 
 	private final long revision;
 
-	private final long seenAt;
+	private final long learnedAt;
 
-	private final RolloutTime time;
+	private final RolloutClock clock;
 
-	private final Map<AnswerKind, ReleaseTrial> trials = new HashMap<>();
+	private final Map<AnswerKind, ReleaseTrial> comparisons = new HashMap<>();
 
-	private final PooledEvidence evidence = new PooledEvidence(THRESHOLD);
+	private final PooledEvidence evidence = new PooledEvidence(EVIDENCE_THRESHOLD);
 
 	private final TriedRoutes routes = new TriedRoutes();
 
 	private final LoadTrial loadTrial;
 
-	private final ReleaseUse use;
+	private final ReleaseUse usage;
 
 	private final ReleaseProof proof;
 
-	private final ReleaseGrowth growth;
+	private final ReleaseGrowth rampUp;
 
 	/** When each replica of the new release was last found slow, until its answer. */
 	private final Map<ReplicaId, Long> slowUntil = new HashMap<>();
 
-	private final Set<ReplicaId> unreachable = new HashSet<>();
+	private final Set<ReplicaId> recordUnreachable = new HashSet<>();
 
-	private RolloutState state;
+	private RolloutState writtenState;
 
 	private long stateRevision;
 
-	private boolean condemned;
+	private boolean foundBad;
 
 	/**
 	 * Makes a roll-out of which this node has just learned.
@@ -97,14 +97,14 @@
 	 * @param limits what the release may get before it is proved
 	 */
 	public Rollout(long notBefore, long now, RolloutOrder order, long revision, RolloutLimits limits) {
-		this.seenAt = now;
-		this.time = new RolloutTime(Math.max(notBefore, now - order.durationMillis()), now);
+		this.learnedAt = now;
+		this.clock = new RolloutClock(Math.max(notBefore, now - order.durationMillis()), now);
 		this.order = order;
 		this.revision = revision;
-		this.growth = new ReleaseGrowth(now, order.durationMillis());
+		this.rampUp = new ReleaseGrowth(now, order.durationMillis());
 		this.loadTrial = new LoadTrial(order.target());
-		this.use = new ReleaseUse(limits);
-		this.proof = new ReleaseProof(this.evidence, this.routes, this.loadTrial, this.use);
+		this.usage = new ReleaseUse(limits);
+		this.proof = new ReleaseProof(this.evidence, this.routes, this.loadTrial, this.usage);
 	}
 
 	/**
@@ -114,7 +114,7 @@
 	 * @param revision the revision of the order
 	 */
 	public Rollout(long now, RolloutOrder order, long revision) {
-		this(now, now, order, revision, RolloutLimits.USUAL);
+		this(now, now, order, revision, RolloutLimits.DEFAULT);
 	}
 
 	/**
@@ -123,9 +123,9 @@
 	 * @param timeOfDay the time of day here, in Unix milliseconds
 	 * @param replica the replica
 	 */
-	public void listed(long now, long timeOfDay, Replica replica) {
-		if (ofTarget(replica)) {
-			this.time.started(now, timeOfDay, replica.startedAt());
+	public void onReplicaListed(long now, long timeOfDay, Replica replica) {
+		if (isOnTarget(replica)) {
+			this.clock.onReplicaStarted(now, timeOfDay, replica.startedAt());
 		}
 	}
 
@@ -149,8 +149,8 @@
 	 * Returns the state that was written last.
 	 * @return the state, or empty if none was written for this order
 	 */
-	public Optional<RolloutState> state() {
-		return Optional.ofNullable(this.state);
+	public Optional<RolloutState> writtenState() {
+		return Optional.ofNullable(this.writtenState);
 	}
 
 	/**
@@ -168,13 +168,13 @@
 	 * @param target the release that it speaks of
 	 * @param newRevision its revision
 	 */
-	public void progressed(RolloutState newState, String target, long newRevision) {
+	public void onStateRead(RolloutState newState, String target, long newRevision) {
 		if (newRevision < this.stateRevision) {
 			return;
 		}
 		this.stateRevision = newRevision;
 		if (target.equals(this.order.target()) && newRevision > this.revision) {
-			this.state = newState;
+			this.writtenState = newState;
 		}
 	}
 
@@ -186,27 +186,28 @@
 	 * @param sentAt when the request was sent, in milliseconds
 	 * @param firstMillis how long its first part took, in milliseconds
 	 */
-	public void answered(Replica replica, AnswerKind kind, boolean failed, long sentAt, long firstMillis) {
-		boolean known = this.trials.containsKey(kind) || this.trials.size() < MAX_KINDS;
-		ReleaseTrial trial = this.trials.computeIfAbsent(known ? kind : OTHER_KINDS, (missing) -> new ReleaseTrial());
-		this.routes.answered(kind.route(), ofTarget(replica));
-		if (!ofTarget(replica)) {
-			this.unreachable.clear();
+	public void onAnswerStarted(Replica replica, AnswerKind kind, boolean failed, long sentAt, long firstMillis) {
+		boolean known = this.comparisons.containsKey(kind) || this.comparisons.size() < MAX_KINDS;
+		ReleaseTrial trial = this.comparisons.computeIfAbsent(known ? kind : OTHER_KIND,
+				(missing) -> new ReleaseTrial());
+		this.routes.answered(kind.route(), isOnTarget(replica));
+		if (!isOnTarget(replica)) {
+			this.recordUnreachable.clear();
 			trial.oldAnswered(failed, firstMillis);
 			return;
 		}
 		boolean underLoad = this.loadTrial.underLoad(replica.id(), sentAt);
 		boolean slow = !failed && trial.slow(firstMillis);
-		if (slow && (underLoad || !newlySlow(replica.id(), sentAt, firstMillis))) {
+		if (slow && (underLoad || !isNewSlowEvent(replica.id(), sentAt, firstMillis))) {
 			// The old release was not tried under as much load.
 			return;
 		}
 		double says = trial.newAnswered(failed, firstMillis);
-		this.evidence.answered((known ? kind : OTHER_KINDS).route(), says);
+		this.evidence.answered((known ? kind : OTHER_KIND).route(), says);
 		if (underLoad) {
 			this.evidence.answeredUnderLoad(says);
 		}
-		judge();
+		checkEvidence();
 	}
 
 	/**
@@ -214,7 +215,7 @@
 	 * very long prompt are answered late together; that is one event of one replica, and
 	 * says little of the release.
 	 */
-	private boolean newlySlow(ReplicaId replica, long sentAt, long firstMillis) {
+	private boolean isNewSlowEvent(ReplicaId replica, long sentAt, long firstMillis) {
 		if (sentAt < this.slowUntil.getOrDefault(replica, Long.MIN_VALUE)) {
 			return false;
 		}
@@ -226,8 +227,8 @@
 	 * Notes that this node sent a request to a replica.
 	 * @param replica the replica
 	 */
-	public void sent(Replica replica) {
-		this.use.sent(ofTarget(replica));
+	public void recordSent(Replica replica) {
+		this.usage.sent(isOnTarget(replica));
 	}
 
 	/**
@@ -237,12 +238,12 @@
 	 * @param load its load
 	 * @param sentAt when the request was sent that it answers
 	 */
-	public void told(long now, Replica replica, LoadReport load, long sentAt) {
-		if (ofTarget(replica)) {
+	public void onLoadReported(long now, Replica replica, LoadReport load, long sentAt) {
+		if (isOnTarget(replica)) {
 			this.loadTrial.told(now, replica, load, sentAt);
 		}
 		else {
-			this.use.formerTold(load);
+			this.usage.formerTold(load);
 		}
 	}
 
@@ -250,9 +251,9 @@
 	 * Notes that a replica could not be reached.
 	 * @param replica the replica
 	 */
-	public void unreachable(Replica replica) {
-		if (!ofTarget(replica)) {
-			this.unreachable.add(replica.id());
+	public void recordUnreachable(Replica replica) {
+		if (!isOnTarget(replica)) {
+			this.recordUnreachable.add(replica.id());
 		}
 	}
 
@@ -261,14 +262,14 @@
 	 * @param now the time
 	 * @param note the note
 	 */
-	public void learn(long now, RolloutNote note) {
-		this.evidence.learn(note, note.elapsedMillis() - (now - this.seenAt) < LATE_MILLIS);
-		this.time.told(now, note.elapsedMillis());
+	public void onNote(long now, RolloutNote note) {
+		this.evidence.learn(note, note.elapsedMillis() - (now - this.learnedAt) < MAX_LEARNED_LATER_MILLIS);
+		this.clock.onElapsedReported(now, note.elapsedMillis());
 		this.routes.learn(note);
 		if (note.provedMillis() > 0) {
-			this.growth.proved(note.provedMillis());
+			this.rampUp.proved(note.provedMillis());
 		}
-		judge();
+		checkEvidence();
 	}
 
 	/**
@@ -276,27 +277,27 @@
 	 * @param now the time
 	 * @param knowledgeMillis how old what this node knows of the others may be
 	 */
-	public void look(long now, long knowledgeMillis) {
-		this.growth.known(now, knowledgeMillis);
-		boolean open = rises(now) && !this.growth.isProved() && part(now) <= ReleaseRamp.LATEST_PROOF;
-		if (open && this.proof.stands(part(now))) {
-			this.growth.proved(elapsed(now));
+	public void update(long now, long knowledgeMillis) {
+		this.rampUp.known(now, knowledgeMillis);
+		boolean open = canRampUp(now) && !this.rampUp.isProved() && elapsedRatio(now) <= ReleaseRamp.LATEST_PROOF;
+		if (open && this.proof.stands(elapsedRatio(now))) {
+			this.rampUp.proved(elapsedMillis(now));
 		}
-		provedShare(now);
+		updateProvedShare(now);
 	}
 
-	private boolean rises(long now) {
-		return this.state == RolloutState.RUNNING && this.growth.trusted(now) && !takenBack();
+	private boolean canRampUp(long now) {
+		return this.writtenState == RolloutState.RUNNING && this.rampUp.trusted(now) && !isRolledBack();
 	}
 
 	/**
 	 * Returns the share of all requests since the proof.
 	 */
-	private double provedShare(long now) {
-		if (this.growth.isProved() && rises(now)) {
-			this.growth.rise(part(now));
+	private double updateProvedShare(long now) {
+		if (this.rampUp.isProved() && canRampUp(now)) {
+			this.rampUp.rise(elapsedRatio(now));
 		}
-		return this.growth.share();
+		return this.rampUp.share();
 	}
 
 	/**
@@ -304,8 +305,8 @@
 	 * so that news of it are urgent.
 	 * @return true from the proof until the end
 	 */
-	public boolean grows() {
-		return this.growth.isProved() && this.state == RolloutState.RUNNING;
+	public boolean isRampingUp() {
+		return this.rampUp.isProved() && this.writtenState == RolloutState.RUNNING;
 	}
 
 	/**
@@ -316,8 +317,8 @@
 	 */
 	public RolloutNote note(long now, String node) {
 		return new RolloutNote(node, this.evidence.own(), this.evidence.ownRoutes(), this.evidence.ownAnswers(),
-				elapsed(now), this.routes.target(), this.loadTrial.answersUnderLoad(), this.loadTrial.triedLoad(),
-				this.growth.provedMillis(), this.use.sent(), this.use.sentToTarget());
+				elapsedMillis(now), this.routes.target(), this.loadTrial.answersUnderLoad(), this.loadTrial.triedLoad(),
+				this.rampUp.provedMillis(), this.usage.sent(), this.usage.sentToTarget());
 	}
 
 	/**
@@ -332,7 +333,7 @@
 	 * Returns the answers of the new release that are known of.
 	 * @return the number
 	 */
-	public int answers() {
+	public int answerCount() {
 		return this.evidence.answers();
 	}
 
@@ -342,9 +343,9 @@
 	 * @return its figures
 	 */
 	public RolloutProgress progress(long now) {
-		return new RolloutProgress(part(now), this.growth.share(), this.use.sent(), this.use.sentToTarget(),
-				this.proof.triedLoad(), this.use.formerLoad(), this.proof.answersUnderLoad(),
-				this.growth.provedMillis());
+		return new RolloutProgress(elapsedRatio(now), this.rampUp.share(), this.usage.sent(), this.usage.sentToTarget(),
+				this.proof.triedLoad(), this.usage.formerLoad(), this.proof.answersUnderLoad(),
+				this.rampUp.provedMillis());
 	}
 
 	/**
@@ -352,20 +353,20 @@
 	 * @param now the time
 	 * @return the state, or empty if what is written stands
 	 */
-	public Optional<RolloutState> due(long now) {
-		if (this.state == null) {
+	public Optional<RolloutState> findDueState(long now) {
+		if (this.writtenState == null) {
 			return Optional.of(RolloutState.RUNNING);
 		}
-		if (this.state != RolloutState.RUNNING) {
+		if (this.writtenState != RolloutState.RUNNING) {
 			return Optional.empty();
 		}
-		if (this.condemned || hopeless(now)) {
+		if (this.foundBad || hasExhaustedAllowanceOrTime(now)) {
 			return Optional.of(RolloutState.ROLLED_BACK);
 		}
-		double part = part(now);
-		double completeAt = ReleaseRamp.completeAt(this.growth.provedAt());
-		boolean late = elapsedPart(this.time.elapsedSinceOrder(now)) >= ReleaseRamp.LATEST_COMPLETE;
-		boolean whole = this.growth.share() >= 1 && (part >= completeAt || late);
+		double part = elapsedRatio(now);
+		double completeAt = ReleaseRamp.completeAt(this.rampUp.provedAt());
+		boolean late = toRatio(this.clock.elapsedSinceOrderMillis(now)) >= ReleaseRamp.LATEST_COMPLETE;
+		boolean whole = this.rampUp.share() >= 1 && (part >= completeAt || late);
 		return whole ? Optional.of(RolloutState.COMPLETED) : Optional.empty();
 	}
 
@@ -373,39 +374,40 @@
 	 * Says whether the release has spent its allowance without a proof, or does not serve
 	 * all requests though its time is nearly over.
 	 */
-	private boolean hopeless(long now) {
-		if (!this.growth.isProved() && this.use.spent(this.evidence.notes())) {
+	private boolean hasExhaustedAllowanceOrTime(long now) {
+		if (!this.rampUp.isProved() && this.usage.spent(this.evidence.notes())) {
 			return true;
 		}
-		return this.growth.share() < 1 && elapsedPart(this.time.elapsedSinceOrder(now)) >= ReleaseRamp.GIVE_UP_AT;
+		return this.rampUp.share() < 1 && toRatio(this.clock.elapsedSinceOrderMillis(now)) >= ReleaseRamp.GIVE_UP_AT;
 	}
 
 	/**
 	 * Returns the share of the new release among requests like one.
 	 */
-	private double share(long now, ReleaseKey key) {
-		if (this.growth.cutOff(now)) {
-			return this.growth.share();
+	private double newReleaseShare(long now, ReleaseKey key) {
+		if (this.rampUp.cutOff(now)) {
+			return this.rampUp.share();
 		}
-		double unproved = key.session() ? ReleaseRamp.unprovedSessions(part(now))
-				: ReleaseRamp.unprovedRequests(part(now), this.routes.smallest(key.route()));
-		return Math.max(unproved, provedShare(now));
+		double unproved = key.session() ? ReleaseRamp.unprovedSessions(elapsedRatio(now))
+				: ReleaseRamp.unprovedRequests(elapsedRatio(now), this.routes.smallest(key.route()));
+		return Math.max(unproved, updateProvedShare(now));
 	}
 
 	/**
 	 * Says whether the old replicas have stopped, though this node has not heard of the
 	 * end.
 	 */
-	private boolean formerGone(long now) {
-		return part(now) >= ReleaseRamp.COMPLETE_AT && this.unreachable.size() >= GONE;
+	private boolean isOldReleaseGone(long now) {
+		return elapsedRatio(now) >= ReleaseRamp.COMPLETE_AT
+				&& this.recordUnreachable.size() >= MIN_UNREACHABLE_OLD_REPLICAS;
 	}
 
 	/**
 	 * Notes what a request is like, for the order in which routes are tried.
 	 * @param key what decides by which release it is served
 	 */
-	public void asked(ReleaseKey key) {
-		this.routes.asked(key.route(), key.tokens());
+	public void recordRequest(ReleaseKey key) {
+		this.routes.asked(key.route(), key.promptTokens());
 	}
 
 	/**
@@ -419,25 +421,26 @@
 	 * @return those of its release; of the other release if there are none and that is
 	 * not a bad one, nor one that has spent its allowance
 	 */
-	public List<Replica> allowed(long now, List<Replica> replicas, ReleaseKey key, Set<ReplicaId> leftOut, int nodes) {
-		List<Replica> target = release(replicas, true);
-		List<Replica> former = release(replicas, false);
-		if (takenBack() || target.isEmpty()) {
+	public List<Replica> chooseReplicas(long now, List<Replica> replicas, ReleaseKey key, Set<ReplicaId> leftOut,
+			int nodes) {
+		List<Replica> target = replicasOf(replicas, true);
+		List<Replica> former = replicasOf(replicas, false);
+		if (isRolledBack() || target.isEmpty()) {
 			return former;
 		}
-		if (this.state == RolloutState.COMPLETED || formerGone(now)) {
+		if (this.writtenState == RolloutState.COMPLETED || isOldReleaseGone(now)) {
 			return target;
 		}
-		boolean chosen = chosen(now, key);
-		boolean goes = chosen && (provedShare(now) > 0 || key.session());
-		if (!goes && !((chosen || former.isEmpty()) && this.use.allows(nodes))) {
+		boolean chosen = isWithinShare(now, key);
+		boolean goes = chosen && (updateProvedShare(now) > 0 || key.session());
+		if (!goes && !((chosen || former.isEmpty()) && this.usage.allows(nodes))) {
 			return former;
 		}
 		return this.loadTrial.fill(now, target, leftOut, this.routes.smallest(key.route()));
 	}
 
-	private boolean chosen(long now, ReleaseKey key) {
-		return Spread.unit(key.value() + '@' + this.order.target()) < share(now, key);
+	private boolean isWithinShare(long now, ReleaseKey key) {
+		return Spread.unit(key.value() + '@' + this.order.target()) < newReleaseShare(now, key);
 	}
 
 	/**
@@ -445,36 +448,36 @@
 	 * @param replicas the replicas to choose from
 	 * @return those that are not of its target, none once it is completed
 	 */
-	List<Replica> former(List<Replica> replicas) {
-		return (this.state == RolloutState.COMPLETED) ? List.of() : release(replicas, false);
+	List<Replica> oldReplicas(List<Replica> replicas) {
+		return (this.writtenState == RolloutState.COMPLETED) ? List.of() : replicasOf(replicas, false);
 	}
 
-	private boolean takenBack() {
-		return this.condemned || this.state == RolloutState.ROLLED_BACK;
+	private boolean isRolledBack() {
+		return this.foundBad || this.writtenState == RolloutState.ROLLED_BACK;
 	}
 
-	private List<Replica> release(List<Replica> replicas, boolean target) {
-		return replicas.stream().filter((replica) -> ofTarget(replica) == target).toList();
+	private List<Replica> replicasOf(List<Replica> replicas, boolean target) {
+		return replicas.stream().filter((replica) -> isOnTarget(replica) == target).toList();
 	}
 
-	private boolean ofTarget(Replica replica) {
+	private boolean isOnTarget(Replica replica) {
 		return replica.release().equals(this.order.target());
 	}
 
-	private void judge() {
-		this.condemned = this.condemned || this.evidence.enough(this.proof.answersUnderLoad());
+	private void checkEvidence() {
+		this.foundBad = this.foundBad || this.evidence.enough(this.proof.answersUnderLoad());
 	}
 
-	private double part(long now) {
-		return elapsedPart(elapsed(now));
+	private double elapsedRatio(long now) {
+		return toRatio(elapsedMillis(now));
 	}
 
-	private double elapsedPart(long elapsedMillis) {
+	private double toRatio(long elapsedMillis) {
 		return (double) elapsedMillis / this.order.durationMillis();
 	}
 
-	private long elapsed(long now) {
-		return this.time.elapsed(now);
+	private long elapsedMillis(long now) {
+		return this.clock.elapsedMillis(now);
 	}
 
 }
--- a/core/src/main/java/org/gullsaddle/serve/RolloutTime.java
+++ b/core/src/main/java/org/gullsaddle/serve/RolloutClock.java
@@ -10,13 +10,13 @@
  * dropped if others turn out to be far ahead. Without it a node counts from when it
  * learned of the order, or from what others tell.
  */
-final class RolloutTime {
+final class RolloutClock {
 
 	/** By how much the time of day may differ from the replicas', in milliseconds. */
-	private static final long CLOCK_ERROR_MILLIS = 500;
+	private static final long MAX_CLOCK_ERROR_MILLIS = 500;
 
 	/** How far ahead others are at least for this node's time to be wrong. */
-	private static final long FAR_MILLIS = 1500;
+	private static final long MAX_BEHIND_PEERS_MILLIS = 1500;
 
 	private final long notBefore;
 
@@ -28,17 +28,17 @@
 	private boolean clockWrong;
 
 	/** What to add to the time of day for this node's own time, in milliseconds. */
-	private long offset;
+	private long clockOffsetMillis;
 
 	/** The time of day at which the first replica started, in milliseconds. */
-	private long firstStart;
+	private long firstStartedAt;
 
 	/**
 	 * Makes the time of a roll-out that a node learns of.
 	 * @param notBefore a time before which it was not ordered
 	 * @param now the time
 	 */
-	RolloutTime(long notBefore, long now) {
+	RolloutClock(long notBefore, long now) {
 		this.notBefore = notBefore;
 		this.learnedAt = now;
 	}
@@ -48,28 +48,28 @@
 	 * @param timeOfDay the time of day here, in Unix milliseconds
 	 * @param startedAt the replica's start, in Unix milliseconds, 0 if not told
 	 */
-	void started(long now, long timeOfDay, long startedAt) {
+	void onReplicaStarted(long now, long timeOfDay, long startedAt) {
 		if (startedAt <= 0 || this.clockWrong) {
 			return;
 		}
 		if (this.anchored) {
-			boolean after = startedAt + this.offset >= this.notBefore - CLOCK_ERROR_MILLIS;
-			this.firstStart = after ? Math.min(this.firstStart, startedAt) : this.firstStart;
+			boolean after = startedAt + this.clockOffsetMillis >= this.notBefore - MAX_CLOCK_ERROR_MILLIS;
+			this.firstStartedAt = after ? Math.min(this.firstStartedAt, startedAt) : this.firstStartedAt;
 			return;
 		}
 		long at = now - timeOfDay + startedAt;
-		if (at >= this.notBefore - CLOCK_ERROR_MILLIS && at <= now + CLOCK_ERROR_MILLIS) {
+		if (at >= this.notBefore - MAX_CLOCK_ERROR_MILLIS && at <= now + MAX_CLOCK_ERROR_MILLIS) {
 			this.anchored = true;
-			this.offset = now - timeOfDay;
-			this.firstStart = startedAt;
+			this.clockOffsetMillis = now - timeOfDay;
+			this.firstStartedAt = startedAt;
 		}
 	}
 
 	/**
 	 * Takes in how long ago it began by another node's word, which took a while to come.
 	 */
-	void told(long now, long elapsedMillis) {
-		if (elapsedMillis - elapsed(now) > FAR_MILLIS) {
+	void onElapsedReported(long now, long elapsedMillis) {
+		if (elapsedMillis - elapsedMillis(now) > MAX_BEHIND_PEERS_MILLIS) {
 			this.clockWrong |= this.anchored;
 			this.anchored = false;
 		}
@@ -79,15 +79,15 @@
 	/**
 	 * Returns how long ago it began, in milliseconds, 0 at least.
 	 */
-	long elapsed(long now) {
-		return Math.max(0, now - (this.anchored ? this.firstStart + this.offset : this.learnedAt));
+	long elapsedMillis(long now) {
+		return Math.max(0, now - (this.anchored ? this.firstStartedAt + this.clockOffsetMillis : this.learnedAt));
 	}
 
 	/**
 	 * Returns how long ago the order was given at most: before its first replica started.
 	 */
-	long elapsedSinceOrder(long now) {
-		return Math.max(elapsed(now), now - this.learnedAt);
+	long elapsedSinceOrderMillis(long now) {
+		return Math.max(elapsedMillis(now), now - this.learnedAt);
 	}
 
 }
--- a/core/src/main/java/org/gullsaddle/serve/RolloutTurns.java
+++ b/core/src/main/java/org/gullsaddle/serve/RolloutWriteSchedule.java
@@ -13,27 +13,27 @@
  * A state is due on all nodes at once, and only the first write succeeds. Nodes write one
  * after another instead, so that most of them read the state before it is their turn.
  */
-public final class RolloutTurns {
+public final class RolloutWriteSchedule {
 
 	/**
 	 * The time over which nodes are spread to write that a roll-out runs, as a part of
 	 * its time. Nothing waits for it.
 	 */
-	private static final double BEGIN_SPREAD = 0.2;
+	private static final double START_SPREAD_RATIO = 0.2;
 
 	/** The same for the end of a good roll-out, which is due by a fixed time. */
-	private static final double COMPLETE_SPREAD = 0.04;
+	private static final double COMPLETE_SPREAD_RATIO = 0.04;
 
 	/** The same for the end of a bad release, in milliseconds. */
-	private static final double TAKE_BACK_SPREAD_MILLIS = 300;
+	private static final double ROLL_BACK_SPREAD_MILLIS = 300;
 
 	/**
 	 * How long after a write the same state is not written again, in milliseconds: until
 	 * this node has read what stands there.
 	 */
-	private static final long READ_MILLIS = 2000;
+	private static final long REWRITE_DELAY_MILLIS = 2000;
 
-	private final Map<ServiceName, Turn> turns = new HashMap<>();
+	private final Map<ServiceName, ScheduledWrite> scheduledWrites = new HashMap<>();
 
 	private final String node;
 
@@ -41,7 +41,7 @@
 	 * Makes a node's turns.
 	 * @param node the node's name
 	 */
-	public RolloutTurns(String node) {
+	public RolloutWriteSchedule(String node) {
 		this.node = node;
 	}
 
@@ -52,14 +52,14 @@
 	 * @param state the state that is due
 	 * @return true if it is
 	 */
-	public boolean mine(long now, Rollout rollout, RolloutState state) {
+	public boolean isWriteDue(long now, Rollout rollout, RolloutState state) {
 		ServiceName service = rollout.order().service();
-		Turn turn = this.turns.get(service);
+		ScheduledWrite turn = this.scheduledWrites.get(service);
 		if (turn == null || turn.revision != rollout.revision() || turn.state != state) {
-			turn = new Turn(rollout.revision(), state, now + wait(rollout, state));
-			this.turns.put(service, turn);
+			turn = new ScheduledWrite(rollout.revision(), state, now + delayMillis(rollout, state));
+			this.scheduledWrites.put(service, turn);
 		}
-		return now >= turn.at;
+		return now >= turn.dueAt;
 	}
 
 	/**
@@ -68,16 +68,17 @@
 	 * @param rollout the roll-out
 	 * @param state the state that was written
 	 */
-	public void answered(long now, Rollout rollout, RolloutState state) {
-		this.turns.put(rollout.order().service(), new Turn(rollout.revision(), state, now + READ_MILLIS));
+	public void onWriteAnswered(long now, Rollout rollout, RolloutState state) {
+		this.scheduledWrites.put(rollout.order().service(),
+				new ScheduledWrite(rollout.revision(), state, now + REWRITE_DELAY_MILLIS));
 	}
 
-	private long wait(Rollout rollout, RolloutState state) {
+	private long delayMillis(Rollout rollout, RolloutState state) {
 		long duration = rollout.order().durationMillis();
 		double spread = switch (state) {
-			case RUNNING -> BEGIN_SPREAD * duration;
-			case COMPLETED -> COMPLETE_SPREAD * duration;
-			case ROLLED_BACK -> TAKE_BACK_SPREAD_MILLIS;
+			case RUNNING -> START_SPREAD_RATIO * duration;
+			case COMPLETED -> COMPLETE_SPREAD_RATIO * duration;
+			case ROLLED_BACK -> ROLL_BACK_SPREAD_MILLIS;
 		};
 		return Math.round(spread * Spread.unit(this.node + '/' + rollout.order().target() + '/' + state));
 	}
@@ -89,7 +90,7 @@
 	 * @param state the state
 	 * @param at the time in milliseconds
 	 */
-	private record Turn(long revision, RolloutState state, long at) {
+	private record ScheduledWrite(long revision, RolloutState state, long dueAt) {
 	}
 
 }
--- a/core/src/test/java/org/gullsaddle/serve/RolloutModel.java
+++ b/core/src/test/java/org/gullsaddle/serve/RolloutModel.java
@@ -140,7 +140,7 @@
 				LIMITS);
 		long listedAt = Math.max(now, FIRST_START_MILLIS);
 		this.events.add(new Event(listedAt,
-				() -> this.replicas.forEach((replica) -> node.listed(listedAt, CLOCK + listedAt, replica))));
+				() -> this.replicas.forEach((replica) -> node.onReplicaListed(listedAt, CLOCK + listedAt, replica))));
 		return node;
 	}
 
@@ -201,10 +201,10 @@
 		long at = Math.round(part * this.duration);
 		this.events.add(new Event(at, () -> {
 			Rollout fresh = node(NEVER, at);
-			fresh.progressed(this.state, TARGET, this.revision);
+			fresh.onStateRead(this.state, TARGET, this.revision);
 			for (int i = 0; i < this.nodes.size(); i++) {
 				if (i != node) {
-					fresh.learn(at, this.nodes.get(i).note(at - this.random.nextLong(this.noteMillis), "node-" + i));
+					fresh.onNote(at, this.nodes.get(i).note(at - this.random.nextLong(this.noteMillis), "node-" + i));
 				}
 			}
 			this.nodes.set(node, fresh);
@@ -258,8 +258,8 @@
 		Rollout node = this.nodes.get(this.random.nextInt(this.nodes.size()));
 		Session session = sessionFor(route);
 		ReleaseKey key = new ReleaseKey(session.id, true, route.name(), route.tokens);
-		node.asked(key);
-		Replica replica = node.allowed(now, this.replicas, key, Set.of(), this.nodes.size())
+		node.recordRequest(key);
+		Replica replica = node.chooseReplicas(now, this.replicas, key, Set.of(), this.nodes.size())
 			.stream()
 			.min(Comparator.comparingInt(this::running))
 			.orElseThrow();
@@ -267,12 +267,12 @@
 		follow(now, session, toTarget);
 		this.sent++;
 		this.sentToTarget += toTarget ? 1 : 0;
-		node.sent(replica);
+		node.recordSent(replica);
 		boolean fails = toTarget && bad(now, route, replica) && this.random.nextDouble() < BAD_RATE;
 		this.running.merge(replica.id(), 1, Integer::sum);
 		this.events.add(new Event(now + FIRST_MILLIS, () -> {
-			node.told(now + FIRST_MILLIS, replica, new LoadReport(running(replica), 0, SLOTS), now);
-			node.answered(replica, new AnswerKind(route.name(), ""), fails, now, FIRST_MILLIS);
+			node.onLoadReported(now + FIRST_MILLIS, replica, new LoadReport(running(replica), 0, SLOTS), now);
+			node.onAnswerStarted(replica, new AnswerKind(route.name(), ""), fails, now, FIRST_MILLIS);
 		}));
 		this.events.add(new Event(now + (fails ? FIRST_MILLIS : route.millis),
 				() -> this.running.merge(replica.id(), -1, Integer::sum)));
@@ -302,8 +302,8 @@
 	private void look(long now, int index) {
 		Rollout node = this.nodes.get(index);
 		if (now % LOOK_MILLIS == STEP * (index % (LOOK_MILLIS / STEP))) {
-			node.look(now, (index == this.deaf) ? now : this.newsMillis);
-			node.due(now).ifPresent((due) -> write(now, due));
+			node.update(now, (index == this.deaf) ? now : this.newsMillis);
+			node.findDueState(now).ifPresent((due) -> write(now, due));
 		}
 		boolean due = now % this.noteMillis == STEP * (index % (this.noteMillis / STEP));
 		if (index != this.deaf && (due || urgent(now, index))) {
@@ -325,14 +325,14 @@
 	 * Returns how long news take now.
 	 */
 	private long newsMillis() {
-		boolean grows = this.nodes.stream().anyMatch(Rollout::grows);
+		boolean grows = this.nodes.stream().anyMatch(Rollout::isRampingUp);
 		return grows ? Math.min(URGENT_NEWS_MILLIS, this.newsMillis) : this.newsMillis;
 	}
 
 	private void tell(long now, int from, RolloutNote note) {
 		for (int i = 0; i < this.nodes.size(); i++) {
 			if (i != from && i != this.deaf) {
-				this.nodes.get(i).learn(now, note);
+				this.nodes.get(i).onNote(now, note);
 			}
 		}
 	}
@@ -348,7 +348,7 @@
 		this.events.add(new Event(now + newsMillis(), () -> {
 			for (int i = 0; i < this.nodes.size(); i++) {
 				if (i != this.deaf || due == RolloutState.RUNNING) {
-					this.nodes.get(i).progressed(due, TARGET, written);
+					this.nodes.get(i).onStateRead(due, TARGET, written);
 				}
 			}
 		}));
--- a/core/src/test/java/org/gullsaddle/serve/RolloutTests.java
+++ b/core/src/test/java/org/gullsaddle/serve/RolloutTests.java
@@ -44,8 +44,8 @@
 	private long sentAt;
 
 	private void answered(String release, String kind, boolean failed, long firstMillis) {
-		this.rollout.answered(BOTH.get(release.equals("v2") ? 1 : 0), new AnswerKind(kind, ""), failed, this.sentAt,
-				firstMillis);
+		this.rollout.onAnswerStarted(BOTH.get(release.equals("v2") ? 1 : 0), new AnswerKind(kind, ""), failed,
+				this.sentAt, firstMillis);
 		this.sentAt += firstMillis;
 	}
 
@@ -54,19 +54,19 @@
 	}
 
 	private List<Replica> allowed(long now, List<Replica> replicas, ReleaseKey key) {
-		return this.rollout.allowed(now, replicas, key, Set.of(), 1);
+		return this.rollout.chooseReplicas(now, replicas, key, Set.of(), 1);
 	}
 
 	/**
 	 * Lets the release answer well under load, and tells that the answers were sent.
 	 */
 	private void prove(long now) {
-		this.rollout.progressed(RolloutState.RUNNING, "v2", 11);
+		this.rollout.onStateRead(RolloutState.RUNNING, "v2", 11);
 		answers(20, 0);
 		for (int i = 0; i < 20; i++) {
-			this.rollout.told(now, BOTH.get(1), new LoadReport(6, 0, 8), now);
+			this.rollout.onLoadReported(now, BOTH.get(1), new LoadReport(6, 0, 8), now);
 		}
-		this.rollout.look(now, 0);
+		this.rollout.update(now, 0);
 	}
 
 	/**
@@ -74,7 +74,7 @@
 	 */
 	private void lookUntil(long from, long until) {
 		for (long now = from; now <= until; now += 200) {
-			this.rollout.look(now, 0);
+			this.rollout.update(now, 0);
 		}
 	}
 
@@ -101,15 +101,15 @@
 
 	@Test
 	void runningIsWrittenFirst() {
-		assertThat(this.rollout.due(0)).contains(RolloutState.RUNNING);
-		this.rollout.progressed(RolloutState.RUNNING, "v2", 11);
-		assertThat(this.rollout.due(0)).isEmpty();
+		assertThat(this.rollout.findDueState(0)).contains(RolloutState.RUNNING);
+		this.rollout.onStateRead(RolloutState.RUNNING, "v2", 11);
+		assertThat(this.rollout.findDueState(0)).isEmpty();
 	}
 
 	@Test
 	void stateOfAnEarlierOrderIsOnlyTheGuardOfTheNextWrite() {
-		this.rollout.progressed(RolloutState.COMPLETED, "v2", 9);
-		assertThat(this.rollout.due(0)).contains(RolloutState.RUNNING);
+		this.rollout.onStateRead(RolloutState.COMPLETED, "v2", 9);
+		assertThat(this.rollout.findDueState(0)).contains(RolloutState.RUNNING);
 		assertThat(this.rollout.stateRevision()).isEqualTo(9);
 	}
 
@@ -118,9 +118,9 @@
 	 */
 	@Test
 	void olderStateAfterANewerOneChangesNothing() {
-		this.rollout.progressed(RolloutState.ROLLED_BACK, "v2", 14);
-		this.rollout.progressed(RolloutState.RUNNING, "v2", 11);
-		assertThat(this.rollout.state()).contains(RolloutState.ROLLED_BACK);
+		this.rollout.onStateRead(RolloutState.ROLLED_BACK, "v2", 14);
+		this.rollout.onStateRead(RolloutState.RUNNING, "v2", 11);
+		assertThat(this.rollout.writtenState()).contains(RolloutState.ROLLED_BACK);
 		assertThat(this.rollout.stateRevision()).isEqualTo(14);
 	}
 
@@ -131,10 +131,10 @@
 	@Test
 	void nodeThatStartsAnewGoesOnWhereTheOthersAre() {
 		Rollout other = new Rollout(0, this.rollout.order(), 10);
-		this.rollout.learn(0, new RolloutNote("other", 0, Map.of(), 40, DURATION * 3 / 4));
+		this.rollout.onNote(0, new RolloutNote("other", 0, Map.of(), 40, DURATION * 3 / 4));
 		for (int i = 0; i < 1000; i++) {
 			ReleaseKey key = new ReleaseKey("key-" + i, true);
-			assertThat(allowed(0, BOTH, key)).isEqualTo(other.allowed(DURATION * 3 / 4, BOTH, key, Set.of(), 1));
+			assertThat(allowed(0, BOTH, key)).isEqualTo(other.chooseReplicas(DURATION * 3 / 4, BOTH, key, Set.of(), 1));
 		}
 		assertThat(sessionsOnTarget(0)).isPositive();
 	}
@@ -144,8 +144,8 @@
 	 */
 	@Test
 	void nodeThatStartsAnewAfterTheProofHasTheSameShare() {
-		this.rollout.progressed(RolloutState.RUNNING, "v2", 11);
-		this.rollout.learn(0, new RolloutNote("other", 0, Map.of(), 40, DURATION * 4 / 5, Map.of(), 12, 0.6,
+		this.rollout.onStateRead(RolloutState.RUNNING, "v2", 11);
+		this.rollout.onNote(0, new RolloutNote("other", 0, Map.of(), 40, DURATION * 4 / 5, Map.of(), 12, 0.6,
 				DURATION * 6 / 10, 0, 0));
 		assertThat(sessionsOnTarget(0)).isEqualTo(1000);
 	}
@@ -167,15 +167,15 @@
 			int sent = 0;
 			for (long now = 0; now < DURATION; now += 10) {
 				long revision = 11 + now;
-				RolloutTests.this.rollout.look(now, 0);
-				RolloutTests.this.rollout.due(now)
-					.ifPresent((state) -> RolloutTests.this.rollout.progressed(state, "v2", revision));
+				RolloutTests.this.rollout.update(now, 0);
+				RolloutTests.this.rollout.findDueState(now)
+					.ifPresent((state) -> RolloutTests.this.rollout.onStateRead(state, "v2", revision));
 				Replica replica = allowed(now, BOTH, new ReleaseKey("key-" + now, now % 2 == 0)).get(0);
-				RolloutTests.this.rollout.sent(replica);
+				RolloutTests.this.rollout.recordSent(replica);
 				sent += replica.release().equals("v2") ? 1 : 0;
 			}
 			assertThat(sent).isBetween(50,
-					(int) (RolloutLimits.USUAL.share() * DURATION / 10 + RolloutLimits.USUAL.slack()));
+					(int) (RolloutLimits.DEFAULT.share() * DURATION / 10 + RolloutLimits.DEFAULT.extraRequests()));
 		}
 
 		/** Guards against a release that turns bad late, and has all requests early. */
@@ -190,19 +190,19 @@
 		@Test
 		void itsShareDoesNotRiseByOldKnowledge() {
 			prove(DURATION * 6 / 10);
-			RolloutTests.this.rollout.look(DURATION * 4 / 5, DURATION / 2);
+			RolloutTests.this.rollout.update(DURATION * 4 / 5, DURATION / 2);
 			assertThat(RolloutTests.this.rollout.progress(DURATION * 4 / 5).share()).isZero();
-			RolloutTests.this.rollout.look(DURATION * 4 / 5, 0);
+			RolloutTests.this.rollout.update(DURATION * 4 / 5, 0);
 			assertThat(RolloutTests.this.rollout.progress(DURATION * 4 / 5).share()).isEqualTo(1);
 		}
 
 		/** Guards against nodes that let the share rise at different times. */
 		@Test
 		void itsShareRisesWhenAnyNodeProvedIt() {
-			RolloutTests.this.rollout.progressed(RolloutState.RUNNING, "v2", 11);
-			RolloutTests.this.rollout.learn(DURATION * 6 / 10, new RolloutNote("other", 0, Map.of(), 20,
+			RolloutTests.this.rollout.onStateRead(RolloutState.RUNNING, "v2", 11);
+			RolloutTests.this.rollout.onNote(DURATION * 6 / 10, new RolloutNote("other", 0, Map.of(), 20,
 					DURATION * 6 / 10, Map.of(), 9, 0.6, DURATION * 6 / 10, 0, 0));
-			RolloutTests.this.rollout.look(DURATION * 4 / 5, 0);
+			RolloutTests.this.rollout.update(DURATION * 4 / 5, 0);
 			assertThat(RolloutTests.this.rollout.progress(DURATION * 4 / 5).share()).isEqualTo(1);
 		}
 
@@ -219,8 +219,8 @@
 
 		@Test
 		void smallShareOfSessionsWithLargePromptsGoesToItInTheSecondHalfAndAllInTheEnd() {
-			RolloutTests.this.rollout.asked(new ReleaseKey("a", true, "small", 1000));
-			RolloutTests.this.rollout.asked(new ReleaseKey("b", true, "large", 9000));
+			RolloutTests.this.rollout.recordRequest(new ReleaseKey("a", true, "small", 1000));
+			RolloutTests.this.rollout.recordRequest(new ReleaseKey("b", true, "large", 9000));
 			assertThat(largeOnTarget(DURATION * 53 / 100)).isBetween(200L, 300L);
 			prove(DURATION * 6 / 10);
 			lookUntil(DURATION * 6 / 10, DURATION * 4 / 5);
@@ -237,7 +237,7 @@
 
 		@Test
 		void itServesSessionsOnceItIsCompleted() {
-			RolloutTests.this.rollout.progressed(RolloutState.COMPLETED, "v2", 11);
+			RolloutTests.this.rollout.onStateRead(RolloutState.COMPLETED, "v2", 11);
 			assertThat(sessionsOnTarget(0)).isEqualTo(1000);
 		}
 
@@ -267,17 +267,17 @@
 		void itIsCompletedInTime() {
 			prove(DURATION * 6 / 10);
 			lookUntil(DURATION * 6 / 10, DURATION * 9 / 10);
-			assertThat(RolloutTests.this.rollout.due(DURATION / 2)).isEmpty();
-			assertThat(RolloutTests.this.rollout.due(DURATION * 9 / 10)).contains(RolloutState.COMPLETED);
+			assertThat(RolloutTests.this.rollout.findDueState(DURATION / 2)).isEmpty();
+			assertThat(RolloutTests.this.rollout.findDueState(DURATION * 9 / 10)).contains(RolloutState.COMPLETED);
 		}
 
 		@Test
 		void withoutEnoughAnswersItIsTakenBack() {
-			RolloutTests.this.rollout.progressed(RolloutState.RUNNING, "v2", 11);
+			RolloutTests.this.rollout.onStateRead(RolloutState.RUNNING, "v2", 11);
 			answers(3, 0);
 			lookUntil(0, DURATION * 9 / 10);
-			assertThat(RolloutTests.this.rollout.due(DURATION * 9 / 10)).isEmpty();
-			assertThat(RolloutTests.this.rollout.due(DURATION * 96 / 100)).contains(RolloutState.ROLLED_BACK);
+			assertThat(RolloutTests.this.rollout.findDueState(DURATION * 9 / 10)).isEmpty();
+			assertThat(RolloutTests.this.rollout.findDueState(DURATION * 96 / 100)).contains(RolloutState.ROLLED_BACK);
 		}
 
 		/**
@@ -287,7 +287,7 @@
 		 */
 		@Test
 		void largeModelsAnswersAreComparedWithItsOwn() {
-			RolloutTests.this.rollout.progressed(RolloutState.RUNNING, "v2", 11);
+			RolloutTests.this.rollout.onStateRead(RolloutState.RUNNING, "v2", 11);
 			for (int i = 0; i < 40; i++) {
 				answered("v1", "chat/small", false, 90);
 				answered("v1", "chat/large", false, 1100);
@@ -304,23 +304,23 @@
 		 */
 		@Test
 		void failuresThatTheOldReleaseHasTooAreNoReason() {
-			RolloutTests.this.rollout.progressed(RolloutState.RUNNING, "v2", 11);
+			RolloutTests.this.rollout.onStateRead(RolloutState.RUNNING, "v2", 11);
 			for (int i = 0; i < 100; i++) {
 				answered("v1", "read", i % 4 == 0, 30);
 			}
 			for (int i = 0; i < 200; i++) {
 				answered("v2", "read", i % 4 == 0, 30);
 			}
-			assertThat(RolloutTests.this.rollout.due(DURATION / 2)).isEmpty();
+			assertThat(RolloutTests.this.rollout.findDueState(DURATION / 2)).isEmpty();
 		}
 
 		@Test
 		void fewFailuresAmongManyAnswersAreNoReason() {
-			RolloutTests.this.rollout.progressed(RolloutState.RUNNING, "v2", 11);
+			RolloutTests.this.rollout.onStateRead(RolloutState.RUNNING, "v2", 11);
 			for (int i = 0; i < 30; i++) {
 				answers(19, 1);
 			}
-			assertThat(RolloutTests.this.rollout.due(DURATION / 2)).isEmpty();
+			assertThat(RolloutTests.this.rollout.findDueState(DURATION / 2)).isEmpty();
 		}
 
 	}
@@ -334,11 +334,11 @@
 		 */
 		@Test
 		void evidenceOfSeveralNodesIsPooled() {
-			RolloutTests.this.rollout.progressed(RolloutState.RUNNING, "v2", 11);
+			RolloutTests.this.rollout.onStateRead(RolloutState.RUNNING, "v2", 11);
 			answers(1, 2);
-			assertThat(RolloutTests.this.rollout.due(1000)).isEmpty();
-			RolloutTests.this.rollout.learn(1000, new RolloutNote("other", 2.5, Map.of(), 3, 1000));
-			assertThat(RolloutTests.this.rollout.due(1000)).contains(RolloutState.ROLLED_BACK);
+			assertThat(RolloutTests.this.rollout.findDueState(1000)).isEmpty();
+			RolloutTests.this.rollout.onNote(1000, new RolloutNote("other", 2.5, Map.of(), 3, 1000));
+			assertThat(RolloutTests.this.rollout.findDueState(1000)).contains(RolloutState.ROLLED_BACK);
 		}
 
 		@Test
@@ -363,14 +363,14 @@
 		 */
 		@Test
 		void failuresOfOneKindAreNotHiddenByTheOthers() {
-			RolloutTests.this.rollout.progressed(RolloutState.RUNNING, "v2", 11);
+			RolloutTests.this.rollout.onStateRead(RolloutState.RUNNING, "v2", 11);
 			for (int i = 0; i < 8; i++) {
 				answered("v2", "briefs", i % 2 == 0, 100);
 				for (int j = 0; j < 6; j++) {
 					answered("v2", "notes", false, 100);
 				}
 			}
-			assertThat(RolloutTests.this.rollout.due(DURATION / 2)).contains(RolloutState.ROLLED_BACK);
+			assertThat(RolloutTests.this.rollout.findDueState(DURATION / 2)).contains(RolloutState.ROLLED_BACK);
 		}
 
 		/**
@@ -383,10 +383,11 @@
 				answered("v1", "chat", false, 100);
 			}
 			for (int i = 0; i < 12; i++) {
-				RolloutTests.this.rollout.answered(BOTH.get(1), new AnswerKind("chat", ""), false, 10_000 + i * 100,
-						2500 - i * 100);
+				RolloutTests.this.rollout.onAnswerStarted(BOTH.get(1), new AnswerKind("chat", ""), false,
+						10_000 + i * 100, 2500 - i * 100);
 			}
-			assertThat(RolloutTests.this.rollout.due(DURATION / 2)).isNotEqualTo(Optional.of(RolloutState.ROLLED_BACK));
+			assertThat(RolloutTests.this.rollout.findDueState(DURATION / 2))
+				.isNotEqualTo(Optional.of(RolloutState.ROLLED_BACK));
 			assertThat(RolloutTests.this.rollout.evidence()).isLessThan(Math.log(10));
 		}
 
@@ -442,7 +443,7 @@
 				.generate(() -> new Rollout(0, new RolloutOrder(SERVICE, "v2", DURATION), 10))
 				.limit(nodes)
 				.toList();
-			rollouts.forEach((rollout) -> rollout.progressed(RolloutState.RUNNING, "v2", 11));
+			rollouts.forEach((rollout) -> rollout.onStateRead(RolloutState.RUNNING, "v2", 11));
 			int bad = 0;
 			for (long now = 0; now < 0.85 * DURATION; now += STEP_MILLIS) {
 				for (int i = 0; i < nodes; i++) {
@@ -452,12 +453,12 @@
 						boolean failed = random.nextDouble() < (onBad ? badRate : USUAL);
 						bad += (onBad && failed) ? 1 : 0;
 						AnswerKind kind = new AnswerKind("route-" + route, "model-" + random.nextInt(MODELS));
-						rollouts.get(i).answered(BOTH.get(1), kind, failed, now, 100);
+						rollouts.get(i).onAnswerStarted(BOTH.get(1), kind, failed, now, 100);
 					}
 					if (now % NOTE_MILLIS == STEP_MILLIS * (i % (NOTE_MILLIS / STEP_MILLIS))) {
 						tell(now, rollouts, i);
 					}
-					if (rollouts.get(i).due(now).equals(Optional.of(RolloutState.ROLLED_BACK))) {
+					if (rollouts.get(i).findDueState(now).equals(Optional.of(RolloutState.ROLLED_BACK))) {
 						return OptionalInt.of(bad);
 					}
 				}
@@ -469,7 +470,7 @@
 			RolloutNote note = rollouts.get(from).note(now, "node-" + from);
 			for (int i = 0; i < rollouts.size(); i++) {
 				if (i != from) {
-					rollouts.get(i).learn(now, note);
+					rollouts.get(i).onNote(now, note);
 				}
 			}
 		}
@@ -527,8 +528,8 @@
 		@Test
 		void nodeThatStartedAgainIsHeardAnew() {
 			Rollout rollout = RolloutTests.this.rollout;
-			rollout.learn(1000, new RolloutNote("other", -50, Map.of(), 140, 1000));
-			rollout.learn(3000, new RolloutNote("other", -1, Map.of(), 3, 3000));
+			rollout.onNote(1000, new RolloutNote("other", -50, Map.of(), 140, 1000));
+			rollout.onNote(3000, new RolloutNote("other", -1, Map.of(), 3, 3000));
 			assertThat(rollout.evidence()).isZero();
 		}
 
--- a/core/src/test/java/org/gullsaddle/serve/RolloutTurnsTests.java
+++ b/core/src/test/java/org/gullsaddle/serve/RolloutWriteScheduleTests.java
@@ -11,7 +11,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-class RolloutTurnsTests {
+class RolloutWriteScheduleTests {
 
 	private static final int NODES = 20;
 
@@ -26,23 +26,23 @@
 	@Test
 	void fewOfManyNodesWriteAStateThatIsDueOnAllAtOnce() {
 		List<Rollout> rollouts = new ArrayList<>();
-		List<RolloutTurns> nodes = new ArrayList<>();
+		List<RolloutWriteSchedule> nodes = new ArrayList<>();
 		for (int i = 0; i < NODES; i++) {
 			rollouts.add(new Rollout(0, ORDER, 10));
-			nodes.add(new RolloutTurns("node-" + i));
+			nodes.add(new RolloutWriteSchedule("node-" + i));
 		}
 		int writes = 0;
 		long readAt = Long.MAX_VALUE;
 		for (long now = 0; now <= ORDER.durationMillis() / 4; now += 100) {
 			for (int i = 0; i < NODES; i++) {
 				if (now >= readAt) {
-					rollouts.get(i).progressed(RolloutState.RUNNING, "v2", 11);
+					rollouts.get(i).onStateRead(RolloutState.RUNNING, "v2", 11);
 				}
-				boolean due = rollouts.get(i).due(now).isPresent();
-				if (due && nodes.get(i).mine(now, rollouts.get(i), RolloutState.RUNNING)) {
+				boolean due = rollouts.get(i).findDueState(now).isPresent();
+				if (due && nodes.get(i).isWriteDue(now, rollouts.get(i), RolloutState.RUNNING)) {
 					writes++;
 					readAt = Math.min(readAt, now + READ_MILLIS);
-					nodes.get(i).answered(now, rollouts.get(i), RolloutState.RUNNING);
+					nodes.get(i).onWriteAnswered(now, rollouts.get(i), RolloutState.RUNNING);
 				}
 			}
 		}
@@ -53,18 +53,18 @@
 	@Test
 	void endOfABadReleaseIsWrittenAtOnce() {
 		Rollout rollout = new Rollout(0, ORDER, 10);
-		RolloutTurns turns = new RolloutTurns("node");
-		turns.mine(0, rollout, RolloutState.ROLLED_BACK);
-		assertThat(turns.mine(300, rollout, RolloutState.ROLLED_BACK)).isTrue();
+		RolloutWriteSchedule turns = new RolloutWriteSchedule("node");
+		turns.isWriteDue(0, rollout, RolloutState.ROLLED_BACK);
+		assertThat(turns.isWriteDue(300, rollout, RolloutState.ROLLED_BACK)).isTrue();
 	}
 
 	@Test
 	void stateIsWrittenAgainIfItIsStillDueAfterAWhile() {
 		Rollout rollout = new Rollout(0, ORDER, 10);
-		RolloutTurns turns = new RolloutTurns("node");
-		turns.answered(0, rollout, RolloutState.RUNNING);
-		assertThat(turns.mine(1000, rollout, RolloutState.RUNNING)).isFalse();
-		assertThat(turns.mine(2000, rollout, RolloutState.RUNNING)).isTrue();
+		RolloutWriteSchedule turns = new RolloutWriteSchedule("node");
+		turns.onWriteAnswered(0, rollout, RolloutState.RUNNING);
+		assertThat(turns.isWriteDue(1000, rollout, RolloutState.RUNNING)).isFalse();
+		assertThat(turns.isWriteDue(2000, rollout, RolloutState.RUNNING)).isTrue();
 	}
 
 }
--- a/daemon/src/main/java/org/gullsaddle/gateway/FleetState.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/FleetState.java
@@ -97,7 +97,8 @@
 		Optional<Replica> before = this.directory.find(replica.id());
 		this.directory.put(replica);
 		this.directory.cold(now, replica, listed.coldMillis());
-		rollout(replica.service()).ifPresent((rollout) -> rollout.listed(now, System.currentTimeMillis(), replica));
+		rollout(replica.service())
+			.ifPresent((rollout) -> rollout.onReplicaListed(now, System.currentTimeMillis(), replica));
 		return !before.equals(Optional.of(replica));
 	}
 
@@ -114,10 +115,10 @@
 			.stream()
 			.flatMap((id) -> this.directory.find(id).stream())
 			.filter((replica) -> replica.service().equals(service))
-			.forEach((replica) -> rollout.listed(now, timeOfDay, replica));
+			.forEach((replica) -> rollout.onReplicaListed(now, timeOfDay, replica));
 		FleetChange.Progressed state = this.progress.get(service);
 		if (state != null) {
-			rollout.progressed(state.state(), state.target(), state.revision());
+			rollout.onStateRead(state.state(), state.target(), state.revision());
 		}
 		return true;
 	}
@@ -130,7 +131,7 @@
 		this.progress.put(progressed.service(), progressed);
 		Rollout rollout = this.rollouts.get(progressed.service());
 		if (rollout != null) {
-			rollout.progressed(progressed.state(), progressed.target(), progressed.revision());
+			rollout.onStateRead(progressed.state(), progressed.target(), progressed.revision());
 		}
 		return !progressed.equals(before);
 	}
@@ -224,7 +225,7 @@
 	 * Says whether the share of a new release rises.
 	 */
 	boolean releaseGrows() {
-		return this.rollouts.values().stream().anyMatch(Rollout::grows);
+		return this.rollouts.values().stream().anyMatch(Rollout::isRampingUp);
 	}
 
 	/**
@@ -233,7 +234,7 @@
 	OptionalLong shortestRollout() {
 		return this.rollouts.values()
 			.stream()
-			.filter((rollout) -> rollout.state().map((state) -> state == RolloutState.RUNNING).orElse(true))
+			.filter((rollout) -> rollout.writtenState().map((state) -> state == RolloutState.RUNNING).orElse(true))
 			.mapToLong((rollout) -> rollout.order().durationMillis())
 			.min();
 	}
--- a/daemon/src/main/java/org/gullsaddle/gateway/RolloutController.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/RolloutController.java
@@ -20,7 +20,7 @@
 import org.gullsaddle.serve.Rollout;
 import org.gullsaddle.serve.RolloutNote;
 import org.gullsaddle.serve.RolloutProgress;
-import org.gullsaddle.serve.RolloutTurns;
+import org.gullsaddle.serve.RolloutWriteSchedule;
 import org.gullsaddle.store.Store;
 
 /**
@@ -66,7 +66,7 @@
 
 	private final Set<ServiceName> writing = new HashSet<>();
 
-	private final RolloutTurns turns;
+	private final RolloutWriteSchedule turns;
 
 	private final Map<String, Told> told = new HashMap<>();
 
@@ -78,7 +78,7 @@
 		this.board = board;
 		this.store = store;
 		this.node = node;
-		this.turns = new RolloutTurns(node);
+		this.turns = new RolloutWriteSchedule(node);
 		this.fleet = fleet;
 		this.log = log;
 	}
@@ -94,7 +94,7 @@
 	 * Notes that a request was sent to a replica.
 	 */
 	void sent(Replica replica) {
-		this.fleet.rollout(replica.service()).ifPresent((rollout) -> rollout.sent(replica));
+		this.fleet.rollout(replica.service()).ifPresent((rollout) -> rollout.recordSent(replica));
 	}
 
 	/**
@@ -106,9 +106,10 @@
 	void answered(AnswerKind kind, Attempt attempt, ReplicaAnswer answer) {
 		Replica replica = attempt.choice().replica();
 		this.fleet.rollout(replica.service()).ifPresent((rollout) -> {
-			answer.load().ifPresent((load) -> rollout.told(Clock.millis(), replica, load, attempt.startedAt()));
-			rollout.answered(replica, kind, new AttemptEnd.Answered(answer.status()).failure(), attempt.startedAt(),
-					attempt.headAt() - attempt.startedAt());
+			answer.load()
+				.ifPresent((load) -> rollout.onLoadReported(Clock.millis(), replica, load, attempt.startedAt()));
+			rollout.onAnswerStarted(replica, kind, new AttemptEnd.Answered(answer.status()).failure(),
+					attempt.startedAt(), attempt.headAt() - attempt.startedAt());
 		});
 	}
 
@@ -116,14 +117,14 @@
 	 * Notes that a replica could not be reached.
 	 */
 	void unreachable(Replica replica) {
-		this.fleet.rollout(replica.service()).ifPresent((rollout) -> rollout.unreachable(replica));
+		this.fleet.rollout(replica.service()).ifPresent((rollout) -> rollout.recordUnreachable(replica));
 	}
 
 	/**
 	 * Notes that a request came for a service.
 	 */
 	void asked(ServedRequest request) {
-		this.fleet.rollout(request.service()).ifPresent((rollout) -> rollout.asked(request.releaseKey()));
+		this.fleet.rollout(request.service()).ifPresent((rollout) -> rollout.recordRequest(request.releaseKey()));
 	}
 
 	/**
@@ -142,7 +143,7 @@
 
 	private void learn(Rollout rollout, FleetChange.Noted noted) {
 		try {
-			rollout.learn(Clock.millis(), Json.read(noted.value(), RolloutNote.class));
+			rollout.onNote(Clock.millis(), Json.read(noted.value(), RolloutNote.class));
 		}
 		catch (IOException ex) {
 			this.log.unreadable(noted.key(), ex.getMessage());
@@ -151,12 +152,12 @@
 
 	private void look(Rollout rollout) {
 		long now = Clock.millis();
-		rollout.look(now, this.fleet.age(now));
+		rollout.update(now, this.fleet.age(now));
 		reportShare(rollout, rollout.progress(now));
-		rollout.due(now)
-			.filter((state) -> this.turns.mine(now, rollout, state))
+		rollout.findDueState(now)
+			.filter((state) -> this.turns.isWriteDue(now, rollout, state))
 			.ifPresent((state) -> write(rollout, state));
-		if (rollout.state().equals(Optional.of(RolloutState.RUNNING))) {
+		if (rollout.writtenState().equals(Optional.of(RolloutState.RUNNING))) {
 			tell(rollout, now);
 		}
 	}
@@ -168,7 +169,7 @@
 		}
 		this.board.write(rollout.order(), state, rollout.stateRevision()).subscribe((written) -> {
 			this.writing.remove(service);
-			this.turns.answered(Clock.millis(), rollout, state);
+			this.turns.onWriteAnswered(Clock.millis(), rollout, state);
 			report(rollout, state, written ? "written" : "another node was first");
 		}, (failure) -> {
 			this.writing.remove(service);
@@ -178,7 +179,7 @@
 
 	private void report(Rollout rollout, RolloutState state, String outcome) {
 		this.log.rollout(rollout.order().service().value(), rollout.order().target(), state.name(), rollout.evidence(),
-				rollout.answers(), outcome);
+				rollout.answerCount(), outcome);
 	}
 
 	private void reportShare(Rollout rollout, RolloutProgress progress) {
--- a/daemon/src/test/java/org/gullsaddle/gateway/FleetFeedTests.java
+++ b/daemon/src/test/java/org/gullsaddle/gateway/FleetFeedTests.java
@@ -47,7 +47,7 @@
 
 		};
 
-		private final FleetState state = new FleetState(RolloutLimits.USUAL);
+		private final FleetState state = new FleetState(RolloutLimits.DEFAULT);
 
 		@Test
 		void nextCallBeginsAnIntervalAfterTheLastOne() {
