--- a/core/src/main/java/org/gullsaddle/serve/LoadTrial.java
+++ b/core/src/main/java/org/gullsaddle/serve/LoadTrial.java
@@ -20,22 +20,22 @@
 final class LoadTrial {
 
 	/** Up to which part of its slots a replica is filled before the next one is used. */
-	private static final double FULL_LOAD = 0.75;
+	private static final double FULL_LOAD_RATIO = 0.75;
 
 	/** Which part of a replica's slots must have run at once for a trial under load. */
-	private static final double TRIAL_LOAD = 0.5;
+	private static final double TRIAL_LOAD_RATIO = 0.5;
 
 	/** Which part of its slots may wait at a replica before the next one is used. */
-	private static final double MAX_WAITING = 0.25;
+	private static final double MAX_WAITING_RATIO = 0.25;
 
 	/** How long a replica is taken to be as full as it told, in milliseconds. */
-	private static final long TOLD_MILLIS = 1000;
+	private static final long REPORT_VALID_MILLIS = 1000;
 
 	private final String target;
 
 	private final Map<ReplicaId, Long> fullUntil = new HashMap<>();
 
-	private final Map<ReplicaId, Loaded> loaded = new HashMap<>();
+	private final Map<ReplicaId, LoadedPeriod> loadedPeriods = new HashMap<>();
 
 	private double triedLoad;
 
@@ -48,7 +48,7 @@
 	/**
 	 * Returns which part of a replica's slots is in use.
 	 */
-	static double part(LoadReport load) {
+	static double loadRatio(LoadReport load) {
 		return (double) load.running() / load.slots();
 	}
 
@@ -56,21 +56,22 @@
 	 * Takes in what a replica of the new release told of its load with an answer.
 	 * @param sentAt when the request was sent
 	 */
-	void told(long now, Replica replica, LoadReport load, long sentAt) {
-		this.triedLoad = Math.max(this.triedLoad, part(load));
-		if (part(load) >= TRIAL_LOAD) {
-			Loaded before = this.loaded.get(replica.id());
-			boolean goesOn = before != null && now - before.until <= TOLD_MILLIS;
+	void onLoadReported(long now, Replica replica, LoadReport load, long sentAt) {
+		this.triedLoad = Math.max(this.triedLoad, loadRatio(load));
+		if (loadRatio(load) >= TRIAL_LOAD_RATIO) {
+			LoadedPeriod before = this.loadedPeriods.get(replica.id());
+			boolean goesOn = before != null && now - before.until <= REPORT_VALID_MILLIS;
 			// A load that is told soon is the one that the request came to.
-			long from = (now - sentAt <= TOLD_MILLIS) ? sentAt : now;
-			this.loaded.put(replica.id(), new Loaded(goesOn ? before.from : from, now));
+			long from = (now - sentAt <= REPORT_VALID_MILLIS) ? sentAt : now;
+			this.loadedPeriods.put(replica.id(), new LoadedPeriod(goesOn ? before.from : from, now));
 		}
-		if (underLoad(replica.id(), sentAt)) {
+		if (wasUnderLoad(replica.id(), sentAt)) {
 			this.answersUnderLoad++;
 		}
-		boolean full = part(load) >= FULL_LOAD || load.waiting() > Math.max(1, MAX_WAITING * load.slots());
+		boolean full = loadRatio(load) >= FULL_LOAD_RATIO
+				|| load.waiting() > Math.max(1, MAX_WAITING_RATIO * load.slots());
 		if (full) {
-			this.fullUntil.put(replica.id(), now + TOLD_MILLIS);
+			this.fullUntil.put(replica.id(), now + REPORT_VALID_MILLIS);
 		}
 		else {
 			this.fullUntil.remove(replica.id());
@@ -81,8 +82,8 @@
 	 * Says whether a request came to a replica that ran as much as a trial takes.
 	 * @param sentAt when it was sent
 	 */
-	boolean underLoad(ReplicaId replica, long sentAt) {
-		Loaded times = this.loaded.get(replica);
+	boolean wasUnderLoad(ReplicaId replica, long sentAt) {
+		LoadedPeriod times = this.loadedPeriods.get(replica);
 		return times != null && sentAt >= times.from && sentAt <= times.until;
 	}
 
@@ -95,7 +96,7 @@
 	 * @param smallest whether the request's prompt is among the smallest
 	 * @return some of them, or all if the request may be sent to none of them
 	 */
-	List<Replica> fill(long now, List<Replica> replicas, Set<ReplicaId> leftOut, boolean smallest) {
+	List<Replica> chooseReplicas(long now, List<Replica> replicas, Set<ReplicaId> leftOut, boolean smallest) {
 		List<Replica> open = replicas.stream()
 			.filter((replica) -> !leftOut.contains(replica.id()))
 			.sorted(Comparator.comparingDouble((replica) -> Spread.unit(replica.id().value() + '@' + this.target)))
@@ -106,10 +107,10 @@
 		if (!smallest) {
 			return open.subList(Math.min(1, open.size() - 1), open.size());
 		}
-		return List.of(open.stream().filter((replica) -> !full(now, replica)).findFirst().orElse(open.get(0)));
+		return List.of(open.stream().filter((replica) -> !isFull(now, replica)).findFirst().orElse(open.get(0)));
 	}
 
-	private boolean full(long now, Replica replica) {
+	private boolean isFull(long now, Replica replica) {
 		return now < this.fullUntil.getOrDefault(replica.id(), Long.MIN_VALUE);
 	}
 
@@ -135,7 +136,7 @@
 	 * @param from when it was first told
 	 * @param until when it was last told
 	 */
-	private record Loaded(long from, long until) {
+	private record LoadedPeriod(long from, long until) {
 	}
 
 }
--- a/core/src/main/java/org/gullsaddle/serve/PooledEvidence.java
+++ b/core/src/main/java/org/gullsaddle/serve/PooledEvidence.java
@@ -19,48 +19,48 @@
 final class PooledEvidence {
 
 	/** Stands among the routes for answers of replicas under load, of any route. */
-	private static final String UNDER_LOAD = "under load";
+	private static final String UNDER_LOAD_KEY = "under load";
 
 	/** How many answers the threshold is made for; more make chance findings likelier. */
-	private static final double FEW_ANSWERS = 17;
+	private static final double THRESHOLD_ANSWERS = 17;
 
 	private final double threshold;
 
-	private final ChangeDetector all;
+	private final ChangeDetector total;
 
-	private final Map<String, ChangeDetector> routes = new HashMap<>();
+	private final Map<String, ChangeDetector> evidenceByRoute = new HashMap<>();
 
-	private final Map<String, RolloutNote> notes = new HashMap<>();
+	private final Map<String, RolloutNote> notesByNode = new HashMap<>();
 
-	private final Map<String, Double> ownRoutes = new HashMap<>();
+	private final Map<String, Double> ownEvidenceByRoute = new HashMap<>();
 
-	private double own;
+	private double ownEvidence;
 
-	private int ownAnswers;
+	private int ownAnswerCount;
 
 	PooledEvidence(double threshold) {
 		this.threshold = threshold;
-		this.all = new ChangeDetector(threshold);
+		this.total = new ChangeDetector(threshold);
 	}
 
 	/**
 	 * Adds what an answer that this node saw says against the release.
 	 */
-	void answered(String route, double says) {
-		this.ownAnswers++;
-		this.own += says;
-		this.ownRoutes.merge(route, says, Double::sum);
+	void recordAnswer(String route, double says) {
+		this.ownAnswerCount++;
+		this.ownEvidence += says;
+		this.ownEvidenceByRoute.merge(route, says, Double::sum);
 		add(route, says);
-		this.all.add(says);
+		this.total.add(says);
 	}
 
 	/**
 	 * Adds the same of an answer that was given under load. Those are judged by
 	 * themselves too, as many answers without load hide them.
 	 */
-	void answeredUnderLoad(double says) {
-		this.ownRoutes.merge(UNDER_LOAD, says, Double::sum);
-		add(UNDER_LOAD, says);
+	void recordAnswerUnderLoad(double says) {
+		this.ownEvidenceByRoute.merge(UNDER_LOAD_KEY, says, Double::sum);
+		add(UNDER_LOAD_KEY, says);
 	}
 
 	/**
@@ -68,20 +68,20 @@
 	 * @param fromTheStart whether this node has seen the roll-out since its order; else
 	 * the first note of another node may tell of long ago
 	 */
-	void learn(RolloutNote note, boolean fromTheStart) {
-		RolloutNote before = this.notes.put(note.node(), note);
+	void onNote(RolloutNote note, boolean fromTheStart) {
+		RolloutNote before = this.notesByNode.put(note.node(), note);
 		if (before == null && !fromTheStart) {
 			return;
 		}
 		// A node that started again begins its sums anew.
 		boolean anew = before == null || note.answers() < before.answers();
-		this.all.add(note.evidence() - (anew ? 0 : before.evidence()));
+		this.total.add(note.evidence() - (anew ? 0 : before.evidence()));
 		note.routes()
 			.forEach((route, evidence) -> add(route, evidence - (anew ? 0 : before.routes().getOrDefault(route, 0.0))));
 	}
 
 	private void add(String route, double says) {
-		this.routes.computeIfAbsent(route, (missing) -> new ChangeDetector(this.threshold)).add(says);
+		this.evidenceByRoute.computeIfAbsent(route, (missing) -> new ChangeDetector(this.threshold)).add(says);
 	}
 
 	/**
@@ -89,62 +89,63 @@
 	 * more answers there were, and the more routes are suspected, the more it takes.
 	 * @param underLoad how many answers were given under load
 	 */
-	boolean enough(int underLoad) {
-		ChangeDetector loaded = this.routes.get(UNDER_LOAD);
-		if (loaded != null && loaded.sum() >= this.threshold + Math.log(1 + underLoad / FEW_ANSWERS)) {
+	boolean isReleaseBad(int underLoad) {
+		ChangeDetector loaded = this.evidenceByRoute.get(UNDER_LOAD_KEY);
+		if (loaded != null && loaded.sum() >= this.threshold + Math.log(1 + underLoad / THRESHOLD_ANSWERS)) {
 			return true;
 		}
-		double enough = this.threshold + Math.log(1 + answers() / FEW_ANSWERS);
-		double[] suspected = this.routes.values()
+		double enough = this.threshold + Math.log(1 + answerCount() / THRESHOLD_ANSWERS);
+		double[] suspected = this.evidenceByRoute.values()
 			.stream()
 			.mapToDouble(ChangeDetector::sum)
 			.filter((sum) -> sum > 0)
 			.toArray();
 		double most = Arrays.stream(suspected).max().orElse(0);
-		return this.all.sum() >= enough || most >= enough + Math.log(Math.max(1, suspected.length));
+		return this.total.sum() >= enough || most >= enough + Math.log(Math.max(1, suspected.length));
 	}
 
 	/**
 	 * Returns the most evidence, from all requests or from those of one route.
 	 */
-	double most() {
-		return Math.max(this.all.sum(), this.routes.values().stream().mapToDouble(ChangeDetector::sum).max().orElse(0));
+	double maxEvidence() {
+		return Math.max(this.total.sum(),
+				this.evidenceByRoute.values().stream().mapToDouble(ChangeDetector::sum).max().orElse(0));
 	}
 
 	/**
 	 * Returns the evidence from all requests, 0 or more.
 	 */
-	double sum() {
-		return this.all.sum();
+	double totalEvidence() {
+		return this.total.sum();
 	}
 
-	int answers() {
-		return this.ownAnswers + this.notes.values().stream().mapToInt(RolloutNote::answers).sum();
+	int answerCount() {
+		return this.ownAnswerCount + this.notesByNode.values().stream().mapToInt(RolloutNote::answers).sum();
 	}
 
 	/**
 	 * Returns the sum over the answers that this node saw.
 	 */
-	double own() {
-		return this.own;
+	double ownEvidence() {
+		return this.ownEvidence;
 	}
 
 	/**
 	 * Returns the same for each route by itself.
 	 */
-	Map<String, Double> ownRoutes() {
-		return this.ownRoutes;
+	Map<String, Double> ownEvidenceByRoute() {
+		return this.ownEvidenceByRoute;
 	}
 
-	int ownAnswers() {
-		return this.ownAnswers;
+	int ownAnswerCount() {
+		return this.ownAnswerCount;
 	}
 
 	/**
 	 * Returns the last note of each other node.
 	 */
-	Collection<RolloutNote> notes() {
-		return this.notes.values();
+	Collection<RolloutNote> notesByNode() {
+		return this.notesByNode.values();
 	}
 
 }
--- a/core/src/main/java/org/gullsaddle/serve/ReleaseGrowth.java
+++ b/core/src/main/java/org/gullsaddle/serve/RampUp.java
@@ -4,20 +4,20 @@
  * How the share of a new release rises once it is proved, as far as a node knows: it does
  * not by old knowledge, as the release may have been taken back. Confined to one thread.
  */
-final class ReleaseGrowth {
+final class RampUp {
 
 	/**
 	 * How old a node's knowledge of the others' evidence may be for the share to rise:
 	 * this part of the roll-out's time, and at least so many milliseconds.
 	 */
-	private static final double MAX_AGE = 0.1;
+	private static final double MAX_PEER_STATE_AGE_RATIO = 0.1;
 
-	private static final long MIN_MAX_AGE_MILLIS = 2500;
+	private static final long MIN_MAX_PEER_STATE_AGE_MILLIS = 2500;
 
 	private final long durationMillis;
 
 	/** Until when what this node knows of the others is new enough. */
-	private long trustedUntil;
+	private long freshUntil;
 
 	/** When it is so old that the release may have been taken back long ago. */
 	private long cutOffAt = Long.MAX_VALUE;
@@ -31,28 +31,28 @@
 	/**
 	 * Makes the growth of a release of whose order a node has just heard.
 	 */
-	ReleaseGrowth(long now, long durationMillis) {
+	RampUp(long now, long durationMillis) {
 		this.durationMillis = durationMillis;
-		this.trustedUntil = now + maxAge();
+		this.freshUntil = now + maxPeerStateAgeMillis();
 	}
 
 	/**
 	 * Takes in how old what this node knows of the others may be.
 	 */
-	void known(long now, long ageMillis) {
-		this.trustedUntil = now - ageMillis + maxAge();
-		this.cutOffAt = this.trustedUntil + maxAge();
+	void onPeerStateAge(long now, long ageMillis) {
+		this.freshUntil = now - ageMillis + maxPeerStateAgeMillis();
+		this.cutOffAt = this.freshUntil + maxPeerStateAgeMillis();
 	}
 
-	private long maxAge() {
-		return Math.max(MIN_MAX_AGE_MILLIS, Math.round(MAX_AGE * this.durationMillis));
+	private long maxPeerStateAgeMillis() {
+		return Math.max(MIN_MAX_PEER_STATE_AGE_MILLIS, Math.round(MAX_PEER_STATE_AGE_RATIO * this.durationMillis));
 	}
 
-	boolean trusted(long now) {
-		return now <= this.trustedUntil;
+	boolean isPeerStateFresh(long now) {
+		return now <= this.freshUntil;
 	}
 
-	boolean cutOff(long now) {
+	boolean isCutOff(long now) {
 		return now > this.cutOffAt;
 	}
 
@@ -60,7 +60,7 @@
 	 * Takes in that the release was proved, by this node or another one.
 	 * @param elapsedMillis when, since the order
 	 */
-	void proved(long elapsedMillis) {
+	void onProved(long elapsedMillis) {
 		this.provedMillis = (this.provedMillis > 0) ? Math.min(this.provedMillis, elapsedMillis) : elapsedMillis;
 	}
 
@@ -75,7 +75,7 @@
 	/**
 	 * Returns when it was proved, as a part of the roll-out's time, 0 if it is not.
 	 */
-	double provedAt() {
+	double provedAtRatio() {
 		return (double) this.provedMillis / this.durationMillis;
 	}
 
@@ -83,8 +83,8 @@
 	 * Lets the share rise to what a time allows.
 	 * @param part the time, as a part of the roll-out's
 	 */
-	void rise(double part) {
-		this.share = Math.max(this.share, ReleaseRamp.proved(part, provedAt()));
+	void raiseShare(double part) {
+		this.share = Math.max(this.share, RampUpSchedule.provedShare(part, provedAtRatio()));
 	}
 
 	double share() {
--- a/core/src/main/java/org/gullsaddle/serve/ReleaseProof.java
+++ b/core/src/main/java/org/gullsaddle/serve/ReleaseProof.java
@@ -6,48 +6,48 @@
  */
 final class ReleaseProof {
 
-	private static final int ENOUGH_ANSWERS = 10;
+	private static final int MIN_ANSWERS = 10;
 
 	/** How many answers on each route in use a proof takes. */
-	private static final int ENOUGH_ON_A_ROUTE = 5;
+	private static final int MIN_ANSWERS_PER_ROUTE = 5;
 
 	/** How many answers of replicas under load a proof takes. */
-	private static final int ENOUGH_UNDER_LOAD = 12;
+	private static final int MIN_ANSWERS_UNDER_LOAD = 12;
 
 	/**
 	 * Evidence against a release, or against it on any route, by which it is not proved,
 	 * though not bad either: one failure that good answers have not outweighed.
 	 */
-	private static final double DOUBT = 1.5;
+	private static final double MAX_EVIDENCE = 1.5;
 
 	private final PooledEvidence evidence;
 
-	private final TriedRoutes routes;
+	private final RouteCoverage routes;
 
 	private final LoadTrial loadTrial;
 
-	private final ReleaseUse use;
+	private final ReleaseUsage usage;
 
-	ReleaseProof(PooledEvidence evidence, TriedRoutes routes, LoadTrial loadTrial, ReleaseUse use) {
+	ReleaseProof(PooledEvidence evidence, RouteCoverage routes, LoadTrial loadTrial, ReleaseUsage use) {
 		this.evidence = evidence;
 		this.routes = routes;
 		this.loadTrial = loadTrial;
-		this.use = use;
+		this.usage = use;
 	}
 
 	/**
 	 * Says whether the release is proved, as far as this node and the others know.
 	 * @param part the part of the roll-out's time that has passed
 	 */
-	boolean stands(double part) {
-		if (this.evidence.answers() < ENOUGH_ANSWERS || this.evidence.most() >= DOUBT
-				|| !this.routes.tried(ENOUGH_ON_A_ROUTE)) {
+	boolean isProved(double part) {
+		if (this.evidence.answerCount() < MIN_ANSWERS || this.evidence.maxEvidence() >= MAX_EVIDENCE
+				|| !this.routes.isCovered(MIN_ANSWERS_PER_ROUTE)) {
 			return false;
 		}
-		if (answersUnderLoad() >= ENOUGH_UNDER_LOAD) {
+		if (answersUnderLoad() >= MIN_ANSWERS_UNDER_LOAD) {
 			return true;
 		}
-		return part >= ReleaseRamp.LATEST_TRIAL && triedLoad() >= this.use.formerLoad();
+		return part >= RampUpSchedule.LOAD_TRIAL_END_RATIO && triedLoad() >= this.usage.oldLoad();
 	}
 
 	/**
@@ -56,7 +56,7 @@
 	 */
 	int answersUnderLoad() {
 		return this.loadTrial.answersUnderLoad()
-				+ this.evidence.notes().stream().mapToInt(RolloutNote::answersUnderLoad).sum();
+				+ this.evidence.notesByNode().stream().mapToInt(RolloutNote::answersUnderLoad).sum();
 	}
 
 	/**
@@ -64,7 +64,7 @@
 	 * word, as a part of its slots.
 	 */
 	double triedLoad() {
-		double others = this.evidence.notes().stream().mapToDouble(RolloutNote::triedLoad).max().orElse(0);
+		double others = this.evidence.notesByNode().stream().mapToDouble(RolloutNote::triedLoad).max().orElse(0);
 		return Math.max(this.loadTrial.triedLoad(), others);
 	}
 
--- a/core/src/main/java/org/gullsaddle/serve/ReleaseUse.java
+++ b/core/src/main/java/org/gullsaddle/serve/ReleaseUsage.java
@@ -13,7 +13,7 @@
  * over all nodes keeps to it then, whatever they know of each other. Sessions that were
  * let in stay, so that what all nodes sent is watched too.
  */
-final class ReleaseUse {
+final class ReleaseUsage {
 
 	private static final double SMOOTHING = 0.1;
 
@@ -23,9 +23,9 @@
 
 	private int sentToTarget;
 
-	private double formerLoad;
+	private double oldLoad;
 
-	ReleaseUse(RolloutLimits limits) {
+	ReleaseUsage(RolloutLimits limits) {
 		this.limits = limits;
 	}
 
@@ -41,15 +41,15 @@
 	/**
 	 * Takes in what a replica of the old release told of its load.
 	 */
-	void formerTold(LoadReport load) {
-		this.formerLoad += SMOOTHING * (LoadTrial.part(load) - this.formerLoad);
+	void onOldLoadReported(LoadReport load) {
+		this.oldLoad += SMOOTHING * (LoadTrial.loadRatio(load) - this.oldLoad);
 	}
 
 	/**
 	 * Says whether one more request may go to the new release while it is not proved.
 	 * @param nodes how many nodes share the slack, 0 if that is not known
 	 */
-	boolean allows(int nodes) {
+	boolean canSendToTarget(int nodes) {
 		double slack = (nodes > 0) ? this.limits.extraRequests() / nodes : 0;
 		return this.sentToTarget + 1 <= this.limits.share() * (this.sent + 1) + slack;
 	}
@@ -58,7 +58,7 @@
 	 * Says whether the allowance is spent, as far as all nodes tell.
 	 * @param notes what the others told
 	 */
-	boolean spent(Collection<RolloutNote> notes) {
+	boolean isAllowanceSpent(Collection<RolloutNote> notes) {
 		int all = this.sent + notes.stream().mapToInt(RolloutNote::sent).sum();
 		int toTarget = this.sentToTarget + notes.stream().mapToInt(RolloutNote::sentToTarget).sum();
 		return toTarget > this.limits.share() * all + this.limits.extraRequests();
@@ -79,8 +79,8 @@
 	 * Returns what usually runs at once at a replica of the old release, as a part of its
 	 * slots.
 	 */
-	double formerLoad() {
-		return this.formerLoad;
+	double oldLoad() {
+		return this.oldLoad;
 	}
 
 }
--- a/core/src/main/java/org/gullsaddle/serve/Rollout.java
+++ b/core/src/main/java/org/gullsaddle/serve/Rollout.java
@@ -63,24 +63,24 @@
 
 	private final RolloutClock clock;
 
-	private final Map<AnswerKind, ReleaseTrial> comparisons = new HashMap<>();
+	private final Map<AnswerKind, ReleaseComparison> comparisons = new HashMap<>();
 
 	private final PooledEvidence evidence = new PooledEvidence(EVIDENCE_THRESHOLD);
 
-	private final TriedRoutes routes = new TriedRoutes();
+	private final RouteCoverage routes = new RouteCoverage();
 
 	private final LoadTrial loadTrial;
 
-	private final ReleaseUse usage;
+	private final ReleaseUsage usage;
 
 	private final ReleaseProof proof;
 
-	private final ReleaseGrowth rampUp;
+	private final RampUp rampUp;
 
 	/** When each replica of the new release was last found slow, until its answer. */
 	private final Map<ReplicaId, Long> slowUntil = new HashMap<>();
 
-	private final Set<ReplicaId> recordUnreachable = new HashSet<>();
+	private final Set<ReplicaId> unreachableOldReplicas = new HashSet<>();
 
 	private RolloutState writtenState;
 
@@ -101,9 +101,9 @@
 		this.clock = new RolloutClock(Math.max(notBefore, now - order.durationMillis()), now);
 		this.order = order;
 		this.revision = revision;
-		this.rampUp = new ReleaseGrowth(now, order.durationMillis());
+		this.rampUp = new RampUp(now, order.durationMillis());
 		this.loadTrial = new LoadTrial(order.target());
-		this.usage = new ReleaseUse(limits);
+		this.usage = new ReleaseUsage(limits);
 		this.proof = new ReleaseProof(this.evidence, this.routes, this.loadTrial, this.usage);
 	}
 
@@ -188,24 +188,24 @@
 	 */
 	public void onAnswerStarted(Replica replica, AnswerKind kind, boolean failed, long sentAt, long firstMillis) {
 		boolean known = this.comparisons.containsKey(kind) || this.comparisons.size() < MAX_KINDS;
-		ReleaseTrial trial = this.comparisons.computeIfAbsent(known ? kind : OTHER_KIND,
-				(missing) -> new ReleaseTrial());
-		this.routes.answered(kind.route(), isOnTarget(replica));
+		ReleaseComparison trial = this.comparisons.computeIfAbsent(known ? kind : OTHER_KIND,
+				(missing) -> new ReleaseComparison());
+		this.routes.recordAnswer(kind.route(), isOnTarget(replica));
 		if (!isOnTarget(replica)) {
-			this.recordUnreachable.clear();
-			trial.oldAnswered(failed, firstMillis);
+			this.unreachableOldReplicas.clear();
+			trial.recordOldAnswer(failed, firstMillis);
 			return;
 		}
-		boolean underLoad = this.loadTrial.underLoad(replica.id(), sentAt);
-		boolean slow = !failed && trial.slow(firstMillis);
+		boolean underLoad = this.loadTrial.wasUnderLoad(replica.id(), sentAt);
+		boolean slow = !failed && trial.isSlow(firstMillis);
 		if (slow && (underLoad || !isNewSlowEvent(replica.id(), sentAt, firstMillis))) {
 			// The old release was not tried under as much load.
 			return;
 		}
-		double says = trial.newAnswered(failed, firstMillis);
-		this.evidence.answered((known ? kind : OTHER_KIND).route(), says);
+		double says = trial.evidenceOf(failed, firstMillis);
+		this.evidence.recordAnswer((known ? kind : OTHER_KIND).route(), says);
 		if (underLoad) {
-			this.evidence.answeredUnderLoad(says);
+			this.evidence.recordAnswerUnderLoad(says);
 		}
 		checkEvidence();
 	}
@@ -240,10 +240,10 @@
 	 */
 	public void onLoadReported(long now, Replica replica, LoadReport load, long sentAt) {
 		if (isOnTarget(replica)) {
-			this.loadTrial.told(now, replica, load, sentAt);
+			this.loadTrial.onLoadReported(now, replica, load, sentAt);
 		}
 		else {
-			this.usage.formerTold(load);
+			this.usage.onOldLoadReported(load);
 		}
 	}
 
@@ -251,9 +251,9 @@
 	 * Notes that a replica could not be reached.
 	 * @param replica the replica
 	 */
-	public void recordUnreachable(Replica replica) {
+	public void unreachableOldReplicas(Replica replica) {
 		if (!isOnTarget(replica)) {
-			this.recordUnreachable.add(replica.id());
+			this.unreachableOldReplicas.add(replica.id());
 		}
 	}
 
@@ -263,11 +263,11 @@
 	 * @param note the note
 	 */
 	public void onNote(long now, RolloutNote note) {
-		this.evidence.learn(note, note.elapsedMillis() - (now - this.learnedAt) < MAX_LEARNED_LATER_MILLIS);
+		this.evidence.onNote(note, note.elapsedMillis() - (now - this.learnedAt) < MAX_LEARNED_LATER_MILLIS);
 		this.clock.onElapsedReported(now, note.elapsedMillis());
-		this.routes.learn(note);
+		this.routes.onNote(note);
 		if (note.provedMillis() > 0) {
-			this.rampUp.proved(note.provedMillis());
+			this.rampUp.onProved(note.provedMillis());
 		}
 		checkEvidence();
 	}
@@ -278,16 +278,17 @@
 	 * @param knowledgeMillis how old what this node knows of the others may be
 	 */
 	public void update(long now, long knowledgeMillis) {
-		this.rampUp.known(now, knowledgeMillis);
-		boolean open = canRampUp(now) && !this.rampUp.isProved() && elapsedRatio(now) <= ReleaseRamp.LATEST_PROOF;
-		if (open && this.proof.stands(elapsedRatio(now))) {
-			this.rampUp.proved(elapsedMillis(now));
+		this.rampUp.onPeerStateAge(now, knowledgeMillis);
+		boolean open = canRampUp(now) && !this.rampUp.isProved()
+				&& elapsedRatio(now) <= RampUpSchedule.LATEST_PROOF_RATIO;
+		if (open && this.proof.isProved(elapsedRatio(now))) {
+			this.rampUp.onProved(elapsedMillis(now));
 		}
 		updateProvedShare(now);
 	}
 
 	private boolean canRampUp(long now) {
-		return this.writtenState == RolloutState.RUNNING && this.rampUp.trusted(now) && !isRolledBack();
+		return this.writtenState == RolloutState.RUNNING && this.rampUp.isPeerStateFresh(now) && !isRolledBack();
 	}
 
 	/**
@@ -295,7 +296,7 @@
 	 */
 	private double updateProvedShare(long now) {
 		if (this.rampUp.isProved() && canRampUp(now)) {
-			this.rampUp.rise(elapsedRatio(now));
+			this.rampUp.raiseShare(elapsedRatio(now));
 		}
 		return this.rampUp.share();
 	}
@@ -316,9 +317,10 @@
 	 * @return the note
 	 */
 	public RolloutNote note(long now, String node) {
-		return new RolloutNote(node, this.evidence.own(), this.evidence.ownRoutes(), this.evidence.ownAnswers(),
-				elapsedMillis(now), this.routes.target(), this.loadTrial.answersUnderLoad(), this.loadTrial.triedLoad(),
-				this.rampUp.provedMillis(), this.usage.sent(), this.usage.sentToTarget());
+		return new RolloutNote(node, this.evidence.ownEvidence(), this.evidence.ownEvidenceByRoute(),
+				this.evidence.ownAnswerCount(), elapsedMillis(now), this.routes.newAnswersByRoute(),
+				this.loadTrial.answersUnderLoad(), this.loadTrial.triedLoad(), this.rampUp.provedMillis(),
+				this.usage.sent(), this.usage.sentToTarget());
 	}
 
 	/**
@@ -326,7 +328,7 @@
 	 * @return the sum of logarithms, 0 or more
 	 */
 	public double evidence() {
-		return this.evidence.sum();
+		return this.evidence.totalEvidence();
 	}
 
 	/**
@@ -334,7 +336,7 @@
 	 * @return the number
 	 */
 	public int answerCount() {
-		return this.evidence.answers();
+		return this.evidence.answerCount();
 	}
 
 	/**
@@ -344,7 +346,7 @@
 	 */
 	public RolloutProgress progress(long now) {
 		return new RolloutProgress(elapsedRatio(now), this.rampUp.share(), this.usage.sent(), this.usage.sentToTarget(),
-				this.proof.triedLoad(), this.usage.formerLoad(), this.proof.answersUnderLoad(),
+				this.proof.triedLoad(), this.usage.oldLoad(), this.proof.answersUnderLoad(),
 				this.rampUp.provedMillis());
 	}
 
@@ -364,8 +366,8 @@
 			return Optional.of(RolloutState.ROLLED_BACK);
 		}
 		double part = elapsedRatio(now);
-		double completeAt = ReleaseRamp.completeAt(this.rampUp.provedAt());
-		boolean late = toRatio(this.clock.elapsedSinceOrderMillis(now)) >= ReleaseRamp.LATEST_COMPLETE;
+		double completeAt = RampUpSchedule.completionRatio(this.rampUp.provedAtRatio());
+		boolean late = toRatio(this.clock.elapsedSinceOrderMillis(now)) >= RampUpSchedule.LATEST_COMPLETION_RATIO;
 		boolean whole = this.rampUp.share() >= 1 && (part >= completeAt || late);
 		return whole ? Optional.of(RolloutState.COMPLETED) : Optional.empty();
 	}
@@ -375,21 +377,22 @@
 	 * all requests though its time is nearly over.
 	 */
 	private boolean hasExhaustedAllowanceOrTime(long now) {
-		if (!this.rampUp.isProved() && this.usage.spent(this.evidence.notes())) {
+		if (!this.rampUp.isProved() && this.usage.isAllowanceSpent(this.evidence.notesByNode())) {
 			return true;
 		}
-		return this.rampUp.share() < 1 && toRatio(this.clock.elapsedSinceOrderMillis(now)) >= ReleaseRamp.GIVE_UP_AT;
+		return this.rampUp.share() < 1
+				&& toRatio(this.clock.elapsedSinceOrderMillis(now)) >= RampUpSchedule.ROLL_BACK_RATIO;
 	}
 
 	/**
 	 * Returns the share of the new release among requests like one.
 	 */
 	private double newReleaseShare(long now, ReleaseKey key) {
-		if (this.rampUp.cutOff(now)) {
+		if (this.rampUp.isCutOff(now)) {
 			return this.rampUp.share();
 		}
-		double unproved = key.session() ? ReleaseRamp.unprovedSessions(elapsedRatio(now))
-				: ReleaseRamp.unprovedRequests(elapsedRatio(now), this.routes.smallest(key.route()));
+		double unproved = key.session() ? RampUpSchedule.unprovedSessionShare(elapsedRatio(now))
+				: RampUpSchedule.unprovedRequestShare(elapsedRatio(now), this.routes.hasSmallestPrompts(key.route()));
 		return Math.max(unproved, updateProvedShare(now));
 	}
 
@@ -398,8 +401,8 @@
 	 * end.
 	 */
 	private boolean isOldReleaseGone(long now) {
-		return elapsedRatio(now) >= ReleaseRamp.COMPLETE_AT
-				&& this.recordUnreachable.size() >= MIN_UNREACHABLE_OLD_REPLICAS;
+		return elapsedRatio(now) >= RampUpSchedule.EARLIEST_COMPLETION_RATIO
+				&& this.unreachableOldReplicas.size() >= MIN_UNREACHABLE_OLD_REPLICAS;
 	}
 
 	/**
@@ -407,7 +410,7 @@
 	 * @param key what decides by which release it is served
 	 */
 	public void recordRequest(ReleaseKey key) {
-		this.routes.asked(key.route(), key.promptTokens());
+		this.routes.recordRequest(key.route(), key.promptTokens());
 	}
 
 	/**
@@ -433,10 +436,10 @@
 		}
 		boolean chosen = isWithinShare(now, key);
 		boolean goes = chosen && (updateProvedShare(now) > 0 || key.session());
-		if (!goes && !((chosen || former.isEmpty()) && this.usage.allows(nodes))) {
+		if (!goes && !((chosen || former.isEmpty()) && this.usage.canSendToTarget(nodes))) {
 			return former;
 		}
-		return this.loadTrial.fill(now, target, leftOut, this.routes.smallest(key.route()));
+		return this.loadTrial.chooseReplicas(now, target, leftOut, this.routes.hasSmallestPrompts(key.route()));
 	}
 
 	private boolean isWithinShare(long now, ReleaseKey key) {
@@ -465,7 +468,7 @@
 	}
 
 	private void checkEvidence() {
-		this.foundBad = this.foundBad || this.evidence.enough(this.proof.answersUnderLoad());
+		this.foundBad = this.foundBad || this.evidence.isReleaseBad(this.proof.answersUnderLoad());
 	}
 
 	private double elapsedRatio(long now) {
