--- a/core/src/main/java/org/gullsaddle/serve/PooledEvidence.java
+++ b/core/src/main/java/org/gullsaddle/serve/PooledEvidence.java
@@ -144,7 +144,7 @@
 	/**
 	 * Returns the last note of each other node.
 	 */
-	Collection<RolloutNote> notesByNode() {
+	Collection<RolloutNote> notes() {
 		return this.notesByNode.values();
 	}
 
--- a/core/src/main/java/org/gullsaddle/serve/ReleaseProof.java
+++ b/core/src/main/java/org/gullsaddle/serve/ReleaseProof.java
@@ -56,7 +56,7 @@
 	 */
 	int answersUnderLoad() {
 		return this.loadTrial.answersUnderLoad()
-				+ this.evidence.notesByNode().stream().mapToInt(RolloutNote::answersUnderLoad).sum();
+				+ this.evidence.notes().stream().mapToInt(RolloutNote::answersUnderLoad).sum();
 	}
 
 	/**
@@ -64,7 +64,7 @@
 	 * word, as a part of its slots.
 	 */
 	double triedLoad() {
-		double others = this.evidence.notesByNode().stream().mapToDouble(RolloutNote::triedLoad).max().orElse(0);
+		double others = this.evidence.notes().stream().mapToDouble(RolloutNote::triedLoad).max().orElse(0);
 		return Math.max(this.loadTrial.triedLoad(), others);
 	}
 
--- a/core/src/main/java/org/gullsaddle/serve/Rollout.java
+++ b/core/src/main/java/org/gullsaddle/serve/Rollout.java
@@ -251,7 +251,7 @@
 	 * Notes that a replica could not be reached.
 	 * @param replica the replica
 	 */
-	public void unreachableOldReplicas(Replica replica) {
+	public void recordUnreachable(Replica replica) {
 		if (!isOnTarget(replica)) {
 			this.unreachableOldReplicas.add(replica.id());
 		}
@@ -377,7 +377,7 @@
 	 * all requests though its time is nearly over.
 	 */
 	private boolean hasExhaustedAllowanceOrTime(long now) {
-		if (!this.rampUp.isProved() && this.usage.isAllowanceSpent(this.evidence.notesByNode())) {
+		if (!this.rampUp.isProved() && this.usage.isAllowanceSpent(this.evidence.notes())) {
 			return true;
 		}
 		return this.rampUp.share() < 1
@@ -410,7 +410,7 @@
 	 * @param key what decides by which release it is served
 	 */
 	public void recordRequest(ReleaseKey key) {
-		this.routes.recordRequest(key.route(), key.promptTokens());
+		this.routes.recordPrompt(key.route(), key.promptTokens());
 	}
 
 	/**
--- a/core/src/main/java/org/gullsaddle/serve/RouteCoverage.java
+++ b/core/src/main/java/org/gullsaddle/serve/RouteCoverage.java
@@ -29,7 +29,7 @@
 	/** What each other node told of its answers of the new release. */
 	private final Map<String, Map<String, Integer>> peerAnswersByRoute = new HashMap<>();
 
-	void recordRequest(String route, long promptTokens) {
+	void recordPrompt(String route, long promptTokens) {
 		Double before = this.promptTokensByRoute.get(route);
 		if (before != null) {
 			this.promptTokensByRoute.put(route, before + SMOOTHING * (promptTokens - before));
--- a/daemon/src/main/java/org/gullsaddle/gateway/RolloutController.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/RolloutController.java
@@ -117,7 +117,7 @@
 	 * Notes that a replica could not be reached.
 	 */
 	void unreachable(Replica replica) {
-		this.fleet.rollout(replica.service()).ifPresent((rollout) -> rollout.unreachableOldReplicas(replica));
+		this.fleet.rollout(replica.service()).ifPresent((rollout) -> rollout.recordUnreachable(replica));
 	}
 
 	/**
