--- a/core/src/main/java/org/gullsaddle/serve/Backpressure.java
+++ b/core/src/main/java/org/gullsaddle/serve/Backpressure.java
@@ -6,19 +6,19 @@
  * How a replica asks in an answer for fewer requests.
  *
  * @param limit the requests a second that it takes from all nodes together
- * @param restMillis for how long it wants no request from this node, as it turned one
+ * @param backOffMillis for how long it wants no request from this node, as it turned one
  * away, in milliseconds, 0 if it does not say
  */
-public record Backpressure(RateLimit limit, long restMillis) {
+public record Backpressure(RateLimit limit, long backOffMillis) {
 
 	/** That of an answer that asks for nothing. */
-	public static final Backpressure NONE = new Backpressure(new RateLimit.None(), 0);
+	public static final Backpressure NONE = new Backpressure(new RateLimit.Unlimited(), 0);
 
 	public Backpressure {
-		Check.that(restMillis >= 0, "restMillis must not be negative");
+		Check.that(backOffMillis >= 0, "restMillis must not be negative");
 	}
 
-	static Backpressure of(RateLimit limit) {
+	static Backpressure ofLimit(RateLimit limit) {
 		return new Backpressure(limit, 0);
 	}
 
--- a/core/src/main/java/org/gullsaddle/serve/BackpressureBook.java
+++ b/core/src/main/java/org/gullsaddle/serve/BackpressureTable.java
@@ -20,15 +20,15 @@
  * How replicas asked for fewer requests, and what this node may send them. What one
  * process asked does not bind the next one under its id. Confined to one thread.
  */
-public final class BackpressureBook {
+public final class BackpressureTable {
 
 	/** The latest time at which a refused caller is told to come back. */
-	private static final long LATEST_BACK_MILLIS = 10_000;
+	private static final long MAX_RETRY_AFTER_MILLIS = 10_000;
 
 	/** The longest rest that a replica is given by one answer. */
-	private static final long LONGEST_REST_MILLIS = 300_000;
+	private static final long MAX_BACK_OFF_MILLIS = 300_000;
 
-	private static final double SECOND_MILLIS = 1000;
+	private static final double MILLIS_PER_SECOND = 1000;
 
 	private final NodeId self;
 
@@ -38,12 +38,12 @@
 
 	private final RandomGenerator random;
 
-	private final Map<ReplicaId, LimitedReplica> limited = new HashMap<>();
+	private final Map<ReplicaId, LimitedReplica> limitedReplicas = new HashMap<>();
 
-	private final Map<ReplicaId, Rest> rests = new HashMap<>();
+	private final Map<ReplicaId, BackOff> backOffs = new HashMap<>();
 
 	/** Until when the parts of limits are promised to callers that were refused. */
-	private final Map<ServiceName, Long> promised = new HashMap<>();
+	private final Map<ServiceName, Long> promisedUntil = new HashMap<>();
 
 	/**
 	 * Makes an empty book.
@@ -52,7 +52,7 @@
 	 * @param peers tells all nodes, or empty while others may not know this one
 	 * @param random draws when this node has its turns
 	 */
-	public BackpressureBook(NodeId self, Place place, Supplier<Optional<List<Peer>>> peers, RandomGenerator random) {
+	public BackpressureTable(NodeId self, Place place, Supplier<Optional<List<Peer>>> peers, RandomGenerator random) {
 		this.self = self;
 		this.place = place;
 		this.peers = peers;
@@ -66,15 +66,15 @@
 	 * @param asked what it asks for
 	 * @return whether its limit is another one than before
 	 */
-	public boolean heard(long now, Replica replica, Backpressure asked) {
-		if (asked.restMillis() > 0) {
-			rest(replica, now + Math.min(asked.restMillis(), LONGEST_REST_MILLIS));
+	public boolean onAnswer(long now, Replica replica, Backpressure asked) {
+		if (asked.backOffMillis() > 0) {
+			startBackOff(replica, now + Math.min(asked.backOffMillis(), MAX_BACK_OFF_MILLIS));
 		}
 		OptionalDouble before = limit(replica);
 		switch (asked.limit()) {
-			case RateLimit.Named named -> limit(now, replica, named.perSecond());
-			case RateLimit.None none -> this.limited.remove(replica.id());
-			case RateLimit.Unreadable unreadable -> {
+			case RateLimit.Limited named -> limit(now, replica, named.perSecond());
+			case RateLimit.Unlimited none -> this.limitedReplicas.remove(replica.id());
+			case RateLimit.Invalid unreadable -> {
 			}
 		}
 		return !limit(replica).equals(before);
@@ -83,22 +83,22 @@
 	/**
 	 * An answer to a request that was sent before may ask for a rest that ends sooner.
 	 */
-	private void rest(Replica replica, long until) {
-		Rest known = this.rests.get(replica.id());
+	private void startBackOff(Replica replica, long until) {
+		BackOff known = this.backOffs.get(replica.id());
 		boolean later = known == null || !known.replica.sameProcess(replica) || known.until < until;
 		if (later) {
-			this.rests.put(replica.id(), new Rest(replica, until));
+			this.backOffs.put(replica.id(), new BackOff(replica, until));
 		}
 	}
 
 	private void limit(long now, Replica replica, double perSecond) {
-		LimitedReplica known = this.limited.get(replica.id());
+		LimitedReplica known = this.limitedReplicas.get(replica.id());
 		if (known == null || !known.replica().sameProcess(replica)) {
 			known = new LimitedReplica(now, replica, this.self, this.place, this.random);
-			this.limited.put(replica.id(), known);
+			this.limitedReplicas.put(replica.id(), known);
 		}
 		known.peers(now, this.peers.get());
-		known.limit(now, perSecond);
+		known.updateLimit(now, perSecond);
 	}
 
 	/**
@@ -107,7 +107,7 @@
 	 * @return the requests a second that it takes from all nodes, or empty for no limit
 	 */
 	public OptionalDouble limit(Replica replica) {
-		LimitedReplica known = this.limited.get(replica.id());
+		LimitedReplica known = this.limitedReplicas.get(replica.id());
 		return (known != null && known.replica().sameProcess(replica)) ? OptionalDouble.of(known.perSecond())
 				: OptionalDouble.empty();
 	}
@@ -116,23 +116,23 @@
 	 * Returns how many nodes come before this one for a limited replica, or empty if that
 	 * is not known.
 	 */
-	OptionalInt rank(long now, Replica replica) {
-		return limited(now, replica).map(LimitedReplica::rank).orElse(OptionalInt.empty());
+	OptionalInt findNodePosition(long now, Replica replica) {
+		return limitedReplicas(now, replica).map(LimitedReplica::nodePosition).orElse(OptionalInt.empty());
 	}
 
 	/**
 	 * Says whether every node has a share of a replica's limit.
 	 */
-	boolean sharedByAll(long now, Replica replica) {
-		return limited(now, replica).map(LimitedReplica::sharedByAll).orElse(false);
+	boolean isSharedByAllNodes(long now, Replica replica) {
+		return limitedReplicas(now, replica).map(LimitedReplica::isSharedByAllNodes).orElse(false);
 	}
 
 	/**
 	 * Says whether any replica asks for fewer requests.
 	 */
-	boolean any(long now) {
-		this.rests.values().removeIf((rest) -> rest.until <= now);
-		return !this.limited.isEmpty() || !this.rests.isEmpty();
+	boolean hasBackpressure(long now) {
+		this.backOffs.values().removeIf((rest) -> rest.until <= now);
+		return !this.limitedReplicas.isEmpty() || !this.backOffs.isEmpty();
 	}
 
 	/**
@@ -142,11 +142,11 @@
 	 * @return true if it has not asked for rest, and names no limit or this node has a
 	 * part of it left
 	 */
-	public boolean takes(long now, Replica replica) {
-		if (restMillis(now, replica) > 0) {
+	public boolean canSend(long now, Replica replica) {
+		if (backOffMillis(now, replica) > 0) {
 			return false;
 		}
-		return limited(now, replica).map((each) -> each.room(now)).orElse(true);
+		return limitedReplicas(now, replica).map((each) -> each.canSend(now)).orElse(true);
 	}
 
 	/**
@@ -155,8 +155,8 @@
 	 * @param replica the replica
 	 * @return the time from now, in milliseconds, 0 if it has not asked for rest
 	 */
-	public long restMillis(long now, Replica replica) {
-		Rest known = this.rests.get(replica.id());
+	public long backOffMillis(long now, Replica replica) {
+		BackOff known = this.backOffs.get(replica.id());
 		return (known != null && known.replica.sameProcess(replica)) ? Math.max(0, known.until - now) : 0;
 	}
 
@@ -167,8 +167,8 @@
 	 * @param replica the replica
 	 * @return true if it names no limit and has not asked for rest
 	 */
-	public boolean mayAsk(long now, Replica replica) {
-		return limit(replica).isEmpty() && restMillis(now, replica) == 0;
+	public boolean canAskForLoad(long now, Replica replica) {
+		return limit(replica).isEmpty() && backOffMillis(now, replica) == 0;
 	}
 
 	/**
@@ -177,17 +177,17 @@
 	 * @param replica the replica
 	 * @return whether it may be sent
 	 */
-	public Admission admit(long now, Replica replica) {
-		if (restMillis(now, replica) > 0) {
-			return Admission.DENIED;
+	public SendPermission admit(long now, Replica replica) {
+		if (backOffMillis(now, replica) > 0) {
+			return SendPermission.DENIED;
 		}
-		return limited(now, replica).map((each) -> {
-			if (!each.room(now)) {
-				return Admission.DENIED;
+		return limitedReplicas(now, replica).map((each) -> {
+			if (!each.canSend(now)) {
+				return SendPermission.DENIED;
 			}
-			each.take(now);
-			return Admission.COUNTED;
-		}).orElse(Admission.FREE);
+			each.recordSent(now);
+			return SendPermission.COUNTED;
+		}).orElse(SendPermission.UNLIMITED);
 	}
 
 	/**
@@ -198,10 +198,10 @@
 	 * @param before what was said when the request was given to it
 	 * @return true if it may be sent
 	 */
-	public boolean mayStillSend(long now, Replica replica, Admission before) {
+	public boolean canStillSend(long now, Replica replica, SendPermission before) {
 		return switch (before) {
-			case FREE -> admit(now, replica) != Admission.DENIED;
-			case COUNTED -> restMillis(now, replica) == 0;
+			case UNLIMITED -> admit(now, replica) != SendPermission.DENIED;
+			case COUNTED -> backOffMillis(now, replica) == 0;
 			case DENIED -> false;
 		};
 	}
@@ -215,19 +215,19 @@
 	 * @param replicas its replicas, one or more, all limited or resting
 	 * @return the time from now, in milliseconds
 	 */
-	public long backMillis(long now, ServiceName service, Collection<Replica> replicas) {
+	public long nextRetryAfterMillis(long now, ServiceName service, Collection<Replica> replicas) {
 		double perSecond = 0;
-		long soonest = LATEST_BACK_MILLIS;
+		long soonest = MAX_RETRY_AFTER_MILLIS;
 		for (Replica replica : replicas) {
-			long rest = restMillis(now, replica);
-			Optional<LimitedReplica> known = limited(now, replica);
+			long rest = backOffMillis(now, replica);
+			Optional<LimitedReplica> known = limitedReplicas(now, replica);
 			perSecond += known.map((each) -> each.share().perSecond()).orElse(0.0);
 			soonest = Math.min(soonest, Math.max(rest, known.map((each) -> each.waitMillis(now)).orElse(rest)));
 		}
-		long apart = (perSecond > 0) ? Math.round(SECOND_MILLIS / perSecond) : 0;
-		long next = Math.max(now + soonest, this.promised.getOrDefault(service, now) + apart);
-		long at = Math.min(next, now + LATEST_BACK_MILLIS);
-		this.promised.put(service, at);
+		long apart = (perSecond > 0) ? Math.round(MILLIS_PER_SECOND / perSecond) : 0;
+		long next = Math.max(now + soonest, this.promisedUntil.getOrDefault(service, now) + apart);
+		long at = Math.min(next, now + MAX_RETRY_AFTER_MILLIS);
+		this.promisedUntil.put(service, at);
 		return at - now;
 	}
 
@@ -236,7 +236,7 @@
 	 * @return their number
 	 */
 	public int countLimited() {
-		return this.limited.size();
+		return this.limitedReplicas.size();
 	}
 
 	/**
@@ -244,8 +244,8 @@
 	 * @param now the time in milliseconds
 	 * @return their number
 	 */
-	public long countResting(long now) {
-		return this.rests.values().stream().filter((rest) -> rest.until > now).count();
+	public long countBackingOff(long now) {
+		return this.backOffs.values().stream().filter((rest) -> rest.until > now).count();
 	}
 
 	/**
@@ -253,12 +253,12 @@
 	 * @param known those to remember
 	 */
 	public void retain(Set<ReplicaId> known) {
-		this.limited.keySet().retainAll(known);
-		this.rests.keySet().retainAll(known);
+		this.limitedReplicas.keySet().retainAll(known);
+		this.backOffs.keySet().retainAll(known);
 	}
 
-	private Optional<LimitedReplica> limited(long now, Replica replica) {
-		LimitedReplica known = this.limited.get(replica.id());
+	private Optional<LimitedReplica> limitedReplicas(long now, Replica replica) {
+		LimitedReplica known = this.limitedReplicas.get(replica.id());
 		if (known == null || !known.replica().sameProcess(replica)) {
 			return Optional.empty();
 		}
@@ -266,7 +266,7 @@
 		return Optional.of(known);
 	}
 
-	private record Rest(Replica replica, long until) {
+	private record BackOff(Replica replica, long until) {
 	}
 
 }
--- a/core/src/main/java/org/gullsaddle/serve/LimitNote.java
+++ b/core/src/main/java/org/gullsaddle/serve/LimitNote.java
@@ -9,8 +9,8 @@
  */
 public record LimitNote(long startedAt, boolean limited, double perSecond) {
 
-	RateLimit limit() {
-		return this.limited ? new RateLimit.Named(this.perSecond) : new RateLimit.None();
+	RateLimit toRateLimit() {
+		return this.limited ? new RateLimit.Limited(this.perSecond) : new RateLimit.Unlimited();
 	}
 
 }
--- a/core/src/main/java/org/gullsaddle/serve/LimitNews.java
+++ b/core/src/main/java/org/gullsaddle/serve/LimitNoteExchange.java
@@ -19,50 +19,50 @@
  * anew. Where every node has a share of the limit, all hear it themselves, and nothing is
  * written. Confined to one thread.
  */
-public final class LimitNews {
+public final class LimitNoteExchange {
 
 	/**
 	 * How long what a replica said itself counts for more than a note, in milliseconds:
 	 * as long as notes may be on their way.
 	 */
-	private static final long FRESH_MILLIS = 2500;
+	private static final long OBSERVATION_VALID_MILLIS = 2500;
 
 	/**
 	 * How much later than the node before it a node writes, in milliseconds: by then it
 	 * has mostly read what that one wrote.
 	 */
-	private static final long STEP_MILLIS = 1600;
+	private static final long WRITER_STEP_MILLIS = 1600;
 
 	/** When the first node writes, in milliseconds, so that few changes are one note. */
 	private static final long GATHER_MILLIS = 500;
 
 	/** How many nodes write one after the other, before all others. */
-	private static final int FIRST_WRITERS = 3;
+	private static final int ORDERED_WRITERS = 3;
 
 	/** The time over which the other nodes spread what they write, in milliseconds. */
-	private static final long SPREAD_MILLIS = 3000;
+	private static final long WRITE_SPREAD_MILLIS = 3000;
 
 	/** The part by which a limit must change to be told. */
-	private static final double TOLD_CHANGE = 0.25;
+	private static final double MIN_CHANGE_RATIO = 0.25;
 
-	private final BackpressureBook book;
+	private final BackpressureTable backpressure;
 
 	private final RandomGenerator random;
 
 	private final Map<ReplicaId, LimitNote> notes = new HashMap<>();
 
-	private final Map<ReplicaId, FirstHand> firstHand = new HashMap<>();
+	private final Map<ReplicaId, Observation> observations = new HashMap<>();
 
 	/** Replicas whose notes may not be as this node wrote them. */
-	private final Set<ReplicaId> unsure = new HashSet<>();
+	private final Set<ReplicaId> unconfirmed = new HashSet<>();
 
 	/**
 	 * Makes it.
 	 * @param book learns what is told
 	 * @param random spreads out when nodes write
 	 */
-	public LimitNews(BackpressureBook book, RandomGenerator random) {
-		this.book = book;
+	public LimitNoteExchange(BackpressureTable book, RandomGenerator random) {
+		this.backpressure = book;
 		this.random = random;
 	}
 
@@ -71,36 +71,38 @@
 	 * @param now the time in milliseconds
 	 * @param replica the replica that answered
 	 * @param asked what it asks for
-	 * @return when {@link #toTell} is to be asked, in milliseconds from now, or empty if
-	 * there is nothing to tell
+	 * @return when {@link #findNoteToWrite} is to be asked, in milliseconds from now, or
+	 * empty if there is nothing to tell
 	 */
-	public OptionalLong heard(long now, Replica replica, Backpressure asked) {
-		int rank = this.book.rank(now, replica).orElse(FIRST_WRITERS);
-		this.book.heard(now, replica, asked);
-		OptionalDouble limit = this.book.limit(replica);
-		if (asked.limit() instanceof RateLimit.Unreadable) {
+	public OptionalLong onAnswer(long now, Replica replica, Backpressure asked) {
+		int rank = this.backpressure.findNodePosition(now, replica).orElse(ORDERED_WRITERS);
+		this.backpressure.onAnswer(now, replica, asked);
+		OptionalDouble limit = this.backpressure.limit(replica);
+		if (asked.limit() instanceof RateLimit.Invalid) {
 			return OptionalLong.empty();
 		}
 		if (limit.isEmpty() && !this.notes.containsKey(replica.id())) {
-			this.firstHand.remove(replica.id());
+			this.observations.remove(replica.id());
 			return OptionalLong.empty();
 		}
-		this.firstHand.put(replica.id(), new FirstHand(replica, limit, now));
-		if (!isNews(replica, limit) || (!stands(replica) && this.book.sharedByAll(now, replica))) {
+		this.observations.put(replica.id(), new Observation(replica, limit, now));
+		if (!differsFromNote(replica, limit)
+				|| (!hasLimitNote(replica) && this.backpressure.isSharedByAllNodes(now, replica))) {
 			return OptionalLong.empty();
 		}
-		return OptionalLong.of(delay(Math.min(rank, this.book.rank(now, replica).orElse(FIRST_WRITERS))));
+		return OptionalLong.of(writeDelayMillis(
+				Math.min(rank, this.backpressure.findNodePosition(now, replica).orElse(ORDERED_WRITERS))));
 	}
 
-	private long delay(int rank) {
-		long earliest = GATHER_MILLIS + Math.min(rank, FIRST_WRITERS) * STEP_MILLIS;
-		return (rank < FIRST_WRITERS) ? earliest : earliest + this.random.nextLong(SPREAD_MILLIS);
+	private long writeDelayMillis(int rank) {
+		long earliest = GATHER_MILLIS + Math.min(rank, ORDERED_WRITERS) * WRITER_STEP_MILLIS;
+		return (rank < ORDERED_WRITERS) ? earliest : earliest + this.random.nextLong(WRITE_SPREAD_MILLIS);
 	}
 
 	/**
 	 * Says whether there is a note by which a replica is limited.
 	 */
-	private boolean stands(Replica replica) {
+	private boolean hasLimitNote(Replica replica) {
 		LimitNote note = this.notes.get(replica.id());
 		return note != null && note.limited() && note.startedAt() == replica.startedAt();
 	}
@@ -111,13 +113,13 @@
 	 * @param id the replica
 	 * @param note what is told of it
 	 * @param listed the replica as it is listed, or empty if it is not
-	 * @return when {@link #listed} is to be told of the replica again, in milliseconds
-	 * from now, or empty if it need not be
+	 * @return when {@link #onReplicaListed} is to be told of the replica again, in
+	 * milliseconds from now, or empty if it need not be
 	 */
-	public OptionalLong learned(long now, ReplicaId id, LimitNote note, Optional<Replica> listed) {
+	public OptionalLong onNote(long now, ReplicaId id, LimitNote note, Optional<Replica> listed) {
 		this.notes.put(id, note);
-		this.unsure.remove(id);
-		return listed.map((replica) -> apply(now, replica, note)).orElse(OptionalLong.empty());
+		this.unconfirmed.remove(id);
+		return listed.map((replica) -> applyNote(now, replica, note)).orElse(OptionalLong.empty());
 	}
 
 	/**
@@ -125,10 +127,10 @@
 	 * @param now the time in milliseconds
 	 * @param replica the replica
 	 */
-	public void listed(long now, Replica replica) {
+	public void onReplicaListed(long now, Replica replica) {
 		LimitNote note = this.notes.get(replica.id());
 		if (note != null) {
-			apply(now, replica, note);
+			applyNote(now, replica, note);
 		}
 	}
 
@@ -136,16 +138,16 @@
 	 * Has a note count, unless the replica itself has just said something. If a note
 	 * stands that long against it, nodes that hear the replica agree with the note.
 	 */
-	private OptionalLong apply(long now, Replica replica, LimitNote note) {
+	private OptionalLong applyNote(long now, Replica replica, LimitNote note) {
 		if (note.startedAt() != replica.startedAt()) {
 			return OptionalLong.empty();
 		}
-		FirstHand known = this.firstHand.get(replica.id());
-		if (known != null && known.replica.sameProcess(replica) && now - known.at < FRESH_MILLIS) {
-			return OptionalLong.of(known.at + FRESH_MILLIS - now);
+		Observation known = this.observations.get(replica.id());
+		if (known != null && known.replica.sameProcess(replica) && now - known.observedAt < OBSERVATION_VALID_MILLIS) {
+			return OptionalLong.of(known.observedAt + OBSERVATION_VALID_MILLIS - now);
 		}
-		this.firstHand.remove(replica.id());
-		this.book.heard(now, replica, Backpressure.of(note.limit()));
+		this.observations.remove(replica.id());
+		this.backpressure.onAnswer(now, replica, Backpressure.ofLimit(note.toRateLimit()));
 		return OptionalLong.empty();
 	}
 
@@ -154,14 +156,14 @@
 	 * @param id the replica
 	 * @return the note, or empty if another node has written it meanwhile
 	 */
-	public Optional<LimitNote> toTell(ReplicaId id) {
-		FirstHand known = this.firstHand.get(id);
-		if (known == null || !isNews(known.replica, known.limit)) {
+	public Optional<LimitNote> findNoteToWrite(ReplicaId id) {
+		Observation known = this.observations.get(id);
+		if (known == null || !differsFromNote(known.replica, known.limit)) {
 			return Optional.empty();
 		}
 		LimitNote note = new LimitNote(known.replica.startedAt(), known.limit.isPresent(), known.limit.orElse(0));
 		this.notes.put(id, note);
-		this.unsure.remove(id);
+		this.unconfirmed.remove(id);
 		return Optional.of(note);
 	}
 
@@ -169,8 +171,8 @@
 	 * Takes in that a note may not stand as it was written.
 	 * @param id the replica
 	 */
-	public void notWritten(ReplicaId id) {
-		this.unsure.add(id);
+	public void onWriteFailed(ReplicaId id) {
+		this.unconfirmed.add(id);
 	}
 
 	/**
@@ -179,23 +181,23 @@
 	 */
 	public void retain(Set<ReplicaId> known) {
 		this.notes.keySet().retainAll(known);
-		this.firstHand.keySet().retainAll(known);
-		this.unsure.retainAll(known);
+		this.observations.keySet().retainAll(known);
+		this.unconfirmed.retainAll(known);
 	}
 
-	private boolean isNews(Replica replica, OptionalDouble limit) {
-		if (this.unsure.contains(replica.id())) {
+	private boolean differsFromNote(Replica replica, OptionalDouble limit) {
+		if (this.unconfirmed.contains(replica.id())) {
 			return true;
 		}
-		boolean told = stands(replica);
+		boolean told = hasLimitNote(replica);
 		if (!told || limit.isEmpty()) {
 			return told || limit.isPresent();
 		}
 		LimitNote note = this.notes.get(replica.id());
-		return Math.abs(limit.getAsDouble() - note.perSecond()) > TOLD_CHANGE * note.perSecond();
+		return Math.abs(limit.getAsDouble() - note.perSecond()) > MIN_CHANGE_RATIO * note.perSecond();
 	}
 
-	private record FirstHand(Replica replica, OptionalDouble limit, long at) {
+	private record Observation(Replica replica, OptionalDouble limit, long observedAt) {
 	}
 
 }
--- a/core/src/main/java/org/gullsaddle/serve/LimitShare.java
+++ b/core/src/main/java/org/gullsaddle/serve/LimitShare.java
@@ -29,12 +29,12 @@
 	 * The nodes with a part: as many as the replica takes requests in this time, and some
 	 * more.
 	 */
-	private static final double NODES_SECONDS = 2;
+	private static final double SHARING_SECONDS = 2;
 
-	private static final int MORE_NODES = 2;
+	private static final int EXTRA_SHARING_NODES = 2;
 
 	/** How long a share may be saved up for a burst. */
-	private static final double BURST_SECONDS = 1;
+	private static final double MAX_BURST_SECONDS = 1;
 
 	/**
 	 * Returns how many nodes come before a node for a replica: those nearer to it first.
@@ -44,12 +44,12 @@
 	 * @param place says which data centers are near each other
 	 * @return their number, or empty if the node is not among them
 	 */
-	static OptionalInt rank(Replica replica, NodeId self, List<Peer> peers, Place place) {
+	static OptionalInt findNodePosition(Replica replica, NodeId self, List<Peer> peers, Place place) {
 		Optional<Peer> own = peers.stream().filter((peer) -> peer.node().equals(self)).findFirst();
 		if (own.isEmpty()) {
 			return OptionalInt.empty();
 		}
-		Comparator<Peer> nearest = nearest(replica, place);
+		Comparator<Peer> nearest = nearestFirst(replica, place);
 		return OptionalInt.of((int) peers.stream().filter((peer) -> nearest.compare(peer, own.get()) < 0).count());
 	}
 
@@ -60,12 +60,12 @@
 	 * @param nodes how many nodes there are
 	 */
 	static LimitShare of(double perSecond, int rank, int nodes) {
-		long parts = parts(perSecond, nodes);
+		long parts = sharingNodes(perSecond, nodes);
 		if (rank >= parts) {
 			return NONE;
 		}
 		double share = perSecond / parts;
-		return new LimitShare(share, Math.max(1, BURST_SECONDS * share));
+		return new LimitShare(share, Math.max(1, MAX_BURST_SECONDS * share));
 	}
 
 	/**
@@ -73,11 +73,11 @@
 	 * @param perSecond the replica's limit
 	 * @param nodes how many nodes there are
 	 */
-	static long parts(double perSecond, int nodes) {
-		return Math.min(nodes, (long) Math.floor(NODES_SECONDS * perSecond) + MORE_NODES);
+	static long sharingNodes(double perSecond, int nodes) {
+		return Math.min(nodes, (long) Math.floor(SHARING_SECONDS * perSecond) + EXTRA_SHARING_NODES);
 	}
 
-	private static Comparator<Peer> nearest(Replica replica, Place place) {
+	private static Comparator<Peer> nearestFirst(Replica replica, Place place) {
 		return Comparator.comparing((Peer peer) -> place.reach(peer.dataCenter(), replica.dataCenter()))
 			.thenComparing((peer) -> Spread.unit(peer.node() + "/" + replica.id()))
 			.thenComparing(Peer::node);
--- a/core/src/main/java/org/gullsaddle/serve/LimitedReplica.java
+++ b/core/src/main/java/org/gullsaddle/serve/LimitedReplica.java
@@ -18,14 +18,14 @@
 final class LimitedReplica {
 
 	/** How long all nodes together take for one turn each, for every node. */
-	private static final long TURN_EVERY_MILLIS = 10_000;
+	private static final long PROBE_INTERVAL_MILLIS = 10_000;
 
-	private static final long TURN_MILLIS = 1000;
+	private static final long PROBE_WINDOW_MILLIS = 1000;
 
 	/** How many nodes are assumed while they are not known. */
-	private static final int UNKNOWN_NODES = 10;
+	private static final int ASSUMED_NODES = 10;
 
-	private static final double SECOND_MILLIS = 1000;
+	private static final double MILLIS_PER_SECOND = 1000;
 
 	private final Replica replica;
 
@@ -34,13 +34,13 @@
 	private final Place place;
 
 	/** Where in the order of turns this node begins, from 0 to 1. */
-	private final double phase;
+	private final double probePhase;
 
 	private double perSecond;
 
 	private Optional<List<Peer>> peers = Optional.empty();
 
-	private OptionalInt rank = OptionalInt.empty();
+	private OptionalInt nodePosition = OptionalInt.empty();
 
 	private LimitShare share = LimitShare.NONE;
 
@@ -48,13 +48,13 @@
 
 	private long refilledAt;
 
-	private long lastTurn = Long.MIN_VALUE;
+	private long lastProbe = Long.MIN_VALUE;
 
 	LimitedReplica(long now, Replica replica, NodeId self, Place place, RandomGenerator random) {
 		this.replica = replica;
 		this.self = self;
 		this.place = place;
-		this.phase = random.nextDouble();
+		this.probePhase = random.nextDouble();
 		this.refilledAt = now;
 	}
 
@@ -69,11 +69,11 @@
 	/**
 	 * Takes in the limit that the replica names now.
 	 */
-	void limit(long now, double newPerSecond) {
+	void updateLimit(long now, double newPerSecond) {
 		if (this.perSecond != newPerSecond) {
 			refill(now);
 			this.perSecond = newPerSecond;
-			workOutShare();
+			recomputeShare();
 		}
 	}
 
@@ -84,15 +84,16 @@
 		if (!this.peers.equals(newPeers)) {
 			refill(now);
 			this.peers = newPeers;
-			this.rank = newPeers.map((known) -> LimitShare.rank(this.replica, this.self, known, this.place))
+			this.nodePosition = newPeers
+				.map((known) -> LimitShare.findNodePosition(this.replica, this.self, known, this.place))
 				.orElse(OptionalInt.empty());
-			workOutShare();
+			recomputeShare();
 		}
 	}
 
-	private void workOutShare() {
-		this.share = this.rank.isPresent()
-				? LimitShare.of(this.perSecond, this.rank.getAsInt(), this.peers.map(List::size).orElse(0))
+	private void recomputeShare() {
+		this.share = this.nodePosition.isPresent()
+				? LimitShare.of(this.perSecond, this.nodePosition.getAsInt(), this.peers.map(List::size).orElse(0))
 				: LimitShare.NONE;
 		this.tokens = Math.min(this.tokens, this.share.burst());
 	}
@@ -100,21 +101,21 @@
 	/**
 	 * Says whether one more request may be sent.
 	 */
-	boolean room(long now) {
+	boolean canSend(long now) {
 		refill(now);
-		return this.tokens >= 1 || turnOpen(now);
+		return this.tokens >= 1 || isProbeOpen(now);
 	}
 
 	/**
 	 * Notes that a request is sent.
 	 */
-	void take(long now) {
+	void recordSent(long now) {
 		refill(now);
 		if (this.tokens >= 1) {
 			this.tokens--;
 		}
 		else {
-			this.lastTurn = turn(now);
+			this.lastProbe = probeIndex(now);
 		}
 	}
 
@@ -122,25 +123,25 @@
 	 * Returns when there is room for a request again, in milliseconds from now.
 	 */
 	long waitMillis(long now) {
-		if (room(now)) {
+		if (canSend(now)) {
 			return 0;
 		}
-		long period = period();
-		long untilTurn = period - Math.floorMod(inTurns(now), period);
+		long period = probePeriodMillis();
+		long untilTurn = period - Math.floorMod(probeTime(now), period);
 		if (this.share.perSecond() == 0) {
 			return untilTurn;
 		}
-		long untilToken = (long) Math.ceil((1 - this.tokens) / this.share.perSecond() * SECOND_MILLIS);
+		long untilToken = (long) Math.ceil((1 - this.tokens) / this.share.perSecond() * MILLIS_PER_SECOND);
 		return Math.min(untilToken, untilTurn);
 	}
 
-	OptionalInt rank() {
-		return this.rank;
+	OptionalInt nodePosition() {
+		return this.nodePosition;
 	}
 
-	boolean sharedByAll() {
+	boolean isSharedByAllNodes() {
 		return this.perSecond > 0 && this.peers.isPresent()
-				&& LimitShare.parts(this.perSecond, this.peers.get().size()) == this.peers.get().size();
+				&& LimitShare.sharingNodes(this.perSecond, this.peers.get().size()) == this.peers.get().size();
 	}
 
 	LimitShare share() {
@@ -148,25 +149,26 @@
 	}
 
 	private void refill(long now) {
-		double earned = this.share.perSecond() * (now - this.refilledAt) / SECOND_MILLIS;
+		double earned = this.share.perSecond() * (now - this.refilledAt) / MILLIS_PER_SECOND;
 		this.tokens = Math.min(this.share.burst(), this.tokens + earned);
 		this.refilledAt = now;
 	}
 
-	private boolean turnOpen(long now) {
-		return Math.floorMod(inTurns(now), period()) < TURN_MILLIS && turn(now) != this.lastTurn;
+	private boolean isProbeOpen(long now) {
+		return Math.floorMod(probeTime(now), probePeriodMillis()) < PROBE_WINDOW_MILLIS
+				&& probeIndex(now) != this.lastProbe;
 	}
 
-	private long turn(long now) {
-		return Math.floorDiv(inTurns(now), period());
+	private long probeIndex(long now) {
+		return Math.floorDiv(probeTime(now), probePeriodMillis());
 	}
 
-	private long inTurns(long now) {
-		return now + Math.round(this.phase * period());
+	private long probeTime(long now) {
+		return now + Math.round(this.probePhase * probePeriodMillis());
 	}
 
-	private long period() {
-		return TURN_EVERY_MILLIS * this.peers.map(List::size).orElse(UNKNOWN_NODES);
+	private long probePeriodMillis() {
+		return PROBE_INTERVAL_MILLIS * this.peers.map(List::size).orElse(ASSUMED_NODES);
 	}
 
 }
--- a/core/src/main/java/org/gullsaddle/serve/RankFlow.java
+++ b/core/src/main/java/org/gullsaddle/serve/RankFlow.java
@@ -7,77 +7,77 @@
 final class RankFlow {
 
 	/** How long what came and ended counts, as the time until half is forgotten. */
-	private static final double RECENT_MILLIS = 3000;
+	private static final double RECENT_HALF_LIFE_MILLIS = 3000;
 
 	/** How long the usual number of open requests is remembered, in the same way. */
-	private static final double USUAL_MILLIS = 30_000;
+	private static final double USUAL_HALF_LIFE_MILLIS = 30_000;
 
-	private final Recent asked = new Recent(RECENT_MILLIS);
+	private final Recent recentRequests = new Recent(RECENT_HALF_LIFE_MILLIS);
 
-	private final Recent ended = new Recent(RECENT_MILLIS);
+	private final Recent recentEnds = new Recent(RECENT_HALF_LIFE_MILLIS);
 
-	private int endsSeen;
+	private int endCount;
 
 	private int open;
 
-	private double usual;
+	private double usualOpen;
 
 	/** How much of the usual number is known, 0 to 1. */
-	private double known;
+	private double usualWeight;
 
-	private long at;
+	private long updatedAt;
 
-	private boolean begun;
+	private boolean started;
 
-	void opened(long now) {
-		settle(now);
+	void onRequestOpened(long now) {
+		advance(now);
 		this.open++;
-		this.asked.add(now, 1);
+		this.recentRequests.add(now, 1);
 	}
 
 	/**
 	 * Notes that a request is open no longer.
 	 * @param ran whether it leaves room that it took
 	 */
-	void closed(long now, boolean ran) {
-		settle(now);
+	void onRequestClosed(long now, boolean ran) {
+		advance(now);
 		this.open--;
 		if (ran) {
-			this.endsSeen++;
-			this.ended.add(now, 1);
+			this.endCount++;
+			this.recentEnds.add(now, 1);
 		}
 	}
 
-	private void settle(long now) {
-		double passed = this.begun ? Math.max(0, now - this.at) : 0;
-		double keep = Math.pow(0.5, passed / USUAL_MILLIS);
-		this.usual = this.usual * keep + this.open * (1 - keep);
-		this.known = this.known * keep + 1 - keep;
-		this.at = this.begun ? Math.max(this.at, now) : now;
-		this.begun = true;
+	private void advance(long now) {
+		double passed = this.started ? Math.max(0, now - this.updatedAt) : 0;
+		double keep = Math.pow(0.5, passed / USUAL_HALF_LIFE_MILLIS);
+		this.usualOpen = this.usualOpen * keep + this.open * (1 - keep);
+		this.usualWeight = this.usualWeight * keep + 1 - keep;
+		this.updatedAt = this.started ? Math.max(this.updatedAt, now) : now;
+		this.started = true;
 	}
 
 	/**
 	 * Returns how many requests are open beyond the usual.
 	 */
-	double waiting(long now) {
-		settle(now);
-		return (this.known > 0) ? Math.max(0, this.open - this.usual / this.known) : 0;
+	double excessOpenRequests(long now) {
+		advance(now);
+		return (this.usualWeight > 0) ? Math.max(0, this.open - this.usualOpen / this.usualWeight) : 0;
 	}
 
 	/**
 	 * Returns how many requests end, a millisecond.
 	 */
-	double endRate(long now) {
-		return this.ended.rate(now);
+	double endsPerMilli(long now) {
+		return this.recentEnds.rate(now);
 	}
 
-	double askedLately(long now) {
-		return this.asked.sum(now);
+	double recentRequestCount(long now) {
+		return this.recentRequests.sum(now);
 	}
 
-	int endsSeen() {
-		return this.endsSeen;
+	int endCount() {
+		return this.endCount;
 	}
 
 }
--- a/core/src/main/java/org/gullsaddle/serve/RateLimit.java
+++ b/core/src/main/java/org/gullsaddle/serve/RateLimit.java
@@ -11,9 +11,9 @@
 	 *
 	 * @param perSecond the requests a second, 0 or more
 	 */
-	record Named(double perSecond) implements RateLimit {
+	record Limited(double perSecond) implements RateLimit {
 
-		public Named {
+		public Limited {
 			if (!(perSecond >= 0) || Double.isInfinite(perSecond)) {
 				throw new IllegalArgumentException("perSecond must be 0 or more, not " + perSecond);
 			}
@@ -24,13 +24,13 @@
 	/**
 	 * The replica names no limit, or none any more.
 	 */
-	record None() implements RateLimit {
+	record Unlimited() implements RateLimit {
 	}
 
 	/**
 	 * The replica names a limit that cannot be read, so that what it said before holds.
 	 */
-	record Unreadable() implements RateLimit {
+	record Invalid() implements RateLimit {
 	}
 
 }
--- a/core/src/main/java/org/gullsaddle/serve/Refused.java
+++ b/core/src/main/java/org/gullsaddle/serve/RefusedRequest.java
@@ -11,5 +11,5 @@
  * @param team whose it is, empty if it presented no key
  * @param content a hash that is the same when it is sent again
  */
-public record Refused(ServiceName service, int rank, String team, Fingerprint content) {
+public record RefusedRequest(ServiceName service, int rank, String team, Fingerprint content) {
 }
--- a/core/src/main/java/org/gullsaddle/serve/ReplicaRules.java
+++ b/core/src/main/java/org/gullsaddle/serve/ReplicaRules.java
@@ -29,7 +29,7 @@
 
 	private final ColdPace pace;
 
-	private final BackpressureBook backpressure;
+	private final BackpressureTable backpressure;
 
 	private final CrashBook crashes;
 
@@ -41,7 +41,7 @@
 	 * @param backpressure what it may send to replicas that ask for fewer requests
 	 * @param crashes what is refused as it crashes replicas
 	 */
-	public ReplicaRules(ReplicaDirectory directory, Place place, ColdPace pace, BackpressureBook backpressure,
+	public ReplicaRules(ReplicaDirectory directory, Place place, ColdPace pace, BackpressureTable backpressure,
 			CrashBook crashes) {
 		this.directory = directory;
 		this.place = place;
@@ -68,12 +68,12 @@
 	 * @return their ids
 	 */
 	public Set<ReplicaId> leftOut(long now, Wanted wanted, Set<ReplicaId> tried) {
-		if (!this.backpressure.any(now)) {
+		if (!this.backpressure.hasBackpressure(now)) {
 			return tried;
 		}
 		Set<ReplicaId> all = new HashSet<>(tried);
 		open(now, wanted).stream()
-			.filter((replica) -> !this.backpressure.takes(now, replica))
+			.filter((replica) -> !this.backpressure.canSend(now, replica))
 			.forEach((replica) -> all.add(replica.id()));
 		return all;
 	}
@@ -129,7 +129,7 @@
 		if (!allLeftOut(allowed, leftOut)) {
 			return NoReplica.TRIED;
 		}
-		boolean resting = allowed.stream().allMatch((replica) -> this.backpressure.restMillis(now, replica) > 0);
+		boolean resting = allowed.stream().allMatch((replica) -> this.backpressure.backOffMillis(now, replica) > 0);
 		return resting ? NoReplica.RESTING : NoReplica.LIMITED;
 	}
 
@@ -144,7 +144,7 @@
 		if (refuses(wanted)) {
 			return this.crashes.backMillis(now, wanted.traits());
 		}
-		return this.backpressure.backMillis(now, wanted.service(), open(now, wanted));
+		return this.backpressure.nextRetryAfterMillis(now, wanted.service(), open(now, wanted));
 	}
 
 	/**
@@ -205,7 +205,7 @@
 		List<Replica> allowed = wanted.rollout()
 			.get()
 			.chooseReplicas(now, able, wanted.key(), leftOut, wanted.nodes().orElse(0));
-		boolean asked = allowed.stream().anyMatch((replica) -> !this.backpressure.takes(now, replica));
+		boolean asked = allowed.stream().anyMatch((replica) -> !this.backpressure.canSend(now, replica));
 		if (!asked || !allLeftOut(allowed, leftOut) || wanted.key().session()) {
 			return allowed;
 		}
--- /dev/null
+++ b/core/src/main/java/org/gullsaddle/serve/RetryAfter.java
@@ -0,0 +1,10 @@
+package org.gullsaddle.serve;
+
+/**
+ * When a refused caller is to come back.
+ *
+ * @param retryAfterMillis the time from now, in milliseconds
+ * @param capacityExpected whether room is expected for it by then
+ */
+public record RetryAfter(long retryAfterMillis, boolean capacityExpected) {
+}
--- a/core/src/main/java/org/gullsaddle/serve/ReturnTimes.java
+++ b/core/src/main/java/org/gullsaddle/serve/RetryAfterScheduler.java
@@ -13,9 +13,9 @@
  * Callers return at other nodes, so that none of them knows who was told what. Each node
  * spreads those that it refuses by its own rate; together they return at the rate of all.
  */
-public final class ReturnTimes {
+public final class RetryAfterScheduler {
 
-	private final Map<ServiceName, ServiceReturns> services = new HashMap<>();
+	private final Map<ServiceName, ServiceRetrySchedule> services = new HashMap<>();
 
 	private final RandomGenerator random;
 
@@ -23,7 +23,7 @@
 	 * Makes return times.
 	 * @param random draws where in its turn a caller returns
 	 */
-	public ReturnTimes(RandomGenerator random) {
+	public RetryAfterScheduler(RandomGenerator random) {
 		this.random = random;
 	}
 
@@ -33,8 +33,8 @@
 	 * @param service its service
 	 * @param rank its rank, 0 first
 	 */
-	public void opened(long now, ServiceName service, int rank) {
-		of(service).flow(rank).opened(now);
+	public void onRequestOpened(long now, ServiceName service, int rank) {
+		scheduleOf(service).flow(rank).onRequestOpened(now);
 	}
 
 	/**
@@ -44,8 +44,8 @@
 	 * @param rank its rank, 0 first
 	 * @param ran whether it leaves room that it took
 	 */
-	public void closed(long now, ServiceName service, int rank, boolean ran) {
-		of(service).flow(rank).closed(now, ran);
+	public void onRequestClosed(long now, ServiceName service, int rank, boolean ran) {
+		scheduleOf(service).flow(rank).onRequestClosed(now, ran);
 	}
 
 	/**
@@ -57,12 +57,12 @@
 	 * @param left the time that it has left
 	 * @return the time, without hope if no room is expected while it is useful
 	 */
-	public ReturnTime next(long now, Refused refused, long soonestMillis, TimeLeft left) {
-		return of(refused.service()).next(now, refused, soonestMillis, left);
+	public RetryAfter schedule(long now, RefusedRequest refused, long soonestMillis, TimeLeft left) {
+		return scheduleOf(refused.service()).schedule(now, refused, soonestMillis, left);
 	}
 
-	private ServiceReturns of(ServiceName service) {
-		return this.services.computeIfAbsent(service, (missing) -> new ServiceReturns(this.random));
+	private ServiceRetrySchedule scheduleOf(ServiceName service) {
+		return this.services.computeIfAbsent(service, (missing) -> new ServiceRetrySchedule(this.random));
 	}
 
 }
--- a/core/src/main/java/org/gullsaddle/serve/Admission.java
+++ b/core/src/main/java/org/gullsaddle/serve/SendPermission.java
@@ -3,10 +3,10 @@
 /**
  * Whether a request that was given to a replica may be sent there, as it stood then.
  */
-public enum Admission {
+public enum SendPermission {
 
 	/** The replica had asked for nothing. */
-	FREE,
+	UNLIMITED,
 
 	/** The request has a part of the replica's limit. */
 	COUNTED,
--- a/core/src/main/java/org/gullsaddle/serve/ServiceReturns.java
+++ b/core/src/main/java/org/gullsaddle/serve/ServiceRetrySchedule.java
@@ -9,41 +9,41 @@
 import java.util.random.RandomGenerator;
 
 /**
- * The return times of one service's callers, see {@link ReturnTimes}.
+ * The return times of one service's callers, see {@link RetryAfterScheduler}.
  */
-final class ServiceReturns {
+final class ServiceRetrySchedule {
 
 	/** The part of the room that is for returning callers; newcomers get the rest. */
-	private static final double RETURNING_PART = 0.5;
+	private static final double RETURNING_CALLERS_RATIO = 0.5;
 
 	/** The part of the room of more urgent ranks that a rank finds at least. */
-	private static final double LEAST_PART = 0.05;
+	private static final double MIN_CAPACITY_RATIO = 0.05;
 
 	/**
 	 * From which part of that time on callers without hope return: after those of their
 	 * rank that have some.
 	 */
-	private static final double HOPELESS_FROM = 0.75;
+	private static final double NO_CAPACITY_START_RATIO = 0.75;
 
 	/** How many ends must be seen for their rate to mean something. */
-	private static final int FEWEST_ENDS = 6;
+	private static final int MIN_ENDS = 6;
 
 	/** With fewer requests lately the rate at which they end tells nothing of room. */
-	private static final double FEWEST_ASKED = 2;
+	private static final double MIN_RECENT_REQUESTS = 2;
 
 	/** How many moments of its turn are drawn, of which the loneliest is told. */
 	private static final int DRAWS = 8;
 
 	/** How many places are kept at most. */
-	private static final int MOST_PLACES = 4096;
+	private static final int MAX_RESERVATIONS = 4096;
 
 	private final Map<Integer, RankFlow> flows = new TreeMap<>();
 
-	private final List<Told> places = new ArrayList<>();
+	private final List<Reservation> reservations = new ArrayList<>();
 
 	private final RandomGenerator random;
 
-	ServiceReturns(RandomGenerator random) {
+	ServiceRetrySchedule(RandomGenerator random) {
 		this.random = random;
 	}
 
@@ -51,73 +51,75 @@
 		return this.flows.computeIfAbsent(rank, (missing) -> new RankFlow());
 	}
 
-	ReturnTime next(long now, Refused refused, long soonest, TimeLeft left) {
-		if (!known(now)) {
-			return new ReturnTime(soonest, true);
+	RetryAfter schedule(long now, RefusedRequest refused, long soonest, TimeLeft left) {
+		if (!hasEnoughData(now)) {
+			return new RetryAfter(soonest, true);
 		}
-		this.places.removeIf((each) -> each.taken(now) <= 0);
-		Optional<Told> earlier = earlier(now, refused);
+		this.reservations.removeIf((each) -> each.remainingRatio(now) <= 0);
+		Optional<Reservation> earlier = findEarlier(now, refused);
 		if (earlier.isPresent()) {
-			return again(now, earlier.get(), soonest);
+			return repeatRetryAfter(now, earlier.get(), soonest);
 		}
-		double room = room(now, refused.rank());
-		double step = 1 / (room * RETURNING_PART);
-		double first = soonest + waiting(now, refused.rank()) / room + step * ahead(now, refused);
+		double room = capacityPerMilli(now, refused.rank());
+		double step = 1 / (room * RETURNING_CALLERS_RATIO);
+		double first = soonest + waitingRequests(now, refused.rank()) / room + step * reservationsAhead(now, refused);
 		double last = left.useful();
 		// Many nodes have a turn in some seconds only: each begins somewhere in its
 		// first.
 		double drawn = first + step * this.random.nextDouble();
 		// Without any room it is infinite or not a number.
-		if (!(drawn <= last) || this.places.size() >= MOST_PLACES) {
-			return new ReturnTime(Math.max(soonest, Math.round(last * late(refused.rank()))), false);
+		if (!(drawn <= last) || this.reservations.size() >= MAX_RESERVATIONS) {
+			return new RetryAfter(Math.max(soonest, Math.round(last * noCapacityRatio(refused.rank()))), false);
 		}
-		long at = now + loneliest(now, first, Math.min(step, last - first));
-		this.places.add(new Told(at, step, refused));
-		return new ReturnTime(at - now, true);
+		long at = now + mostIsolatedMillis(now, first, Math.min(step, last - first));
+		this.reservations.add(new Reservation(at, step, refused));
+		return new RetryAfter(at - now, true);
 	}
 
-	private boolean known(long now) {
-		int seen = this.flows.values().stream().mapToInt(RankFlow::endsSeen).sum();
-		double asked = this.flows.values().stream().mapToDouble((flow) -> flow.askedLately(now)).sum();
-		return seen >= FEWEST_ENDS && asked >= FEWEST_ASKED;
+	private boolean hasEnoughData(long now) {
+		int seen = this.flows.values().stream().mapToInt(RankFlow::endCount).sum();
+		double asked = this.flows.values().stream().mapToDouble((flow) -> flow.recentRequestCount(now)).sum();
+		return seen >= MIN_ENDS && asked >= MIN_RECENT_REQUESTS;
 	}
 
 	/**
 	 * A caller that comes before its time is told the same time, and takes no second
 	 * place.
 	 */
-	private Optional<Told> earlier(long now, Refused refused) {
-		return this.places.stream().filter((each) -> each.at > now && each.refused.equals(refused)).findFirst();
+	private Optional<Reservation> findEarlier(long now, RefusedRequest refused) {
+		return this.reservations.stream()
+			.filter((each) -> each.returnAt > now && each.refused.equals(refused))
+			.findFirst();
 	}
 
 	/**
 	 * Requests of equal content may be several callers', which are not to return at once.
 	 */
-	private ReturnTime again(long now, Told told, long soonest) {
-		long late = Math.round(this.random.nextDouble() * Math.min(told.step, soonest));
-		return new ReturnTime(Math.max(soonest, told.at - now + late), true);
+	private RetryAfter repeatRetryAfter(long now, Reservation told, long soonest) {
+		long late = Math.round(this.random.nextDouble() * Math.min(told.stepMillis, soonest));
+		return new RetryAfter(Math.max(soonest, told.returnAt - now + late), true);
 	}
 
 	/**
 	 * Returns how much room a rank finds, in requests a millisecond: its own, and that of
 	 * less urgent ones, which it goes ahead of, and a little of the others'.
 	 */
-	private double room(long now, int rank) {
+	private double capacityPerMilli(long now, int rank) {
 		double all = 0;
 		double own = 0;
 		for (Map.Entry<Integer, RankFlow> each : this.flows.entrySet()) {
-			double rate = each.getValue().endRate(now);
+			double rate = each.getValue().endsPerMilli(now);
 			all += rate;
 			own += (each.getKey() >= rank) ? rate : 0;
 		}
-		return Math.max(own, LEAST_PART * all);
+		return Math.max(own, MIN_CAPACITY_RATIO * all);
 	}
 
-	private double waiting(long now, int rank) {
+	private double waitingRequests(long now, int rank) {
 		return this.flows.entrySet()
 			.stream()
 			.filter((each) -> each.getKey() <= rank)
-			.mapToDouble((each) -> each.getValue().waiting(now))
+			.mapToDouble((each) -> each.getValue().excessOpenRequests(now))
 			.sum();
 	}
 
@@ -125,15 +127,15 @@
 	 * Returns how many places are ahead of a caller: those of more urgent ranks, and in
 	 * its own rank one of each team for each that its team has.
 	 */
-	private double ahead(long now, Refused refused) {
+	private double reservationsAhead(long now, RefusedRequest refused) {
 		Map<String, Double> ofRank = new HashMap<>();
 		double ahead = 0;
-		for (Told each : this.places) {
+		for (Reservation each : this.reservations) {
 			if (each.refused.rank() < refused.rank()) {
-				ahead += each.taken(now);
+				ahead += each.remainingRatio(now);
 			}
 			else if (each.refused.rank() == refused.rank()) {
-				ofRank.merge(each.refused.team(), each.taken(now), Double::sum);
+				ofRank.merge(each.refused.team(), each.remainingRatio(now), Double::sum);
 			}
 		}
 		double own = ofRank.getOrDefault(refused.team(), 0.0);
@@ -145,20 +147,20 @@
 	 * Returns the part of the time that callers wait after which one without hope is to
 	 * return: more urgent ranks somewhat sooner.
 	 */
-	private double late(int rank) {
+	private double noCapacityRatio(int rank) {
 		int ranks = this.flows.size();
 		long before = this.flows.keySet().stream().filter((each) -> each < rank).count();
 		double part = ((ranks + 1) * this.random.nextDouble() + before) / (2 * ranks);
-		return HOPELESS_FROM + (1 - HOPELESS_FROM) * part;
+		return NO_CAPACITY_START_RATIO + (1 - NO_CAPACITY_START_RATIO) * part;
 	}
 
-	private long loneliest(long now, double first, double span) {
+	private long mostIsolatedMillis(long now, double first, double span) {
 		long best = Math.round(first);
 		long bestGap = -1;
 		for (int i = 0; i < DRAWS; i++) {
 			long drawn = Math.round(first + span * this.random.nextDouble());
-			long gap = this.places.stream()
-				.mapToLong((each) -> Math.abs(each.at - now - drawn))
+			long gap = this.reservations.stream()
+				.mapToLong((each) -> Math.abs(each.returnAt - now - drawn))
 				.min()
 				.orElse(Long.MAX_VALUE);
 			if (gap > bestGap) {
@@ -176,11 +178,11 @@
 	 * @param step for how long it has the room for returning callers
 	 * @param refused its request
 	 */
-	private record Told(long at, double step, Refused refused) {
+	private record Reservation(long returnAt, double stepMillis, RefusedRequest refused) {
 
 		/** Returns how much of the place is still ahead of others, 0 to 1. */
-		double taken(long now) {
-			return Math.clamp((this.at + this.step - now) / this.step, 0, 1);
+		double remainingRatio(long now) {
+			return Math.clamp((this.returnAt + this.stepMillis - now) / this.stepMillis, 0, 1);
 		}
 
 	}
--- a/core/src/test/java/org/gullsaddle/serve/LimitShareTests.java
+++ b/core/src/test/java/org/gullsaddle/serve/LimitShareTests.java
@@ -33,7 +33,7 @@
 	}
 
 	private static LimitShare share(double perSecond, int node, List<Peer> peers) {
-		int rank = LimitShare.rank(REPLICA, new NodeId("node-" + node), peers, PLACE).orElseThrow();
+		int rank = LimitShare.findNodePosition(REPLICA, new NodeId("node-" + node), peers, PLACE).orElseThrow();
 		return LimitShare.of(perSecond, rank, peers.size());
 	}
 
@@ -63,7 +63,7 @@
 
 	@Test
 	void nodeThatTheOthersDoNotKnowHasNoRank() {
-		assertThat(LimitShare.rank(REPLICA, new NodeId("node-4"), peers(4), PLACE)).isEmpty();
+		assertThat(LimitShare.findNodePosition(REPLICA, new NodeId("node-4"), peers(4), PLACE)).isEmpty();
 	}
 
 	@Test
--- a/core/src/test/java/org/gullsaddle/serve/ReplicaRulesTests.java
+++ b/core/src/test/java/org/gullsaddle/serve/ReplicaRulesTests.java
@@ -43,7 +43,7 @@
 
 	private final Place place = new Place("a", Map.of("a", "north", "b", "north", "c", "south"));
 
-	private final BackpressureBook book = new BackpressureBook(NODE, this.place,
+	private final BackpressureTable book = new BackpressureTable(NODE, this.place,
 			() -> Optional.of(List.of(new Peer(NODE, "a"))), new Random(1));
 
 	private final ReplicaRules rules = new ReplicaRules(this.directory, this.place, new ColdPace("node"), this.book,
@@ -190,8 +190,8 @@
 		}
 
 		private void rest(String dataCenter, String release) {
-			ReplicaRulesTests.this.book.heard(0, replica(dataCenter, release),
-					new Backpressure(new RateLimit.None(), 3000));
+			ReplicaRulesTests.this.book.onAnswer(0, replica(dataCenter, release),
+					new Backpressure(new RateLimit.Unlimited(), 3000));
 		}
 
 		/**
@@ -210,7 +210,8 @@
 			assertThat(ReplicaRulesTests.this.rules.whyNone(0, this.north)).isEqualTo(NoReplica.TRIED);
 			rest("b", "v1");
 			assertThat(ReplicaRulesTests.this.rules.whyNone(0, this.north)).isEqualTo(NoReplica.RESTING);
-			ReplicaRulesTests.this.book.heard(3000, replica("a", "v1"), Backpressure.of(new RateLimit.Named(0)));
+			ReplicaRulesTests.this.book.onAnswer(3000, replica("a", "v1"),
+					Backpressure.ofLimit(new RateLimit.Limited(0)));
 			assertThat(ReplicaRulesTests.this.rules.whyNone(2000, this.north)).isEqualTo(NoReplica.RESTING);
 		}
 
--- a/core/src/test/java/org/gullsaddle/serve/ReturnTimesTests.java
+++ b/core/src/test/java/org/gullsaddle/serve/RetryAfterSchedulerTests.java
@@ -15,7 +15,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.within;
 
-class ReturnTimesTests {
+class RetryAfterSchedulerTests {
 
 	private static final ServiceName SERVICE = new ServiceName("engines");
 
@@ -31,7 +31,7 @@
 
 	private final Random random = new Random(7);
 
-	private final List<ReturnTimes> nodes = new ArrayList<>();
+	private final List<RetryAfterScheduler> nodes = new ArrayList<>();
 
 	/** All that were told when to return. */
 	private final List<Told> told = new ArrayList<>();
@@ -40,16 +40,16 @@
 
 	private void nodes(int count) {
 		for (int i = 0; i < count; i++) {
-			this.nodes.add(new ReturnTimes(new Random(i)));
+			this.nodes.add(new RetryAfterScheduler(new Random(i)));
 		}
 	}
 
-	private ReturnTimes node() {
+	private RetryAfterScheduler node() {
 		return this.nodes.get(this.random.nextInt(this.nodes.size()));
 	}
 
-	private static Refused refused(int rank, String team, String content) {
-		return new Refused(SERVICE, rank, team, new Fingerprint(content));
+	private static RefusedRequest refused(int rank, String team, String content) {
+		return new RefusedRequest(SERVICE, rank, team, new Fingerprint(content));
 	}
 
 	/**
@@ -63,13 +63,13 @@
 			coming += times * ENDS / 100;
 			ending = Math.min(ending + ends * ENDS / 100, 20);
 			for (; coming >= 1; coming--) {
-				ReturnTimes node = node();
+				RetryAfterScheduler node = node();
 				double draw = this.random.nextDouble() * times;
 				int rank = (draw < 0.3) ? 0 : (draw < 0.5) ? 2 : 1;
-				node.opened(now, SERVICE, rank);
+				node.onRequestOpened(now, SERVICE, rank);
 				boolean ran = ending >= 1;
 				ending -= ran ? 1 : 0;
-				node.closed(now, SERVICE, rank, ran);
+				node.onRequestClosed(now, SERVICE, rank, ran);
 				if (!ran) {
 					refuse(now, node, refused(rank, "t" + this.random.nextInt(5), "c" + this.refusals++), LEFT);
 				}
@@ -77,9 +77,9 @@
 		}
 	}
 
-	private ReturnTime refuse(long now, ReturnTimes node, Refused refused, TimeLeft left) {
-		ReturnTime time = node.next(now, refused, SOONEST + this.random.nextLong(SOONEST), left);
-		this.told.add(new Told(now, time.millis(), refused.rank(), time.hope()));
+	private RetryAfter refuse(long now, RetryAfterScheduler node, RefusedRequest refused, TimeLeft left) {
+		RetryAfter time = node.schedule(now, refused, SOONEST + this.random.nextLong(SOONEST), left);
+		this.told.add(new Told(now, time.retryAfterMillis(), refused.rank(), time.capacityExpected()));
 		return time;
 	}
 
@@ -102,7 +102,7 @@
 	@Test
 	void nodeThatHasSeenNoEndsTellsTheSoonest() {
 		nodes(1);
-		assertThat(this.nodes.get(0).next(0, refused(0, "a", "c"), 300, LEFT)).isEqualTo(new ReturnTime(300, true));
+		assertThat(this.nodes.get(0).schedule(0, refused(0, "a", "c"), 300, LEFT)).isEqualTo(new RetryAfter(300, true));
 	}
 
 	@Test
@@ -110,8 +110,8 @@
 		nodes(1);
 		load(0, 20_000, 0.9, 1);
 		load(20_000, 40_000, 0.9, 0);
-		ReturnTime time = refuse(40_000, node(), refused(1, "a", "c"), new TimeLeft(9000, -1));
-		assertThat(time.millis()).isBetween(USEFUL, 3000L);
+		RetryAfter time = refuse(40_000, node(), refused(1, "a", "c"), new TimeLeft(9000, -1));
+		assertThat(time.retryAfterMillis()).isBetween(USEFUL, 3000L);
 	}
 
 	/**
@@ -121,12 +121,12 @@
 	void teamOfManyReturningCallersDoesNotDelayAnothers() {
 		nodes(1);
 		load(0, 20_000, 0.9, 1);
-		ReturnTimes node = node();
+		RetryAfterScheduler node = node();
 		long large = 0;
 		for (int i = 0; i < 18; i++) {
-			large = node.next(20_000, refused(2, "large", "l" + i), SOONEST, LEFT).millis();
+			large = node.schedule(20_000, refused(2, "large", "l" + i), SOONEST, LEFT).retryAfterMillis();
 		}
-		long small = node.next(20_000, refused(2, "small", "s"), SOONEST, LEFT).millis();
+		long small = node.schedule(20_000, refused(2, "small", "s"), SOONEST, LEFT).retryAfterMillis();
 		assertThat(small).isLessThan(large / 2);
 	}
 
@@ -169,15 +169,16 @@
 		@ValueSource(ints = { 4, 22, 340 })
 		void timesAreNeverTooSoonOrTooLate(int count) {
 			burst(count);
-			assertThat(ReturnTimesTests.this.told).allMatch((each) -> each.millis >= SOONEST && each.millis <= USEFUL);
+			assertThat(RetryAfterSchedulerTests.this.told)
+				.allMatch((each) -> each.millis >= SOONEST && each.millis <= USEFUL);
 		}
 
 		/** Guards against a node that goes on to send callers away once there is room. */
 		@Test
 		void whatIsRefusedLaterReturnsAsSoonAsBefore() {
 			burst(4);
-			ReturnTime time = refuse(36_000, node(), refused(1, "a", "late"), LEFT);
-			assertThat(time.millis()).isLessThan(3 * SOONEST);
+			RetryAfter time = refuse(36_000, node(), refused(1, "a", "late"), LEFT);
+			assertThat(time.retryAfterMillis()).isLessThan(3 * SOONEST);
 		}
 
 	}
@@ -188,17 +189,17 @@
 	@Nested
 	class WhenACallerPresses {
 
-		private ReturnTimes node;
+		private RetryAfterScheduler node;
 
 		private void open() {
-			ReturnTimesTests.this.nodes.clear();
+			RetryAfterSchedulerTests.this.nodes.clear();
 			nodes(1);
 			load(0, 20_000, 0.9, 1);
 			this.node = node();
 		}
 
-		private ReturnTime next(long now, String content) {
-			return this.node.next(now, refused(2, "a", content), SOONEST, LEFT);
+		private RetryAfter next(long now, String content) {
+			return this.node.schedule(now, refused(2, "a", content), SOONEST, LEFT);
 		}
 
 		/** Guards against callers that gain by coming before their time. */
@@ -206,9 +207,9 @@
 		void itIsNotServedSoonerForIt() {
 			open();
 			next(20_000, "other");
-			long at = 20_000 + next(20_000, "pressing").millis();
+			long at = 20_000 + next(20_000, "pressing").retryAfterMillis();
 			for (int i = 1; i <= 3; i++) {
-				assertThat(20_000 + i + next(20_000 + i, "pressing").millis()).isGreaterThanOrEqualTo(at);
+				assertThat(20_000 + i + next(20_000 + i, "pressing").retryAfterMillis()).isGreaterThanOrEqualTo(at);
 			}
 		}
 
@@ -217,7 +218,7 @@
 			for (int i = 0; i <= times; i++) {
 				next(20_000, "pressing");
 			}
-			return next(20_010, "other").millis();
+			return next(20_010, "other").retryAfterMillis();
 		}
 
 		/** Guards against callers that lose their places to those that press. */
@@ -240,9 +241,9 @@
 			nodes(4);
 			load(0, 20_000, 0.9, 1);
 			load(20_000, 40_000, 0.9, 0);
-			ReturnTime time = refuse(40_000, node(), refused(1, "a", "c"), LEFT);
-			assertThat(time.hope()).isFalse();
-			assertThat(time.millis()).isBetween(USEFUL / 2, USEFUL);
+			RetryAfter time = refuse(40_000, node(), refused(1, "a", "c"), LEFT);
+			assertThat(time.capacityExpected()).isFalse();
+			assertThat(time.retryAfterMillis()).isBetween(USEFUL / 2, USEFUL);
 		}
 
 		/** Guards against a rate that stays at zero once replicas are back. */
@@ -252,9 +253,9 @@
 			load(0, 20_000, 0.9, 1);
 			load(20_000, 40_000, 0.9, 0);
 			load(40_000, 50_000, 0.9, 1);
-			ReturnTime time = refuse(50_000, node(), refused(1, "a", "c"), LEFT);
-			assertThat(time.hope()).isTrue();
-			assertThat(time.millis()).isLessThan(3 * SOONEST);
+			RetryAfter time = refuse(50_000, node(), refused(1, "a", "c"), LEFT);
+			assertThat(time.capacityExpected()).isTrue();
+			assertThat(time.retryAfterMillis()).isLessThan(3 * SOONEST);
 		}
 
 	}
--- a/core/src/test/java/org/gullsaddle/serve/SharedLimitFuzzTests.java
+++ b/core/src/test/java/org/gullsaddle/serve/SharedLimitFuzzTests.java
@@ -220,7 +220,7 @@
 				return Backpressure.NONE;
 			}
 			double perSecond = this.lowest + (this.highest - this.lowest) * this.random.nextDouble();
-			return Backpressure.of(new RateLimit.Named(perSecond));
+			return Backpressure.ofLimit(new RateLimit.Limited(perSecond));
 		}
 
 		private void arrived(Node from) {
@@ -274,9 +274,9 @@
 
 			private final long clockOffset = World.this.random.nextLong(1_000_000);
 
-			private BackpressureBook book;
+			private BackpressureTable book;
 
-			private LimitNews news;
+			private LimitNoteExchange news;
 
 			private boolean due;
 
@@ -294,24 +294,24 @@
 			private void start() {
 				this.life++;
 				this.toldAt = NEVER;
-				this.book = new BackpressureBook(this.id, PLACE, () -> knownTo(this), World.this.random);
-				this.news = new LimitNews(this.book, World.this.random);
+				this.book = new BackpressureTable(this.id, PLACE, () -> knownTo(this), World.this.random);
+				this.news = new LimitNoteExchange(this.book, World.this.random);
 				World.this.lastNote.ifPresent(this::learned);
 			}
 
 			private void tell(int ownLife) {
 				this.due = false;
 				if (ownLife == this.life) {
-					this.news.toTell(REPLICA.id()).ifPresent(World.this::write);
+					this.news.findNoteToWrite(REPLICA.id()).ifPresent(World.this::write);
 				}
 			}
 
 			void learned(LimitNote note) {
 				int ownLife = this.life;
-				this.news.learned(clock(), REPLICA.id(), note, Optional.of(REPLICA))
+				this.news.onNote(clock(), REPLICA.id(), note, Optional.of(REPLICA))
 					.ifPresent((millis) -> in(millis, () -> {
 						if (ownLife == this.life) {
-							this.news.listed(clock(), REPLICA);
+							this.news.onReplicaListed(clock(), REPLICA);
 						}
 					}));
 			}
@@ -329,16 +329,16 @@
 				}
 				// Without a limit it sends less, as the replica is one of many.
 				boolean wants = this.book.limit(REPLICA).isPresent() || World.this.random.nextInt(200) == 0;
-				if (wants && this.book.takes(clock(), REPLICA)) {
-					Admission admission = this.book.admit(clock(), REPLICA);
+				if (wants && this.book.canSend(clock(), REPLICA)) {
+					SendPermission admission = this.book.admit(clock(), REPLICA);
 					int ownLife = this.life;
 					long connects = (World.this.random.nextInt(5) == 0) ? World.this.random.nextLong(500) : 0;
 					in(connects, () -> connected(admission, ownLife));
 				}
 			}
 
-			private void connected(Admission admission, int ownLife) {
-				if (ownLife == this.life && this.book.mayStillSend(clock(), REPLICA, admission)) {
+			private void connected(SendPermission admission, int ownLife) {
+				if (ownLife == this.life && this.book.canStillSend(clock(), REPLICA, admission)) {
 					in(World.this.random.nextLong(40), () -> arrive(ownLife));
 				}
 			}
@@ -355,13 +355,13 @@
 				if (ownLife != this.life) {
 					return;
 				}
-				this.news.heard(clock(), REPLICA, answer).ifPresent((millis) -> {
+				this.news.onAnswer(clock(), REPLICA, answer).ifPresent((millis) -> {
 					if (!this.due) {
 						this.due = true;
 						in(millis, () -> tell(ownLife));
 					}
 				});
-				if (answer.limit() instanceof RateLimit.Named && this.toldAt == NEVER) {
+				if (answer.limit() instanceof RateLimit.Limited && this.toldAt == NEVER) {
 					this.toldAt = World.this.now;
 				}
 			}
--- a/daemon/src/main/java/org/gullsaddle/gateway/Attempt.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/Attempt.java
@@ -12,9 +12,9 @@
 import io.vertx.core.http.HttpMethod;
 import io.vertx.core.http.RequestOptions;
 
-import org.gullsaddle.serve.Admission;
 import org.gullsaddle.serve.AttemptEnd;
 import org.gullsaddle.serve.Choice;
+import org.gullsaddle.serve.SendPermission;
 
 /**
  * One attempt at one replica, over one connection. Tells its listener of the head, the
@@ -26,7 +26,7 @@
 
 	private final Choice choice;
 
-	private final Admission admission;
+	private final SendPermission admission;
 
 	private final long coldMillis;
 
@@ -73,8 +73,8 @@
 
 	private long headAt = this.startedAt;
 
-	Attempt(Choice choice, Admission admission, long coldMillis, String attemptId, ChannelPool pool, HeaderCodec codec,
-			Listener listener) {
+	Attempt(Choice choice, SendPermission admission, long coldMillis, String attemptId, ChannelPool pool,
+			HeaderCodec codec, Listener listener) {
 		this.choice = choice;
 		this.admission = admission;
 		this.coldMillis = coldMillis;
@@ -323,7 +323,7 @@
 	/**
 	 * Returns whether it might be sent when the replica was chosen.
 	 */
-	Admission admission() {
+	SendPermission admission() {
 		return this.admission;
 	}
 
--- a/daemon/src/main/java/org/gullsaddle/gateway/BackpressureController.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/BackpressureController.java
@@ -15,9 +15,9 @@
 import org.gullsaddle.fleet.FleetChange;
 import org.gullsaddle.fleet.Replica;
 import org.gullsaddle.fleet.ReplicaId;
-import org.gullsaddle.serve.BackpressureBook;
-import org.gullsaddle.serve.LimitNews;
+import org.gullsaddle.serve.BackpressureTable;
 import org.gullsaddle.serve.LimitNote;
+import org.gullsaddle.serve.LimitNoteExchange;
 import org.gullsaddle.store.Store;
 import org.gullsaddle.telemetry.Telemetry;
 
@@ -42,9 +42,9 @@
 
 	private final FleetState fleet;
 
-	private final BackpressureBook book;
+	private final BackpressureTable book;
 
-	private final LimitNews news;
+	private final LimitNoteExchange news;
 
 	private final DecisionLog log;
 
@@ -55,20 +55,20 @@
 	/** Replicas of which something is to be told soon. */
 	private final Set<ReplicaId> due = new HashSet<>();
 
-	BackpressureController(Vertx vertx, Store store, FleetState fleet, BackpressureBook book, DecisionLog log,
+	BackpressureController(Vertx vertx, Store store, FleetState fleet, BackpressureTable book, DecisionLog log,
 			Telemetry telemetry) {
 		this.vertx = vertx;
 		this.store = store;
 		this.fleet = fleet;
 		this.book = book;
-		this.news = new LimitNews(book, RandomGenerator.getDefault());
+		this.news = new LimitNoteExchange(book, RandomGenerator.getDefault());
 		this.log = log;
 		this.telemetry = telemetry;
 		telemetry.gauge("replicas.limited", this.book::countLimited);
-		telemetry.gauge("replicas.resting", () -> this.book.countResting(Clock.millis()));
+		telemetry.gauge("replicas.resting", () -> this.book.countBackingOff(Clock.millis()));
 	}
 
-	BackpressureBook book() {
+	BackpressureTable book() {
 		return this.book;
 	}
 
@@ -82,11 +82,11 @@
 				this.log.leaving(replica.id());
 				this.telemetry.count("replica.leavings.told");
 			}
-			if (answer.backpressure().restMillis() > 0) {
-				this.log.rest(replica.id(), answer.backpressure().restMillis());
+			if (answer.backpressure().backOffMillis() > 0) {
+				this.log.rest(replica.id(), answer.backpressure().backOffMillis());
 				this.telemetry.count("replica.rests.asked");
 			}
-			applyAndLog(replica, "answer", () -> this.news.heard(Clock.millis(), replica, answer.backpressure())
+			applyAndLog(replica, "answer", () -> this.news.onAnswer(Clock.millis(), replica, answer.backpressure())
 				.ifPresent((millis) -> tellIn(millis, replica.id())));
 		}
 	}
@@ -104,7 +104,7 @@
 	}
 
 	private void listed(Replica replica) {
-		applyAndLog(replica, "note", () -> this.news.listed(Clock.millis(), replica));
+		applyAndLog(replica, "note", () -> this.news.onReplicaListed(Clock.millis(), replica));
 	}
 
 	private void learn(FleetChange.Noted noted) {
@@ -112,7 +112,7 @@
 		Optional<Replica> listed = this.fleet.directory().find(id);
 		try {
 			LimitNote note = Json.read(noted.value(), LimitNote.class);
-			Runnable learn = () -> this.news.learned(Clock.millis(), id, note, listed)
+			Runnable learn = () -> this.news.onNote(Clock.millis(), id, note, listed)
 				.ifPresent((millis) -> this.vertx.setTimer(millis,
 						(timer) -> this.fleet.directory().find(id).ifPresent(this::listed)));
 			listed.ifPresentOrElse((replica) -> applyAndLog(replica, "note", learn), learn);
@@ -148,8 +148,8 @@
 			tellIn(AGAIN_MILLIS, id);
 			return;
 		}
-		this.news.toTell(id).ifPresent((told) -> note.write(Json.write(told), () -> {
-			this.news.notWritten(id);
+		this.news.findNoteToWrite(id).ifPresent((told) -> note.write(Json.write(told), () -> {
+			this.news.onWriteFailed(id);
 			tellIn(AGAIN_MILLIS, id);
 		}));
 	}
@@ -158,7 +158,7 @@
 	 * Says whether a replica may be asked for its load.
 	 */
 	boolean mayAsk(Replica replica) {
-		return this.book.mayAsk(Clock.millis(), replica) && !this.fleet.directory().leaving(replica);
+		return this.book.canAskForLoad(Clock.millis(), replica) && !this.fleet.directory().leaving(replica);
 	}
 
 	/**
--- a/daemon/src/main/java/org/gullsaddle/gateway/Gateway.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/Gateway.java
@@ -17,7 +17,7 @@
 import org.gullsaddle.fleet.ReplicaId;
 import org.gullsaddle.fleet.RouteKind;
 import org.gullsaddle.serve.AttemptEnd;
-import org.gullsaddle.serve.BackpressureBook;
+import org.gullsaddle.serve.BackpressureTable;
 import org.gullsaddle.serve.ColdPace;
 import org.gullsaddle.serve.ReplicaRules;
 import org.gullsaddle.store.Store;
@@ -109,7 +109,7 @@
 		this.coldPace = new ColdPace(this.settings.node());
 		this.pool = new ChannelPool(vertx);
 		this.nodes = new NodeRegister(vertx, builder.store, this.settings, () -> this.fleet.directory().storeAway());
-		BackpressureBook book = new BackpressureBook(new NodeId(this.settings.node()), this.settings.place(),
+		BackpressureTable book = new BackpressureTable(new NodeId(this.settings.node()), this.settings.place(),
 				this.nodes::peers, RandomGenerator.getDefault());
 		this.backpressure = new BackpressureController(vertx, builder.store, this.fleet, book, this.log,
 				this.telemetry);
--- a/daemon/src/main/java/org/gullsaddle/gateway/ReplicaChooser.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/ReplicaChooser.java
@@ -11,12 +11,12 @@
 
 import org.gullsaddle.fleet.Replica;
 import org.gullsaddle.fleet.ReplicaId;
-import org.gullsaddle.serve.Admission;
 import org.gullsaddle.serve.Choice;
 import org.gullsaddle.serve.Delay;
 import org.gullsaddle.serve.Hopeless;
 import org.gullsaddle.serve.ReplicaPicker;
 import org.gullsaddle.serve.ReplicaRules;
+import org.gullsaddle.serve.SendPermission;
 import org.gullsaddle.serve.Task;
 import org.gullsaddle.suspect.CrashBook;
 import org.gullsaddle.suspect.Trait;
@@ -74,16 +74,16 @@
 	/**
 	 * Gives the request to a replica.
 	 */
-	Admission admit(Replica replica) {
+	SendPermission admit(Replica replica) {
 		return this.gateway.backpressure().book().admit(Clock.millis(), replica);
 	}
 
 	/**
 	 * Says whether a replica that was given the request may still be sent it.
 	 */
-	boolean stillOpen(Replica chosen, Admission admission, String model) {
+	boolean stillOpen(Replica chosen, SendPermission admission, String model) {
 		return !refused(model) && this.gateway.fleet().directory().stillTakes(Clock.millis(), chosen)
-				&& this.gateway.backpressure().book().mayStillSend(Clock.millis(), chosen, admission);
+				&& this.gateway.backpressure().book().canStillSend(Clock.millis(), chosen, admission);
 	}
 
 	/**
--- a/daemon/src/main/java/org/gullsaddle/gateway/Returns.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/Returns.java
@@ -2,9 +2,9 @@
 
 import java.util.random.RandomGenerator;
 
-import org.gullsaddle.serve.Refused;
-import org.gullsaddle.serve.ReturnTime;
-import org.gullsaddle.serve.ReturnTimes;
+import org.gullsaddle.serve.RefusedRequest;
+import org.gullsaddle.serve.RetryAfter;
+import org.gullsaddle.serve.RetryAfterScheduler;
 import org.gullsaddle.telemetry.Telemetry;
 
 /**
@@ -17,7 +17,7 @@
 
 	private final Telemetry telemetry;
 
-	private final ReturnTimes times = new ReturnTimes(RandomGenerator.getDefault());
+	private final RetryAfterScheduler times = new RetryAfterScheduler(RandomGenerator.getDefault());
 
 	Returns(boolean pressure, Telemetry telemetry) {
 		this.pressure = pressure;
@@ -26,7 +26,7 @@
 
 	void opened(ServedRequest request) {
 		if (this.pressure) {
-			this.times.opened(Clock.millis(), request.service(), request.rank());
+			this.times.onRequestOpened(Clock.millis(), request.service(), request.rank());
 		}
 	}
 
@@ -36,7 +36,7 @@
 	 */
 	void closed(ServedRequest request, boolean ran) {
 		if (this.pressure) {
-			this.times.closed(Clock.millis(), request.service(), request.rank(), ran);
+			this.times.onRequestClosed(Clock.millis(), request.service(), request.rank(), ran);
 		}
 	}
 
@@ -49,10 +49,11 @@
 			return soonest;
 		}
 		long now = Clock.millis();
-		Refused refused = new Refused(request.service(), request.rank(), request.teamName(), request.content());
-		ReturnTime time = this.times.next(now, refused, soonest, request.timeLeft(now));
-		this.telemetry.count(time.hope() ? "returns.told" : "returns.told.without.hope");
-		return time.millis();
+		RefusedRequest refused = new RefusedRequest(request.service(), request.rank(), request.teamName(),
+				request.content());
+		RetryAfter time = this.times.schedule(now, refused, soonest, request.timeLeft(now));
+		this.telemetry.count(time.capacityExpected() ? "returns.told" : "returns.told.without.hope");
+		return time.retryAfterMillis();
 	}
 
 }
--- a/daemon/src/main/java/org/gullsaddle/gateway/Serving.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/Serving.java
@@ -16,12 +16,12 @@
 import org.gullsaddle.fleet.Route;
 import org.gullsaddle.fleet.RouteKind;
 import org.gullsaddle.fleet.ServiceName;
-import org.gullsaddle.serve.Admission;
 import org.gullsaddle.serve.AnswerKind;
 import org.gullsaddle.serve.AttemptEnd;
 import org.gullsaddle.serve.Choice;
 import org.gullsaddle.serve.ReplicaRules;
 import org.gullsaddle.serve.RetryRule;
+import org.gullsaddle.serve.SendPermission;
 import org.gullsaddle.serve.Task;
 
 /**
@@ -148,7 +148,7 @@
 		this.gateway.decisions().picker().sent(Clock.millis(), choice, this.task);
 		this.replicas.sent(choice.replica());
 		this.gateway.rollouts().sent(choice.replica());
-		Admission admission = this.replicas.admit(choice.replica());
+		SendPermission admission = this.replicas.admit(choice.replica());
 		Optional<String> lastEvent = this.relay.lastEvent().or(this.request.caller()::lastEvent);
 		Handover handover = Handover.of(this.request, choice.replica().id(), left, model(),
 				this.turn.urgency(Clock.millis(), choice, this.task), lastEvent);
