--- a/core/src/main/java/org/gullsaddle/route/Router.java
+++ b/core/src/main/java/org/gullsaddle/route/Router.java
@@ -448,7 +448,7 @@
 		}
 		return switch (reason) {
 			case LEAVING, STOPPING, FORBIDDEN -> true;
-			default -> this.retries.spend();
+			default -> this.retries.trySpend();
 		};
 	}
 
--- a/core/src/main/java/org/gullsaddle/serve/AttemptEnd.java
+++ b/core/src/main/java/org/gullsaddle/serve/AttemptEnd.java
@@ -10,10 +10,10 @@
 	 * @return {@code answered}, {@code failed}, {@code not-run}, {@code broken},
 	 * {@code withdrawn} or {@code dropped}
 	 */
-	default String word() {
+	default String metricLabel() {
 		return switch (this) {
 			case NotRun notRun -> "not-run";
-			case Answered answered -> answered.failure() ? "failed" : "answered";
+			case Answered answered -> answered.hasFailed() ? "failed" : "answered";
 			case Broken broken -> "broken";
 			case Withdrawn withdrawn -> "withdrawn";
 			case Dropped dropped -> "dropped";
@@ -24,7 +24,7 @@
 	 * Says why a request ends with it.
 	 * @return some words
 	 */
-	default String why() {
+	default String endReason() {
 		return switch (this) {
 			case NotRun notRun -> notRun.reason();
 			case Answered answered -> "answered";
@@ -56,7 +56,7 @@
 		 * Says whether the replica failed.
 		 * @return true for a status of 500 or more
 		 */
-		public boolean failure() {
+		public boolean hasFailed() {
 			return this.status >= SERVER_ERROR;
 		}
 
--- a/core/src/main/java/org/gullsaddle/serve/Hopeless.java
+++ b/core/src/main/java/org/gullsaddle/serve/DeadlineCheck.java
@@ -11,33 +11,33 @@
  * anywhere. Late answers are worth something too, so that an objective that is missed is
  * no reason. Confined to one thread.
  */
-public final class Hopeless {
+public final class DeadlineCheck {
 
 	/** The chance to begin below which a request counts as lost. */
-	private static final double LEAST_CHANCE = 0.05;
+	private static final double MIN_START_PROBABILITY = 0.05;
 
 	/** How many answers must have begun here for delays to be known. */
-	private static final int FEWEST_ANSWERS = 50;
+	private static final int MIN_ANSWERS = 50;
 
 	/** How long they say something, in milliseconds. */
-	private static final long FRESH_MILLIS = 10_000;
+	private static final long ANSWERS_VALID_MILLIS = 10_000;
 
 	/**
 	 * How often one is tried all the same, in milliseconds: where all were refused,
 	 * nothing would tell that there is room again.
 	 */
-	private static final long TRIAL_MILLIS = 500;
+	private static final long TRIAL_INTERVAL_MILLIS = 500;
 
-	private final Map<ServiceName, Known> services = new HashMap<>();
+	private final Map<ServiceName, ServiceAnswers> services = new HashMap<>();
 
 	/**
 	 * Notes that an answer has begun.
 	 * @param now the time in milliseconds
 	 * @param service the service
 	 */
-	public void began(long now, ServiceName service) {
-		Known known = this.services.computeIfAbsent(service, (missing) -> new Known());
-		known.answers++;
+	public void recordAnswerStarted(long now, ServiceName service) {
+		ServiceAnswers known = this.services.computeIfAbsent(service, (missing) -> new ServiceAnswers());
+		known.answerCount++;
 		known.answeredAt = now;
 	}
 
@@ -49,13 +49,13 @@
 	 * @param leftMillis the time that it has left, in milliseconds
 	 * @return true if it would not begin at any of them
 	 */
-	public boolean refuses(long now, ServiceName service, List<Choice> choices, long leftMillis) {
-		Known known = this.services.get(service);
-		if (known == null || !known.enough(now) || choices.isEmpty()
-				|| !choices.stream().allMatch((choice) -> lost(choice, leftMillis))) {
+	public boolean shouldRefuse(long now, ServiceName service, List<Choice> choices, long leftMillis) {
+		ServiceAnswers known = this.services.get(service);
+		if (known == null || !known.isReliable(now) || choices.isEmpty()
+				|| !choices.stream().allMatch((choice) -> isTooLate(choice, leftMillis))) {
 			return false;
 		}
-		if (now - known.triedAt >= TRIAL_MILLIS) {
+		if (now - known.triedAt >= TRIAL_INTERVAL_MILLIS) {
 			known.triedAt = now;
 			return false;
 		}
@@ -69,20 +69,20 @@
 	 * @param leftMillis the time left, in milliseconds
 	 * @return true if it is lost there
 	 */
-	public static boolean lost(Choice choice, long leftMillis) {
-		return choice.load().requests() >= 1 && choice.delay().chanceWithin(leftMillis) < LEAST_CHANCE;
+	public static boolean isTooLate(Choice choice, long leftMillis) {
+		return choice.load().requests() >= 1 && choice.delay().chanceWithin(leftMillis) < MIN_START_PROBABILITY;
 	}
 
-	private static final class Known {
+	private static final class ServiceAnswers {
 
-		private int answers;
+		private int answerCount;
 
 		private long answeredAt;
 
 		private long triedAt = Long.MIN_VALUE / 2;
 
-		boolean enough(long now) {
-			return this.answers >= FEWEST_ANSWERS && now - this.answeredAt <= FRESH_MILLIS;
+		boolean isReliable(long now) {
+			return this.answerCount >= MIN_ANSWERS && now - this.answeredAt <= ANSWERS_VALID_MILLIS;
 		}
 
 	}
--- a/core/src/main/java/org/gullsaddle/serve/RankFlow.java
+++ b/core/src/main/java/org/gullsaddle/serve/RankFlow.java
@@ -12,9 +12,9 @@
 	/** How long the usual number of open requests is remembered, in the same way. */
 	private static final double USUAL_HALF_LIFE_MILLIS = 30_000;
 
-	private final Recent recentRequests = new Recent(RECENT_HALF_LIFE_MILLIS);
+	private final DecayingSum recentRequests = new DecayingSum(RECENT_HALF_LIFE_MILLIS);
 
-	private final Recent recentEnds = new Recent(RECENT_HALF_LIFE_MILLIS);
+	private final DecayingSum recentEnds = new DecayingSum(RECENT_HALF_LIFE_MILLIS);
 
 	private int endCount;
 
@@ -69,7 +69,7 @@
 	 * Returns how many requests end, a millisecond.
 	 */
 	double endsPerMilli(long now) {
-		return this.recentEnds.rate(now);
+		return this.recentEnds.ratePerMilli(now);
 	}
 
 	double recentRequestCount(long now) {
--- a/core/src/main/java/org/gullsaddle/serve/ReplicaPicker.java
+++ b/core/src/main/java/org/gullsaddle/serve/ReplicaPicker.java
@@ -307,7 +307,7 @@
 		state.ended();
 		switch (end) {
 			case AttemptEnd.Answered answered -> {
-				if (answered.failure()) {
+				if (answered.hasFailed()) {
 					state.failed(now);
 				}
 				else {
--- a/core/src/main/java/org/gullsaddle/serve/RetryAfterScheduler.java
+++ b/core/src/main/java/org/gullsaddle/serve/RetryAfterScheduler.java
@@ -57,7 +57,7 @@
 	 * @param left the time that it has left
 	 * @return the time, without hope if no room is expected while it is useful
 	 */
-	public RetryAfter schedule(long now, RefusedRequest refused, long soonestMillis, TimeLeft left) {
+	public RetryAfter schedule(long now, RefusedRequest refused, long soonestMillis, RemainingTime left) {
 		return scheduleOf(refused.service()).schedule(now, refused, soonestMillis, left);
 	}
 
--- a/core/src/main/java/org/gullsaddle/serve/RetryBudget.java
+++ b/core/src/main/java/org/gullsaddle/serve/RetryBudget.java
@@ -11,36 +11,36 @@
  */
 public final class RetryBudget {
 
-	private static final double MAX_SAVED = 20;
+	private static final double MAX_SAVED_RETRIES = 20;
 
-	private final double share;
+	private final double retriesPerRequest;
 
-	private double saved = MAX_SAVED / 4;
+	private double savedRetries = MAX_SAVED_RETRIES / 4;
 
 	/**
 	 * Makes a budget.
 	 * @param share the retries that each request earns
 	 */
 	public RetryBudget(double share) {
-		this.share = share;
+		this.retriesPerRequest = share;
 	}
 
 	/**
 	 * Notes a request's first attempt.
 	 */
 	public void earn() {
-		this.saved = Math.min(MAX_SAVED, this.saved + this.share);
+		this.savedRetries = Math.min(MAX_SAVED_RETRIES, this.savedRetries + this.retriesPerRequest);
 	}
 
 	/**
 	 * Takes a retry out of the budget.
 	 * @return true if there was one
 	 */
-	public boolean spend() {
-		if (this.saved < 1) {
+	public boolean trySpend() {
+		if (this.savedRetries < 1) {
 			return false;
 		}
-		this.saved--;
+		this.savedRetries--;
 		return true;
 	}
 
--- a/core/src/main/java/org/gullsaddle/serve/RetryRule.java
+++ b/core/src/main/java/org/gullsaddle/serve/RetryPolicy.java
@@ -6,10 +6,10 @@
 /**
  * Decides whether a request is tried again after an attempt, and what may be said of it.
  */
-public final class RetryRule {
+public final class RetryPolicy {
 
 	/** How much time a second attempt needs to be worth its work, in milliseconds. */
-	private static final long WORTH_MILLIS = 50;
+	private static final long MIN_ATTEMPT_MILLIS = 50;
 
 	/**
 	 * How many replicas that refuse or cannot be reached are tried for one request. Each
@@ -29,7 +29,7 @@
 	 * Makes the rule for one request.
 	 * @param route its route
 	 */
-	public RetryRule(Route route) {
+	public RetryPolicy(Route route) {
 		this.route = route;
 	}
 
@@ -37,17 +37,17 @@
 	 * Takes in an attempt's end.
 	 * @param end the end
 	 */
-	public void ended(AttemptEnd end) {
+	public void onAttemptEnded(AttemptEnd end) {
 		switch (end) {
 			case AttemptEnd.NotRun notRun -> this.refusals++;
-			case AttemptEnd.Answered answered -> ran(Verdict.RAN);
-			case AttemptEnd.Broken broken -> ran(Verdict.MAY_HAVE_RUN);
-			case AttemptEnd.Withdrawn withdrawn -> ran(Verdict.MAY_HAVE_RUN);
-			case AttemptEnd.Dropped dropped -> ran(Verdict.MAY_HAVE_RUN);
+			case AttemptEnd.Answered answered -> recordRun(Verdict.RAN);
+			case AttemptEnd.Broken broken -> recordRun(Verdict.MAY_HAVE_RUN);
+			case AttemptEnd.Withdrawn withdrawn -> recordRun(Verdict.MAY_HAVE_RUN);
+			case AttemptEnd.Dropped dropped -> recordRun(Verdict.MAY_HAVE_RUN);
 		}
 	}
 
-	private void ran(Verdict attempt) {
+	private void recordRun(Verdict attempt) {
 		this.runs++;
 		this.verdict = this.verdict.and(attempt);
 	}
@@ -65,8 +65,8 @@
 	 * @param leftMillis the time left in milliseconds
 	 * @return true if one more attempt is allowed after it
 	 */
-	public boolean mayDrop(long leftMillis) {
-		return leftMillis >= WORTH_MILLIS && this.runs + 1 < this.route.maxAttempts() && this.route.repeatable();
+	public boolean canDropAnswer(long leftMillis) {
+		return leftMillis >= MIN_ATTEMPT_MILLIS && this.runs + 1 < this.route.maxAttempts() && this.route.repeatable();
 	}
 
 	/**
@@ -75,15 +75,15 @@
 	 * @return true if one more attempt is allowed after it, and one after that if the
 	 * next replica refuses it
 	 */
-	public boolean mayMove(long leftMillis) {
-		return mayDrop(leftMillis) && this.refusals < MAX_REFUSALS;
+	public boolean canMoveAttempt(long leftMillis) {
+		return canDropAnswer(leftMillis) && this.refusals < MAX_REFUSALS;
 	}
 
 	/**
 	 * Says whether the attempt after the one under way would be the last that is allowed.
 	 * @return true if it would
 	 */
-	public boolean nextIsLast() {
+	public boolean isNextAttemptLast() {
 		return this.runs + 2 >= this.route.maxAttempts();
 	}
 
@@ -92,8 +92,8 @@
 	 * @param leftMillis the time left in milliseconds
 	 * @return true if it is
 	 */
-	public boolean mayTryAgain(long leftMillis) {
-		if (leftMillis < WORTH_MILLIS || this.runs >= this.route.maxAttempts() || this.refusals > MAX_REFUSALS) {
+	public boolean canRetry(long leftMillis) {
+		if (leftMillis < MIN_ATTEMPT_MILLIS || this.runs >= this.route.maxAttempts() || this.refusals > MAX_REFUSALS) {
 			return false;
 		}
 		return this.verdict == Verdict.NOT_RUN || this.route.repeatable();
--- a/core/src/main/java/org/gullsaddle/serve/ServiceRetrySchedule.java
+++ b/core/src/main/java/org/gullsaddle/serve/ServiceRetrySchedule.java
@@ -51,7 +51,7 @@
 		return this.flows.computeIfAbsent(rank, (missing) -> new RankFlow());
 	}
 
-	RetryAfter schedule(long now, RefusedRequest refused, long soonest, TimeLeft left) {
+	RetryAfter schedule(long now, RefusedRequest refused, long soonest, RemainingTime left) {
 		if (!hasEnoughData(now)) {
 			return new RetryAfter(soonest, true);
 		}
@@ -63,7 +63,7 @@
 		double room = capacityPerMilli(now, refused.rank());
 		double step = 1 / (room * RETURNING_CALLERS_RATIO);
 		double first = soonest + waitingRequests(now, refused.rank()) / room + step * reservationsAhead(now, refused);
-		double last = left.useful();
+		double last = left.usefulMillis();
 		// Many nodes have a turn in some seconds only: each begins somewhere in its
 		// first.
 		double drawn = first + step * this.random.nextDouble();
--- a/core/src/main/java/org/gullsaddle/serve/FairShare.java
+++ b/core/src/main/java/org/gullsaddle/serve/TeamBurstDetector.java
@@ -13,38 +13,38 @@
  * team sends beyond twice its share is queued behind its rank's other requests; nothing
  * is refused for it.
  */
-public final class FairShare {
+public final class TeamBurstDetector {
 
 	/** How long recent requests count, as the time until half are forgotten. */
-	private static final double RECENT_MILLIS = 2000;
+	private static final double RECENT_HALF_LIFE_MILLIS = 2000;
 
 	/**
 	 * How long a team's usual share is remembered, in the same way; what is recent does
 	 * not count as usual yet.
 	 */
-	private static final double USUAL_MILLIS = 60_000;
+	private static final double USUAL_HALF_LIFE_MILLIS = 60_000;
 
 	/** How many times its share a team may send. */
-	private static final double MOST = 2;
+	private static final double MAX_SHARE_RATIO = 2;
 
 	/**
 	 * How many recent requests there must be for shares to mean something: with fewer,
 	 * two requests of one team in a row look like a burst, and no queue is long.
 	 */
-	private static final double FEWEST = 12;
+	private static final double MIN_RECENT_REQUESTS = 12;
 
-	private final Map<TeamId, Counts> teams = new HashMap<>();
+	private final Map<TeamId, RequestCounts> teams = new HashMap<>();
 
-	private final Counts all = new Counts();
+	private final RequestCounts total = new RequestCounts();
 
 	/**
 	 * Counts a request.
 	 * @param team whose it is
 	 * @param now the time in milliseconds
 	 */
-	public void sent(TeamId team, long now) {
-		this.teams.computeIfAbsent(team, (missing) -> new Counts()).add(now);
-		this.all.add(now);
+	public void recordRequest(TeamId team, long now) {
+		this.teams.computeIfAbsent(team, (missing) -> new RequestCounts()).add(now);
+		this.total.add(now);
 	}
 
 	/**
@@ -54,40 +54,40 @@
 	 * @param now the time in milliseconds
 	 * @return true if its requests are to wait for others of their rank
 	 */
-	public boolean over(TeamId team, long now) {
-		Counts counts = this.teams.get(team);
-		this.all.forget(now);
-		if (counts == null || this.all.recent < FEWEST) {
+	public boolean isBursting(TeamId team, long now) {
+		RequestCounts counts = this.teams.get(team);
+		this.total.decay(now);
+		if (counts == null || this.total.recent < MIN_RECENT_REQUESTS) {
 			return false;
 		}
-		counts.forget(now);
-		double before = Math.max(1, this.all.usual - this.all.recent);
+		counts.decay(now);
+		double before = Math.max(1, this.total.usual - this.total.recent);
 		double usual = Math.max((counts.usual - counts.recent) / before, 1.0 / this.teams.size());
-		return counts.recent / this.all.recent > MOST * usual;
+		return counts.recent / this.total.recent > MAX_SHARE_RATIO * usual;
 	}
 
 	/**
 	 * Requests counted, older ones less.
 	 */
-	private static final class Counts {
+	private static final class RequestCounts {
 
 		private double recent;
 
 		private double usual;
 
-		private long at;
+		private long updatedAt;
 
 		void add(long now) {
-			forget(now);
+			decay(now);
 			this.recent++;
 			this.usual++;
 		}
 
-		void forget(long now) {
-			double passed = Math.max(0, now - this.at);
-			this.recent *= Math.pow(0.5, passed / RECENT_MILLIS);
-			this.usual *= Math.pow(0.5, passed / USUAL_MILLIS);
-			this.at = Math.max(this.at, now);
+		void decay(long now) {
+			double passed = Math.max(0, now - this.updatedAt);
+			this.recent *= Math.pow(0.5, passed / RECENT_HALF_LIFE_MILLIS);
+			this.usual *= Math.pow(0.5, passed / USUAL_HALF_LIFE_MILLIS);
+			this.updatedAt = Math.max(this.updatedAt, now);
 		}
 
 	}
--- a/core/src/main/java/org/gullsaddle/serve/WorkShares.java
+++ b/core/src/main/java/org/gullsaddle/serve/WorkShares.java
@@ -17,33 +17,33 @@
 public final class WorkShares {
 
 	/** How long work counts, as the time until half is forgotten. */
-	static final double RECENT_MILLIS = 4000;
+	static final double HALF_LIFE_MILLIS = 4000;
 
 	/**
 	 * How many requests must have ended for what is done to mean something, and how many
 	 * must have come lately.
 	 */
-	private static final int FEWEST = 12;
+	private static final int MIN_REQUESTS = 12;
 
 	/** With less asked beyond what is done, queues stay short. */
-	private static final double SLACK = 1.25;
+	private static final double OVERLOAD_RATIO = 1.25;
 
 	/**
 	 * The part of what a rank asks for that it is taken to get at least, also where
 	 * nothing ends.
 	 */
-	private static final double LEAST_PART = 0.25;
+	private static final double MIN_CAPACITY_RATIO = 0.25;
 
 	/** How many tokens are read in the time that a token takes to be written. */
-	private static final int READ_PER_WRITTEN = 10;
+	private static final int PROMPT_TOKENS_PER_OUTPUT_TOKEN = 10;
 
 	private final Map<Integer, RankShares> ranks = new TreeMap<>();
 
-	private final Recent done = new Recent(RECENT_MILLIS);
+	private final DecayingSum recentWorkDone = new DecayingSum(HALF_LIFE_MILLIS);
 
-	private final Recent requests = new Recent(RECENT_MILLIS);
+	private final DecayingSum recentRequests = new DecayingSum(HALF_LIFE_MILLIS);
 
-	private int ended;
+	private int endedRequests;
 
 	/**
 	 * Counts a request that is sent to an engine.
@@ -53,10 +53,10 @@
 	 * @param work its work
 	 * @return true if it is beyond its team's share, and waits for others of its rank
 	 */
-	public boolean sent(long now, TeamId team, int rank, double work) {
-		boolean over = over(now, team, rank);
-		this.requests.add(now, 1);
-		this.ranks.computeIfAbsent(rank, (missing) -> new RankShares()).sent(now, team, work, over);
+	public boolean recordSent(long now, TeamId team, int rank, double work) {
+		boolean over = isOverShare(now, team, rank);
+		this.recentRequests.add(now, 1);
+		this.ranks.computeIfAbsent(rank, (missing) -> new RankShares()).recordSent(now, team, work, over);
 		return over;
 	}
 
@@ -65,9 +65,9 @@
 	 * @param now the time in milliseconds
 	 * @param work its work
 	 */
-	public void ended(long now, double work) {
-		this.ended++;
-		this.done.add(now, work);
+	public void endedRequests(long now, double work) {
+		this.endedRequests++;
+		this.recentWorkDone.add(now, work);
 	}
 
 	/**
@@ -77,27 +77,27 @@
 	 * @param rank the rank of its request, 0 first
 	 * @return true if what it asks for now is beyond its share
 	 */
-	public boolean over(long now, TeamId team, int rank) {
+	public boolean isOverShare(long now, TeamId team, int rank) {
 		RankShares shares = this.ranks.get(rank);
-		return shares != null && this.ended >= FEWEST && tooMuch(now)
-				&& shares.over(now, team, room(now, rank, shares));
+		return shares != null && this.endedRequests >= MIN_REQUESTS && isOverloaded(now)
+				&& shares.isOverLevel(now, team, capacity(now, rank, shares));
 	}
 
 	/**
 	 * Says whether more is asked for than engines get done. Few requests make no queue.
 	 */
-	private boolean tooMuch(long now) {
-		double asked = this.ranks.values().stream().mapToDouble((each) -> each.asked(now)).sum();
-		return this.requests.sum(now) >= FEWEST && asked > SLACK * this.done.sum(now);
+	private boolean isOverloaded(long now) {
+		double asked = this.ranks.values().stream().mapToDouble((each) -> each.requestedWork(now)).sum();
+		return this.recentRequests.sum(now) >= MIN_REQUESTS && asked > OVERLOAD_RATIO * this.recentWorkDone.sum(now);
 	}
 
-	private double room(long now, int rank, RankShares shares) {
+	private double capacity(long now, int rank, RankShares shares) {
 		double before = this.ranks.entrySet()
 			.stream()
 			.filter((each) -> each.getKey() < rank)
-			.mapToDouble((each) -> each.getValue().asked(now))
+			.mapToDouble((each) -> each.getValue().requestedWork(now))
 			.sum();
-		return Math.max(this.done.sum(now) - before, LEAST_PART * shares.asked(now));
+		return Math.max(this.recentWorkDone.sum(now) - before, MIN_CAPACITY_RATIO * shares.requestedWork(now));
 	}
 
 	/**
@@ -106,8 +106,9 @@
 	 * @param task what is to be done
 	 * @return the work, at least 1
 	 */
-	public static double work(int unreadTokens, Task task) {
-		return Math.max(1, (unreadTokens + READ_PER_WRITTEN * task.prompt().likelyOutput()) * task.pace());
+	public static double workOf(int unreadTokens, Task task) {
+		return Math.max(1,
+				(unreadTokens + PROMPT_TOKENS_PER_OUTPUT_TOKEN * task.prompt().likelyOutput()) * task.pace());
 	}
 
 	/**
@@ -115,47 +116,51 @@
 	 */
 	private static final class RankShares {
 
-		private static final long LEVEL_MILLIS = 100;
+		private static final long LEVEL_UPDATE_MILLIS = 100;
 
-		private final Map<TeamId, Use> teams = new HashMap<>();
+		private final Map<TeamId, TeamUse> teams = new HashMap<>();
 
-		private final Recent asked = new Recent(RECENT_MILLIS);
+		private final DecayingSum requestedWork = new DecayingSum(HALF_LIFE_MILLIS);
 
 		private double level = Double.MAX_VALUE;
 
-		private long levelAt = Long.MIN_VALUE / 2;
+		private long levelUpdatedAt = Long.MIN_VALUE / 2;
 
-		double asked(long now) {
-			return this.asked.sum(now);
+		double requestedWork(long now) {
+			return this.requestedWork.sum(now);
 		}
 
-		void sent(long now, TeamId team, double work, boolean over) {
-			this.asked.add(now, work);
-			Use use = this.teams.computeIfAbsent(team, (missing) -> new Use());
-			use.asked.add(now, work);
+		void recordSent(long now, TeamId team, double work, boolean over) {
+			this.requestedWork.add(now, work);
+			TeamUse use = this.teams.computeIfAbsent(team, (missing) -> new TeamUse());
+			use.requestedWork.add(now, work);
 			if (!over) {
-				use.within.add(now, work);
+				use.workWithinShare.add(now, work);
 			}
 		}
 
-		boolean over(long now, TeamId team, double room) {
-			Use use = this.teams.get(team);
+		boolean isOverLevel(long now, TeamId team, double room) {
+			TeamUse use = this.teams.get(team);
 			if (use == null) {
 				return false;
 			}
-			if (now - this.levelAt >= LEVEL_MILLIS) {
-				this.teams.values().removeIf((each) -> each.asked.sum(now) < 1);
+			if (now - this.levelUpdatedAt >= LEVEL_UPDATE_MILLIS) {
+				this.teams.values().removeIf((each) -> each.requestedWork.sum(now) < 1);
 				this.level = level(now, room);
-				this.levelAt = now;
+				this.levelUpdatedAt = now;
 			}
-			return use.within.sum(now) >= this.level;
+			return use.workWithinShare.sum(now) >= this.level;
 		}
 
 		/**
 		 * Returns how much a team may use at most, so that all together use the room.
 		 */
 		private double level(long now, double room) {
-			double[] asks = this.teams.values().stream().mapToDouble((use) -> use.asked.sum(now)).sorted().toArray();
+			double[] asks = this.teams.values()
+				.stream()
+				.mapToDouble((use) -> use.requestedWork.sum(now))
+				.sorted()
+				.toArray();
 			double left = room;
 			for (int i = 0; i < asks.length; i++) {
 				double equal = left / (asks.length - i);
@@ -172,11 +177,11 @@
 	/**
 	 * What a team asks for, and what of it was within its share.
 	 */
-	private static final class Use {
+	private static final class TeamUse {
 
-		private final Recent asked = new Recent(RECENT_MILLIS);
+		private final DecayingSum requestedWork = new DecayingSum(HALF_LIFE_MILLIS);
 
-		private final Recent within = new Recent(RECENT_MILLIS);
+		private final DecayingSum workWithinShare = new DecayingSum(HALF_LIFE_MILLIS);
 
 	}
 
--- a/core/src/test/java/org/gullsaddle/serve/HopelessTests.java
+++ b/core/src/test/java/org/gullsaddle/serve/DeadlineCheckTests.java
@@ -11,7 +11,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-class HopelessTests {
+class DeadlineCheckTests {
 
 	private static final ServiceName SERVICE = new ServiceName("engines");
 
@@ -19,7 +19,7 @@
 
 	private static final Choice LOST = choice(40, 9000, 1500);
 
-	private final Hopeless hopeless = new Hopeless();
+	private final DeadlineCheck hopeless = new DeadlineCheck();
 
 	private static Choice choice(double requests, double expected, double deviation) {
 		Replica replica = new Replica(new ReplicaId("r"), SERVICE, new Address("10.0.0.1", 80), "a", "v1", 64, false,
@@ -30,13 +30,14 @@
 
 	private void answers(int count) {
 		for (int i = 0; i < count; i++) {
-			this.hopeless.began(0, SERVICE);
+			this.hopeless.recordAnswerStarted(0, SERVICE);
 		}
 	}
 
 	/** Asks twice, as the first of a time is tried whatever is known. */
 	private boolean refuses(List<Choice> choices) {
-		return this.hopeless.refuses(0, SERVICE, choices, LEFT) || this.hopeless.refuses(1, SERVICE, choices, LEFT);
+		return this.hopeless.shouldRefuse(0, SERVICE, choices, LEFT)
+				|| this.hopeless.shouldRefuse(1, SERVICE, choices, LEFT);
 	}
 
 	@Test
@@ -78,7 +79,7 @@
 		answers(100);
 		int tried = 0;
 		for (long now = 0; now < 5000; now += 10) {
-			tried += this.hopeless.refuses(now, SERVICE, List.of(LOST), LEFT) ? 0 : 1;
+			tried += this.hopeless.shouldRefuse(now, SERVICE, List.of(LOST), LEFT) ? 0 : 1;
 		}
 		assertThat(tried).isEqualTo(10);
 	}
@@ -87,8 +88,8 @@
 	@Test
 	void itIsForgottenWhereNothingAnswers() {
 		answers(100);
-		assertThat(this.hopeless.refuses(11_000, SERVICE, List.of(LOST), LEFT)).isFalse();
-		assertThat(this.hopeless.refuses(11_001, SERVICE, List.of(LOST), LEFT)).isFalse();
+		assertThat(this.hopeless.shouldRefuse(11_000, SERVICE, List.of(LOST), LEFT)).isFalse();
+		assertThat(this.hopeless.shouldRefuse(11_001, SERVICE, List.of(LOST), LEFT)).isFalse();
 	}
 
 }
--- a/core/src/test/java/org/gullsaddle/serve/RetryAfterSchedulerTests.java
+++ b/core/src/test/java/org/gullsaddle/serve/RetryAfterSchedulerTests.java
@@ -21,7 +21,7 @@
 
 	private static final long SOONEST = 250;
 
-	private static final TimeLeft LEFT = new TimeLeft(12_000, 4000);
+	private static final RemainingTime LEFT = new RemainingTime(12_000, 4000);
 
 	/** Who returns later is late. */
 	private static final long USEFUL = 1334;
@@ -77,7 +77,7 @@
 		}
 	}
 
-	private RetryAfter refuse(long now, RetryAfterScheduler node, RefusedRequest refused, TimeLeft left) {
+	private RetryAfter refuse(long now, RetryAfterScheduler node, RefusedRequest refused, RemainingTime left) {
 		RetryAfter time = node.schedule(now, refused, SOONEST + this.random.nextLong(SOONEST), left);
 		this.told.add(new Told(now, time.retryAfterMillis(), refused.rank(), time.capacityExpected()));
 		return time;
@@ -110,7 +110,7 @@
 		nodes(1);
 		load(0, 20_000, 0.9, 1);
 		load(20_000, 40_000, 0.9, 0);
-		RetryAfter time = refuse(40_000, node(), refused(1, "a", "c"), new TimeLeft(9000, -1));
+		RetryAfter time = refuse(40_000, node(), refused(1, "a", "c"), new RemainingTime(9000, -1));
 		assertThat(time.retryAfterMillis()).isBetween(USEFUL, 3000L);
 	}
 
--- a/core/src/test/java/org/gullsaddle/serve/WorkSharesTests.java
+++ b/core/src/test/java/org/gullsaddle/serve/WorkSharesTests.java
@@ -61,7 +61,7 @@
 
 	private void send(long now, TeamId team, int rank, double work) {
 		this.queue.add(work);
-		boolean over = this.shares.sent(now, team, rank, work);
+		boolean over = this.shares.recordSent(now, team, rank, work);
 		this.asked.merge(team, work, Double::sum);
 		this.within.merge(team, over ? 0 : work, Double::sum);
 	}
@@ -70,7 +70,7 @@
 		this.free = Math.min(this.free + DONE, 50 * DONE);
 		while (!this.queue.isEmpty() && this.free >= this.queue.peek()) {
 			this.free -= this.queue.peek();
-			this.shares.ended(now, this.queue.poll());
+			this.shares.endedRequests(now, this.queue.poll());
 		}
 	}
 
@@ -92,7 +92,7 @@
 	@Test
 	void aNodeThatHasJustStartedDemotesNobody() {
 		for (int i = 0; i < 50; i++) {
-			assertThat(this.shares.sent(i, LARGE, 0, 40)).isFalse();
+			assertThat(this.shares.recordSent(i, LARGE, 0, 40)).isFalse();
 		}
 	}
 
@@ -105,9 +105,9 @@
 		int large = 0;
 		int small = 0;
 		for (long now = 20_000; now < 26_000; now += 10) {
-			large += this.shares.sent(now, LARGE, 0, 150) ? 1 : 0;
-			small += this.shares.sent(now, SMALL, 0, 15) ? 1 : 0;
-			this.shares.ended(now, DONE);
+			large += this.shares.recordSent(now, LARGE, 0, 150) ? 1 : 0;
+			small += this.shares.recordSent(now, SMALL, 0, 15) ? 1 : 0;
+			this.shares.endedRequests(now, DONE);
 		}
 		assertThat(large).isPositive();
 		assertThat(small).isZero();
@@ -123,12 +123,12 @@
 		for (long now = 0; now < 31_000; now += 10) {
 			if (now % 1000 == 0) {
 				send(now, LARGE, 0, 3000);
-				assertThat(this.shares.sent(now, SMALL, 1, 3000)).isFalse();
+				assertThat(this.shares.recordSent(now, SMALL, 1, 3000)).isFalse();
 				this.queue.add(3000.0);
 				send(now, FOURTH, 2, 3000);
 			}
 			if (now >= 20_000 && now % 500 == 0) {
-				over += this.shares.sent(now, THIRD, 1, 3000) ? 1 : 0;
+				over += this.shares.recordSent(now, THIRD, 1, 3000) ? 1 : 0;
 				this.queue.add(3000.0);
 			}
 			done(now);
@@ -146,8 +146,8 @@
 			send(now, THIRD, 1, 40);
 			done(now);
 		}
-		assertThat(this.shares.over(26_000, LARGE, 0)).isFalse();
-		assertThat(this.shares.over(26_000, THIRD, 1) || this.shares.over(26_000, SMALL, 1)).isTrue();
+		assertThat(this.shares.isOverShare(26_000, LARGE, 0)).isFalse();
+		assertThat(this.shares.isOverShare(26_000, THIRD, 1) || this.shares.isOverShare(26_000, SMALL, 1)).isTrue();
 	}
 
 	/**
@@ -183,9 +183,9 @@
 		@Test
 		void itIsOverWhileItHasItsShareAndNoLongerAfter() {
 			burst(40);
-			assertThat(WorkSharesTests.this.shares.over(31_000, SMALL, 0)).isFalse();
+			assertThat(WorkSharesTests.this.shares.isOverShare(31_000, SMALL, 0)).isFalse();
 			load(31_000, 45_000, usual(), 40);
-			assertThat(TEAMS).noneMatch((team) -> WorkSharesTests.this.shares.over(45_000, team, 0));
+			assertThat(TEAMS).noneMatch((team) -> WorkSharesTests.this.shares.isOverShare(45_000, team, 0));
 		}
 
 		/** Guards against a team of long prompts that waits for their length. */
@@ -195,7 +195,7 @@
 			for (int i = 0; i < 100; i++) {
 				send(31_000, THIRD, 0, 40);
 			}
-			assertThat(WorkSharesTests.this.shares.sent(31_000, SMALL, 0, 4000)).isFalse();
+			assertThat(WorkSharesTests.this.shares.recordSent(31_000, SMALL, 0, 4000)).isFalse();
 		}
 
 	}
--- a/daemon/src/main/java/org/gullsaddle/gateway/Cascade.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/Cascade.java
@@ -8,7 +8,7 @@
 import org.gullsaddle.serve.Delay;
 import org.gullsaddle.serve.ModelChooser;
 import org.gullsaddle.serve.QueueBounds;
-import org.gullsaddle.serve.RetryRule;
+import org.gullsaddle.serve.RetryPolicy;
 import org.gullsaddle.telemetry.Telemetry;
 
 /**
@@ -27,7 +27,7 @@
 
 	private final Route route;
 
-	private final RetryRule rule;
+	private final RetryPolicy rule;
 
 	private final TeamTurn turn;
 
@@ -42,7 +42,7 @@
 	/**
 	 * Begins with the model that the caller names, or with the first of the route's.
 	 */
-	Cascade(Gateway gateway, ServedRequest request, RetryRule rule, TeamTurn turn) {
+	Cascade(Gateway gateway, ServedRequest request, RetryPolicy rule, TeamTurn turn) {
 		this.decisions = gateway.decisions();
 		this.log = gateway.log();
 		this.telemetry = gateway.telemetry();
@@ -72,7 +72,7 @@
 		if (this.doubtedConfidence >= 0) {
 			models.compared(this.doubted, this.doubtedConfidence, this.model, confidence.orElse(-1));
 		}
-		return models.larger(this.route, this.model, confidence, this.rule.nextIsLast());
+		return models.larger(this.route, this.model, confidence, this.rule.isNextAttemptLast());
 	}
 
 	/**
@@ -105,7 +105,7 @@
 	 * Says why an answer that its model doubts is kept all the same, empty if it is not.
 	 */
 	private String whyKept(int confidence, Optional<Choice> choice, long left) {
-		if (!this.rule.mayDrop(left)) {
+		if (!this.rule.canDropAnswer(left)) {
 			return "no attempt or time left";
 		}
 		if (choice.isEmpty()) {
--- a/daemon/src/main/java/org/gullsaddle/gateway/CrashController.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/CrashController.java
@@ -174,7 +174,7 @@
 	}
 
 	private void answered(ServedRequest request, String model, Attempt attempt, AttemptEnd.Answered answered) {
-		if (answered.failure()) {
+		if (answered.hasFailed()) {
 			return;
 		}
 		if (attempt.endedWithConnection()) {
--- a/daemon/src/main/java/org/gullsaddle/gateway/Decisions.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/Decisions.java
@@ -11,8 +11,7 @@
 import org.gullsaddle.fleet.RouteKind;
 import org.gullsaddle.fleet.ServiceName;
 import org.gullsaddle.fleet.ServiceShare;
-import org.gullsaddle.serve.FairShare;
-import org.gullsaddle.serve.Hopeless;
+import org.gullsaddle.serve.DeadlineCheck;
 import org.gullsaddle.serve.ModelChooser;
 import org.gullsaddle.serve.Place;
 import org.gullsaddle.serve.QueueBounds;
@@ -20,6 +19,7 @@
 import org.gullsaddle.serve.ReplicaRules;
 import org.gullsaddle.serve.RetryBudget;
 import org.gullsaddle.serve.SilencePatience;
+import org.gullsaddle.serve.TeamBurstDetector;
 import org.gullsaddle.serve.WorkShares;
 
 /**
@@ -64,14 +64,14 @@
 
 	private QueueBounds bounds;
 
-	private final FairShare shares = new FairShare();
+	private final TeamBurstDetector shares = new TeamBurstDetector();
 
 	private final SilencePatience patience = new SilencePatience();
 
 	/** The shares of work that count in place of requests, if any do. */
 	private final Optional<WorkShares> work;
 
-	private final Hopeless hopeless = new Hopeless();
+	private final DeadlineCheck hopeless = new DeadlineCheck();
 
 	private final RandomGenerator random = RandomGenerator.getDefault();
 
@@ -118,7 +118,7 @@
 	}
 
 	boolean spendRetry() {
-		return this.budget.spend();
+		return this.budget.trySpend();
 	}
 
 	/**
@@ -155,8 +155,8 @@
 	 * @return whether the team sent more than its share
 	 */
 	boolean noteShare(TeamId team, long now) {
-		this.shares.sent(team, now);
-		return this.shares.over(team, now);
+		this.shares.recordRequest(team, now);
+		return this.shares.isBursting(team, now);
 	}
 
 	/**
@@ -166,7 +166,7 @@
 		return this.work;
 	}
 
-	Hopeless hopeless() {
+	DeadlineCheck hopeless() {
 		return this.hopeless;
 	}
 
--- a/daemon/src/main/java/org/gullsaddle/gateway/Gateway.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/Gateway.java
@@ -284,10 +284,10 @@
 		this.decisions.picker().ended(now, attempt.choice(), end);
 		this.crashes.ended(serving.request(), serving.model(), attempt, end);
 		this.log.attempt(serving.request(), attempt, serving.model(), end.toString(), millis, serving.clock(),
-				!(end instanceof AttemptEnd.Answered answered) || answered.failure());
-		this.telemetry.attempt(serving.service().value(), end.word());
+				!(end instanceof AttemptEnd.Answered answered) || answered.hasFailed());
+		this.telemetry.attempt(serving.service().value(), end.metricLabel());
 		if (serving.clock().begun() && serving.route().kind() == RouteKind.STREAM) {
-			this.decisions.hopeless().began(now, serving.service());
+			this.decisions.hopeless().recordAnswerStarted(now, serving.service());
 			long first = serving.clock().firstMillis(now);
 			this.telemetry.firstEvent(serving.route().name(), serving.model(), first);
 			this.telemetry.delayError(serving.service().value(), serving.model(),
--- a/daemon/src/main/java/org/gullsaddle/gateway/ReplicaChooser.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/ReplicaChooser.java
@@ -12,8 +12,8 @@
 import org.gullsaddle.fleet.Replica;
 import org.gullsaddle.fleet.ReplicaId;
 import org.gullsaddle.serve.Choice;
+import org.gullsaddle.serve.DeadlineCheck;
 import org.gullsaddle.serve.Delay;
-import org.gullsaddle.serve.Hopeless;
 import org.gullsaddle.serve.ReplicaPicker;
 import org.gullsaddle.serve.ReplicaRules;
 import org.gullsaddle.serve.SendPermission;
@@ -181,7 +181,7 @@
 	 */
 	boolean hopeless(Task task, Choice choice, long left) {
 		if (!this.gateway.settings().load().pressure() || this.request.engine().isEmpty()
-				|| !Hopeless.lost(choice, left)) {
+				|| !DeadlineCheck.isTooLate(choice, left)) {
 			return false;
 		}
 		long now = Clock.millis();
@@ -189,7 +189,7 @@
 		List<Replica> usable = usable(Set.of(), task.model());
 		List<Choice> all = picker().best(now, usable, Set.of(), task, usable.size());
 		boolean refused = !rules().anyCold(now, wanted(task.model()))
-				&& this.gateway.decisions().hopeless().refuses(now, this.request.service(), all, left);
+				&& this.gateway.decisions().hopeless().shouldRefuse(now, this.request.service(), all, left);
 		if (refused) {
 			this.gateway.telemetry().count("would.not.begin");
 		}
--- a/daemon/src/main/java/org/gullsaddle/gateway/RolloutController.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/RolloutController.java
@@ -108,7 +108,7 @@
 		this.fleet.rollout(replica.service()).ifPresent((rollout) -> {
 			answer.load()
 				.ifPresent((load) -> rollout.onLoadReported(Clock.millis(), replica, load, attempt.startedAt()));
-			rollout.onAnswerStarted(replica, kind, new AttemptEnd.Answered(answer.status()).failure(),
+			rollout.onAnswerStarted(replica, kind, new AttemptEnd.Answered(answer.status()).hasFailed(),
 					attempt.startedAt(), attempt.headAt() - attempt.startedAt());
 		});
 	}
--- a/daemon/src/main/java/org/gullsaddle/gateway/ServedRequest.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/ServedRequest.java
@@ -22,8 +22,8 @@
 import org.gullsaddle.serve.ModelPace;
 import org.gullsaddle.serve.PromptPart;
 import org.gullsaddle.serve.ReleaseKey;
+import org.gullsaddle.serve.RemainingTime;
 import org.gullsaddle.serve.Task;
-import org.gullsaddle.serve.TimeLeft;
 import org.gullsaddle.suspect.Trait;
 
 /**
@@ -122,8 +122,8 @@
 	/**
 	 * Returns the time that its caller has left, if it was refused now.
 	 */
-	TimeLeft timeLeft(long now) {
-		return new TimeLeft(left(now), this.route.targetMillis() - (now - this.startedAt));
+	RemainingTime timeLeft(long now) {
+		return new RemainingTime(left(now), this.route.targetMillis() - (now - this.startedAt));
 	}
 
 	/**
--- a/daemon/src/main/java/org/gullsaddle/gateway/Serving.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/Serving.java
@@ -20,7 +20,7 @@
 import org.gullsaddle.serve.AttemptEnd;
 import org.gullsaddle.serve.Choice;
 import org.gullsaddle.serve.ReplicaRules;
-import org.gullsaddle.serve.RetryRule;
+import org.gullsaddle.serve.RetryPolicy;
 import org.gullsaddle.serve.SendPermission;
 import org.gullsaddle.serve.Task;
 
@@ -33,7 +33,7 @@
 
 	private final ServedRequest request;
 
-	private final RetryRule rule;
+	private final RetryPolicy rule;
 
 	private final ReplicaChooser replicas;
 
@@ -66,7 +66,7 @@
 	Serving(Gateway gateway, ServedRequest request) {
 		this.gateway = gateway;
 		this.request = request;
-		this.rule = new RetryRule(request.route());
+		this.rule = new RetryPolicy(request.route());
 		this.replicas = new ReplicaChooser(gateway, request);
 		this.turn = new TeamTurn(gateway.decisions(), request);
 		this.cascade = new Cascade(gateway, request, this.rule, this.turn);
@@ -244,7 +244,7 @@
 			this.gateway.decisions().streamed(route(), model(), this.clock);
 		}
 		this.turn.ended(now, from.choice(), this.task, counted);
-		this.rule.ended(counted);
+		this.rule.onAttemptEnded(counted);
 		this.gateway.attemptEnded(this, from, counted, now);
 		this.request.tried();
 		if (this.done) {
@@ -255,7 +255,7 @@
 			tryNext();
 			return;
 		}
-		if (counted instanceof AttemptEnd.Answered answered && !(answered.failure() && tryAgain(now))) {
+		if (counted instanceof AttemptEnd.Answered answered && !(answered.hasFailed() && tryAgain(now))) {
 			finish(from, answered);
 			return;
 		}
@@ -273,7 +273,7 @@
 			tryNext();
 			return true;
 		}
-		if (!this.rule.mayTryAgain(this.request.left(now)) || !this.silence.mayGoOn()) {
+		if (!this.rule.canRetry(this.request.left(now)) || !this.silence.mayGoOn()) {
 			return false;
 		}
 		if (!this.replicas.another(this.tried, model()) || !this.gateway.decisions().spendRetry()) {
@@ -304,11 +304,11 @@
 		else {
 			this.relay.end(from.answer().status(), this.request.http().method() == HttpMethod.HEAD);
 		}
-		close(answered.failure() ? "failed" : "served", answered.status(), "answered");
+		close(answered.hasFailed() ? "failed" : "served", answered.status(), "answered");
 	}
 
 	private void giveUp(AttemptEnd end) {
-		refuse(end.why(), this.replicas.comeBackMillis(this.replicas.whyNone(model()), model()));
+		refuse(end.endReason(), this.replicas.comeBackMillis(this.replicas.whyNone(model()), model()));
 	}
 
 	/**
--- a/daemon/src/main/java/org/gullsaddle/gateway/Silence.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/Silence.java
@@ -10,7 +10,7 @@
 import org.gullsaddle.serve.Choice;
 import org.gullsaddle.serve.Delay;
 import org.gullsaddle.serve.ReplicaPicker;
-import org.gullsaddle.serve.RetryRule;
+import org.gullsaddle.serve.RetryPolicy;
 import org.gullsaddle.serve.SilencePatience;
 import org.gullsaddle.serve.Task;
 
@@ -36,7 +36,7 @@
 
 	private final Serving serving;
 
-	private final RetryRule rule;
+	private final RetryPolicy rule;
 
 	private final ReplicaChooser replicas;
 
@@ -50,7 +50,7 @@
 
 	private long nextComparison;
 
-	Silence(Gateway gateway, Serving serving, RetryRule rule, ReplicaChooser replicas, AnswerRelay relay) {
+	Silence(Gateway gateway, Serving serving, RetryPolicy rule, ReplicaChooser replicas, AnswerRelay relay) {
 		this.gateway = gateway;
 		this.serving = serving;
 		this.rule = rule;
@@ -64,7 +64,7 @@
 	 * @param task what the next attempt is to do
 	 */
 	void look(long now, Attempt attempt, Set<ReplicaId> tried, Task task) {
-		if (now < this.nextLook || attempt.ended() || !this.rule.mayMove(this.serving.request().left(now))) {
+		if (now < this.nextLook || attempt.ended() || !this.rule.canMoveAttempt(this.serving.request().left(now))) {
 			return;
 		}
 		switch (advice(now, attempt)) {
@@ -148,7 +148,7 @@
 			keep(attempt, end, "no retry left");
 		}
 		else {
-			note(attempt, "left", end.why());
+			note(attempt, "left", end.endReason());
 			this.serving.move(attempt, end, choice.get());
 		}
 	}
--- a/daemon/src/main/java/org/gullsaddle/gateway/TeamTurn.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/TeamTurn.java
@@ -43,8 +43,8 @@
 			return OptionalInt.empty();
 		}
 		this.decisions.work().ifPresent((shares) -> this.request.team().ifPresent((id) -> {
-			double work = WorkShares.work(choice.unreadTokens(), task);
-			this.over = shares.sent(now, id, this.request.rank(), work);
+			double work = WorkShares.workOf(choice.unreadTokens(), task);
+			this.over = shares.recordSent(now, id, this.request.rank(), work);
 		}));
 		return OptionalInt.of(Decisions.urgency(this.request.rank(), this.over));
 	}
@@ -56,7 +56,7 @@
 		boolean counted = this.request.engine().isPresent() && this.request.team().isPresent();
 		if (counted && !(end instanceof AttemptEnd.NotRun)) {
 			this.decisions.work()
-				.ifPresent((shares) -> shares.ended(now, WorkShares.work(choice.unreadTokens(), task)));
+				.ifPresent((shares) -> shares.endedRequests(now, WorkShares.workOf(choice.unreadTokens(), task)));
 		}
 	}
 
