--- a/core/src/main/java/org/gullsaddle/serve/BackpressureTable.java
+++ b/core/src/main/java/org/gullsaddle/serve/BackpressureTable.java
@@ -97,7 +97,7 @@
 			known = new LimitedReplica(now, replica, this.self, this.place, this.random);
 			this.limitedReplicas.put(replica.id(), known);
 		}
-		known.peers(now, this.peers.get());
+		known.updatePeers(now, this.peers.get());
 		known.updateLimit(now, perSecond);
 	}
 
@@ -117,14 +117,14 @@
 	 * is not known.
 	 */
 	OptionalInt findNodePosition(long now, Replica replica) {
-		return limitedReplicas(now, replica).map(LimitedReplica::nodePosition).orElse(OptionalInt.empty());
+		return findLimited(now, replica).map(LimitedReplica::nodePosition).orElse(OptionalInt.empty());
 	}
 
 	/**
 	 * Says whether every node has a share of a replica's limit.
 	 */
 	boolean isSharedByAllNodes(long now, Replica replica) {
-		return limitedReplicas(now, replica).map(LimitedReplica::isSharedByAllNodes).orElse(false);
+		return findLimited(now, replica).map(LimitedReplica::isSharedByAllNodes).orElse(false);
 	}
 
 	/**
@@ -146,7 +146,7 @@
 		if (backOffMillis(now, replica) > 0) {
 			return false;
 		}
-		return limitedReplicas(now, replica).map((each) -> each.canSend(now)).orElse(true);
+		return findLimited(now, replica).map((each) -> each.canSend(now)).orElse(true);
 	}
 
 	/**
@@ -181,7 +181,7 @@
 		if (backOffMillis(now, replica) > 0) {
 			return SendPermission.DENIED;
 		}
-		return limitedReplicas(now, replica).map((each) -> {
+		return findLimited(now, replica).map((each) -> {
 			if (!each.canSend(now)) {
 				return SendPermission.DENIED;
 			}
@@ -220,7 +220,7 @@
 		long soonest = MAX_RETRY_AFTER_MILLIS;
 		for (Replica replica : replicas) {
 			long rest = backOffMillis(now, replica);
-			Optional<LimitedReplica> known = limitedReplicas(now, replica);
+			Optional<LimitedReplica> known = findLimited(now, replica);
 			perSecond += known.map((each) -> each.share().perSecond()).orElse(0.0);
 			soonest = Math.min(soonest, Math.max(rest, known.map((each) -> each.waitMillis(now)).orElse(rest)));
 		}
@@ -257,12 +257,12 @@
 		this.backOffs.keySet().retainAll(known);
 	}
 
-	private Optional<LimitedReplica> limitedReplicas(long now, Replica replica) {
+	private Optional<LimitedReplica> findLimited(long now, Replica replica) {
 		LimitedReplica known = this.limitedReplicas.get(replica.id());
 		if (known == null || !known.replica().sameProcess(replica)) {
 			return Optional.empty();
 		}
-		known.peers(now, this.peers.get());
+		known.updatePeers(now, this.peers.get());
 		return Optional.of(known);
 	}
 
--- a/core/src/main/java/org/gullsaddle/serve/LimitedReplica.java
+++ b/core/src/main/java/org/gullsaddle/serve/LimitedReplica.java
@@ -80,7 +80,7 @@
 	/**
 	 * Takes in which nodes there are, or empty while others may not know this one.
 	 */
-	void peers(long now, Optional<List<Peer>> newPeers) {
+	void updatePeers(long now, Optional<List<Peer>> newPeers) {
 		if (!this.peers.equals(newPeers)) {
 			refill(now);
 			this.peers = newPeers;
--- a/core/src/main/java/org/gullsaddle/serve/WorkShares.java
+++ b/core/src/main/java/org/gullsaddle/serve/WorkShares.java
@@ -65,7 +65,7 @@
 	 * @param now the time in milliseconds
 	 * @param work its work
 	 */
-	public void endedRequests(long now, double work) {
+	public void recordEnded(long now, double work) {
 		this.endedRequests++;
 		this.recentWorkDone.add(now, work);
 	}
@@ -146,7 +146,7 @@
 			}
 			if (now - this.levelUpdatedAt >= LEVEL_UPDATE_MILLIS) {
 				this.teams.values().removeIf((each) -> each.requestedWork.sum(now) < 1);
-				this.level = level(now, room);
+				this.level = computeLevel(now, room);
 				this.levelUpdatedAt = now;
 			}
 			return use.workWithinShare.sum(now) >= this.level;
@@ -155,7 +155,7 @@
 		/**
 		 * Returns how much a team may use at most, so that all together use the room.
 		 */
-		private double level(long now, double room) {
+		private double computeLevel(long now, double room) {
 			double[] asks = this.teams.values()
 				.stream()
 				.mapToDouble((use) -> use.requestedWork.sum(now))
--- a/core/src/test/java/org/gullsaddle/serve/WorkSharesTests.java
+++ b/core/src/test/java/org/gullsaddle/serve/WorkSharesTests.java
@@ -70,7 +70,7 @@
 		this.free = Math.min(this.free + DONE, 50 * DONE);
 		while (!this.queue.isEmpty() && this.free >= this.queue.peek()) {
 			this.free -= this.queue.peek();
-			this.shares.endedRequests(now, this.queue.poll());
+			this.shares.recordEnded(now, this.queue.poll());
 		}
 	}
 
@@ -107,7 +107,7 @@
 		for (long now = 20_000; now < 26_000; now += 10) {
 			large += this.shares.recordSent(now, LARGE, 0, 150) ? 1 : 0;
 			small += this.shares.recordSent(now, SMALL, 0, 15) ? 1 : 0;
-			this.shares.endedRequests(now, DONE);
+			this.shares.recordEnded(now, DONE);
 		}
 		assertThat(large).isPositive();
 		assertThat(small).isZero();
--- a/daemon/src/main/java/org/gullsaddle/gateway/TeamTurn.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/TeamTurn.java
@@ -56,7 +56,7 @@
 		boolean counted = this.request.engine().isPresent() && this.request.team().isPresent();
 		if (counted && !(end instanceof AttemptEnd.NotRun)) {
 			this.decisions.work()
-				.ifPresent((shares) -> shares.endedRequests(now, WorkShares.workOf(choice.unreadTokens(), task)));
+				.ifPresent((shares) -> shares.recordEnded(now, WorkShares.workOf(choice.unreadTokens(), task)));
 		}
 	}
 
