--- a/core/src/test/java/org/gullsaddle/serve/RolloutClockTests.java
+++ b/core/src/test/java/org/gullsaddle/serve/RolloutClockTests.java
@@ -7,86 +7,86 @@
 /** Nodes agree on how long ago a roll-out began, whenever they learned of it. */
 class RolloutClockTests {
 
-	private static final long CLOCK = 1_700_000_000_000L;
+	private static final long UNIX_MILLIS_AT_ZERO = 1_700_000_000_000L;
 
 	/** When the first replica starts: 300 ms after the order at 1000. */
-	private static final long STARTED_AT = CLOCK + 1300;
+	private static final long STARTED_AT = UNIX_MILLIS_AT_ZERO + 1300;
 
-	private static RolloutClock learned(long asked, long now) {
+	private static RolloutClock learnedAt(long asked, long now) {
 		return new RolloutClock(asked, now);
 	}
 
 	/** Guards against steps of the share that nodes take at different times. */
 	@Test
-	void nodesThatLearnOfTheOrderAtDifferentTimesCountAlike() {
-		RolloutClock soon = learned(0, 1010);
-		RolloutClock late = learned(900, 2500);
-		soon.onReplicaStarted(2510, CLOCK + 2510, STARTED_AT);
-		late.onReplicaStarted(2500, CLOCK + 2500, STARTED_AT);
+	void nodesThatLearnOfTheOrderAtDifferentTimesAgree() {
+		RolloutClock soon = learnedAt(0, 1010);
+		RolloutClock late = learnedAt(900, 2500);
+		soon.onReplicaStarted(2510, UNIX_MILLIS_AT_ZERO + 2510, STARTED_AT);
+		late.onReplicaStarted(2500, UNIX_MILLIS_AT_ZERO + 2500, STARTED_AT);
 		assertThat(soon.elapsedMillis(10_000)).isEqualTo(8700);
 		assertThat(late.elapsedMillis(10_000)).isEqualTo(8700);
 	}
 
 	/** Guards against replicas of which each node hears in another order. */
 	@Test
-	void earliestStartCountsInWhicheverOrderTheyAreHeardOf() {
-		RolloutClock time = learned(0, 1010);
-		time.onReplicaStarted(2510, CLOCK + 2510, STARTED_AT + 400);
-		time.onReplicaStarted(2520, CLOCK + 2520, STARTED_AT);
-		time.onReplicaStarted(2530, CLOCK + 2530, STARTED_AT + 200);
+	void earliestReplicaStartCountsInAnyOrderOfArrival() {
+		RolloutClock time = learnedAt(0, 1010);
+		time.onReplicaStarted(2510, UNIX_MILLIS_AT_ZERO + 2510, STARTED_AT + 400);
+		time.onReplicaStarted(2520, UNIX_MILLIS_AT_ZERO + 2520, STARTED_AT);
+		time.onReplicaStarted(2530, UNIX_MILLIS_AT_ZERO + 2530, STARTED_AT + 200);
 		assertThat(time.elapsedMillis(10_000)).isEqualTo(8700);
 	}
 
 	/** Guards against a node that starts in a roll-out and takes it for a new one. */
 	@Test
 	void nodeThatStartsLateCountsFromTheFirstReplicasStart() {
-		RolloutClock time = learned(-10_000, 9000);
-		time.onReplicaStarted(9000, CLOCK + 9000, STARTED_AT);
+		RolloutClock time = learnedAt(-10_000, 9000);
+		time.onReplicaStarted(9000, UNIX_MILLIS_AT_ZERO + 9000, STARTED_AT);
 		assertThat(time.elapsedMillis(10_000)).isEqualTo(8700);
 	}
 
 	/** Guards against a time of day that jumped. */
 	@Test
-	void startThatCannotBeByThisNodesTimeOfDayIsNotTaken() {
-		RolloutClock time = learned(0, 1010);
-		time.onReplicaStarted(2510, CLOCK + 2510 + 60_000, STARTED_AT);
-		time.onReplicaStarted(2510, CLOCK + 2510 - 60_000, STARTED_AT);
+	void startOutsideThePossibleIntervalIsIgnored() {
+		RolloutClock time = learnedAt(0, 1010);
+		time.onReplicaStarted(2510, UNIX_MILLIS_AT_ZERO + 2510 + 60_000, STARTED_AT);
+		time.onReplicaStarted(2510, UNIX_MILLIS_AT_ZERO + 2510 - 60_000, STARTED_AT);
 		assertThat(time.elapsedMillis(10_000)).isEqualTo(8990);
 	}
 
 	/** Guards against a time of day that jumps after it was read. */
 	@Test
 	void timeOfDayIsReadOnce() {
-		RolloutClock time = learned(0, 1010);
-		time.onReplicaStarted(2510, CLOCK + 2510, STARTED_AT + 100);
-		time.onReplicaStarted(4000, CLOCK + 4000 - 1000, STARTED_AT);
+		RolloutClock time = learnedAt(0, 1010);
+		time.onReplicaStarted(2510, UNIX_MILLIS_AT_ZERO + 2510, STARTED_AT + 100);
+		time.onReplicaStarted(4000, UNIX_MILLIS_AT_ZERO + 4000 - 1000, STARTED_AT);
 		assertThat(time.elapsedMillis(10_000)).isEqualTo(8700);
 	}
 
 	/** Guards against a release that was listed long before its roll-out. */
 	@Test
 	void replicaThatStartedBeforeTheOrderDoesNotCount() {
-		RolloutClock time = learned(900, 1010);
-		time.onReplicaStarted(1010, CLOCK + 1010, CLOCK - 50_000);
-		time.onReplicaStarted(2510, CLOCK + 2510, STARTED_AT);
-		time.onReplicaStarted(2510, CLOCK + 2510, CLOCK - 50_000);
+		RolloutClock time = learnedAt(900, 1010);
+		time.onReplicaStarted(1010, UNIX_MILLIS_AT_ZERO + 1010, UNIX_MILLIS_AT_ZERO - 50_000);
+		time.onReplicaStarted(2510, UNIX_MILLIS_AT_ZERO + 2510, STARTED_AT);
+		time.onReplicaStarted(2510, UNIX_MILLIS_AT_ZERO + 2510, UNIX_MILLIS_AT_ZERO - 50_000);
 		assertThat(time.elapsedMillis(10_000)).isEqualTo(8700);
 	}
 
 	/** Guards against a wrong time of day at a node that starts late. */
 	@Test
-	void othersThatAreFarAheadShowThatTheTimeOfDayIsWrong() {
-		RolloutClock time = learned(-10_000, 9000);
-		time.onReplicaStarted(9000, CLOCK + 9000 - 6000, STARTED_AT);
+	void peersFarAheadShowThatTheLocalClockIsWrong() {
+		RolloutClock time = learnedAt(-10_000, 9000);
+		time.onReplicaStarted(9000, UNIX_MILLIS_AT_ZERO + 9000 - 6000, STARTED_AT);
 		assertThat(time.elapsedMillis(9000)).isEqualTo(1700);
 		time.onElapsedReported(9000, 7600);
 		assertThat(time.elapsedMillis(9000)).isEqualTo(7600);
 	}
 
 	@Test
-	void withoutAnyStartTheOthersWordCounts() {
-		RolloutClock time = learned(-10_000, 9000);
-		time.onReplicaStarted(9000, CLOCK + 9000, 0);
+	void elapsedTimeOfPeersCountsWithoutAnyReplicaStart() {
+		RolloutClock time = learnedAt(-10_000, 9000);
+		time.onReplicaStarted(9000, UNIX_MILLIS_AT_ZERO + 9000, 0);
 		time.onElapsedReported(9000, 7600);
 		time.onElapsedReported(9500, 4000);
 		assertThat(time.elapsedMillis(10_000)).isEqualTo(8600);
--- a/core/src/test/java/org/gullsaddle/serve/RolloutModel.java
+++ b/core/src/test/java/org/gullsaddle/serve/RolloutModel.java
@@ -25,7 +25,7 @@
 
 	private static final RolloutLimits LIMITS = new RolloutLimits(0.135, 27);
 
-	private static final double BAD_RATE = 0.6;
+	private static final double FAULTY_FAILURE_RATIO = 0.6;
 
 	private static final ServiceName SERVICE = new ServiceName("engines");
 
@@ -37,31 +37,31 @@
 
 	private static final int REPLICAS = 6;
 
-	private static final long STEP = 20;
+	private static final long STEP_MILLIS = 20;
 
 	/** The Unix millisecond of the order. */
-	private static final long CLOCK = 1_700_000_000_000L;
+	private static final long ORDERED_AT_UNIX_MILLIS = 1_700_000_000_000L;
 
 	private static final long NEVER = Long.MIN_VALUE / 2;
 
 	/** How long after the order the first replica of the new release starts. */
 	private static final long FIRST_START_MILLIS = 300;
 
-	private static final long FIRST_MILLIS = 20;
+	private static final long FIRST_TOKEN_MILLIS = 20;
 
 	/** How far apart a node's notes are, as a part of the roll-out's time. */
-	private static final double NOTE_PART = 0.06;
+	private static final double NOTE_INTERVAL_RATIO = 0.06;
 
-	private static final long LOOK_MILLIS = 200;
+	private static final long UPDATE_MILLIS = 200;
 
 	/** How long what one node writes takes to the others at most. */
-	private static final long MAX_NEWS_MILLIS = 1600;
+	private static final long MAX_PROPAGATION_MILLIS = 1600;
 
 	/** The same as a part of a short roll-out's time. */
-	private static final double NEWS_PART = 0.07;
+	private static final double MAX_PROPAGATION_RATIO = 0.07;
 
 	/** The same while the share rises, as nodes ask oftener for news then. */
-	private static final long URGENT_NEWS_MILLIS = 700;
+	private static final long URGENT_PROPAGATION_MILLIS = 700;
 
 	/** New evidence that a node tells at once, and how far such notes are apart. */
 	private static final double URGENT_EVIDENCE = 1;
@@ -69,16 +69,16 @@
 	private static final long URGENT_NOTE_MILLIS = 400;
 
 	/** Requests of each kind in a step, by all nodes together. */
-	private static final double PER_STEP = 0.3;
+	private static final double REQUESTS_PER_STEP = 0.3;
 
 	/** One request in so many begins another session in place of a live one. */
-	private static final int NEW_SESSION = 8;
+	private static final int REQUESTS_PER_NEW_SESSION = 8;
 
-	private final Badness badness;
+	private final Fault fault;
 
-	private final long duration;
+	private final long durationMillis;
 
-	private final long newsMillis;
+	private final long propagationMillis;
 
 	private final long noteMillis;
 
@@ -88,14 +88,14 @@
 
 	private final List<Replica> replicas = new ArrayList<>();
 
-	private final Map<ReplicaId, Integer> running = new HashMap<>();
+	private final Map<ReplicaId, Integer> runningOn = new HashMap<>();
 
 	private final PriorityQueue<Event> events = new PriorityQueue<>(Comparator.comparingLong(Event::at));
 
 	/** The sessions that live, by route; empty if each request has one of its own. */
 	private final Map<Route, List<Session>> sessions = new HashMap<>();
 
-	private double perStep = PER_STEP;
+	private double requestsPerStep = REQUESTS_PER_STEP;
 
 	private RolloutState state;
 
@@ -105,25 +105,25 @@
 
 	private int sentToTarget;
 
-	private int movedBack;
+	private int movedBackCount;
 
-	private int tooEarly;
+	private int tooEarlyCount;
 
-	private int deaf = -1;
+	private int isolatedNode = -1;
 
 	/** The least evidence that each node has told since, and when it told last. */
-	private final Map<Integer, Double> told = new HashMap<>();
+	private final Map<Integer, Double> minReportedEvidence = new HashMap<>();
 
-	private final Map<Integer, Long> toldAt = new HashMap<>();
+	private final Map<Integer, Long> reportedAt = new HashMap<>();
 
-	RolloutModel(Badness badness, long duration, int nodes, int seed) {
-		this.badness = badness;
-		this.duration = duration;
-		this.noteMillis = Math.round(NOTE_PART * duration / STEP) * STEP;
-		this.newsMillis = Math.min(MAX_NEWS_MILLIS, Math.round(NEWS_PART * duration));
+	RolloutModel(Fault badness, long duration, int nodes, int seed) {
+		this.fault = badness;
+		this.durationMillis = duration;
+		this.noteMillis = Math.round(NOTE_INTERVAL_RATIO * duration / STEP_MILLIS) * STEP_MILLIS;
+		this.propagationMillis = Math.min(MAX_PROPAGATION_MILLIS, Math.round(MAX_PROPAGATION_RATIO * duration));
 		this.random = new Random(seed);
 		for (int i = 0; i < nodes; i++) {
-			this.nodes.add(node(-this.newsMillis, 0));
+			this.nodes.add(createNode(-this.propagationMillis, 0));
 		}
 		for (int i = 0; i < REPLICAS; i++) {
 			this.replicas.add(replica("old-" + i, "v1"));
@@ -135,17 +135,18 @@
 	 * Makes a node that learns of the order.
 	 * @param asked when it asked for news before, {@link #NEVER} if it just started
 	 */
-	private Rollout node(long asked, long now) {
-		Rollout node = new Rollout(asked, now, new RolloutOrder(SERVICE, TARGET, this.duration), ORDER_REVISION,
+	private Rollout createNode(long asked, long now) {
+		Rollout node = new Rollout(asked, now, new RolloutOrder(SERVICE, TARGET, this.durationMillis), ORDER_REVISION,
 				LIMITS);
 		long listedAt = Math.max(now, FIRST_START_MILLIS);
-		this.events.add(new Event(listedAt,
-				() -> this.replicas.forEach((replica) -> node.onReplicaListed(listedAt, CLOCK + listedAt, replica))));
+		this.events.add(new Event(listedAt, () -> this.replicas
+			.forEach((replica) -> node.onReplicaListed(listedAt, ORDERED_AT_UNIX_MILLIS + listedAt, replica))));
 		return node;
 	}
 
 	private static Replica replica(String id, String release) {
-		long startedAt = CLOCK + (release.equals(TARGET) ? FIRST_START_MILLIS : -MAX_NEWS_MILLIS);
+		long startedAt = ORDERED_AT_UNIX_MILLIS
+				+ (release.equals(TARGET) ? FIRST_START_MILLIS : -MAX_PROPAGATION_MILLIS);
 		return new Replica(new ReplicaId(id), SERVICE, new Address("10.0.0.1", 80), "a", release, SLOTS, false,
 				startedAt);
 	}
@@ -153,8 +154,8 @@
 	/**
 	 * Has a node hear nothing from the others.
 	 */
-	RolloutModel deaf(int node) {
-		this.deaf = node;
+	RolloutModel isolatedNode(int node) {
+		this.isolatedNode = node;
 		return this;
 	}
 
@@ -164,13 +165,13 @@
 	 * @param shared whether each of them asks both routes
 	 */
 	RolloutModel withSessions(int live, boolean shared) {
-		List<Session> all = live(live);
+		List<Session> all = createSessions(live);
 		this.sessions.put(Route.SHORT, all);
-		this.sessions.put(Route.LONG, shared ? all : live(live));
+		this.sessions.put(Route.LONG, shared ? all : createSessions(live));
 		return this;
 	}
 
-	private List<Session> live(int count) {
+	private List<Session> createSessions(int count) {
 		List<Session> live = new ArrayList<>();
 		for (int i = 0; i < count; i++) {
 			live.add(session());
@@ -185,10 +186,10 @@
 	/**
 	 * Has each node learn of the order when it next asks for news.
 	 */
-	RolloutModel learnOneAfterAnother() {
+	RolloutModel learnOrderAtDifferentTimes() {
 		for (int i = 0; i < this.nodes.size(); i++) {
-			long learnedAt = this.random.nextLong(this.newsMillis);
-			this.nodes.set(i, node(learnedAt - this.newsMillis, learnedAt));
+			long learnedAt = this.random.nextLong(this.propagationMillis);
+			this.nodes.set(i, createNode(learnedAt - this.propagationMillis, learnedAt));
 		}
 		return this;
 	}
@@ -198,9 +199,9 @@
 	 * @param part when, as a part of the roll-out's time
 	 */
 	RolloutModel restart(int node, double part) {
-		long at = Math.round(part * this.duration);
+		long at = Math.round(part * this.durationMillis);
 		this.events.add(new Event(at, () -> {
-			Rollout fresh = node(NEVER, at);
+			Rollout fresh = createNode(NEVER, at);
 			fresh.onStateRead(this.state, TARGET, this.revision);
 			for (int i = 0; i < this.nodes.size(); i++) {
 				if (i != node) {
@@ -219,25 +220,27 @@
 	 * @param to until when
 	 */
 	RolloutModel burst(double times, double from, double to) {
-		this.events.add(new Event(Math.round(from * this.duration), () -> this.perStep = times * PER_STEP));
-		this.events.add(new Event(Math.round(to * this.duration), () -> this.perStep = PER_STEP));
+		this.events.add(new Event(Math.round(from * this.durationMillis),
+				() -> this.requestsPerStep = times * REQUESTS_PER_STEP));
+		this.events
+			.add(new Event(Math.round(to * this.durationMillis), () -> this.requestsPerStep = REQUESTS_PER_STEP));
 		return this;
 	}
 
 	void run() {
-		for (long now = 0; now <= this.duration; now += STEP) {
+		for (long now = 0; now <= this.durationMillis; now += STEP_MILLIS) {
 			while (!this.events.isEmpty() && this.events.peek().at <= now) {
 				this.events.poll().action.run();
 			}
 			for (Route route : Route.values()) {
-				for (double due = this.perStep; due > 0; due--) {
+				for (double due = this.requestsPerStep; due > 0; due--) {
 					if (this.random.nextDouble() < due) {
 						send(now, route);
 					}
 				}
 			}
 			for (int i = 0; i < this.nodes.size(); i++) {
-				look(now, i);
+				updateNode(now, i);
 			}
 		}
 	}
@@ -248,7 +251,7 @@
 			return session();
 		}
 		int index = this.random.nextInt(live.size());
-		if (this.random.nextInt(NEW_SESSION) == 0) {
+		if (this.random.nextInt(REQUESTS_PER_NEW_SESSION) == 0) {
 			live.set(index, session());
 		}
 		return live.get(index);
@@ -261,83 +264,84 @@
 		node.recordRequest(key);
 		Replica replica = node.chooseReplicas(now, this.replicas, key, Set.of(), this.nodes.size())
 			.stream()
-			.min(Comparator.comparingInt(this::running))
+			.min(Comparator.comparingInt(this::runningOn))
 			.orElseThrow();
 		boolean toTarget = replica.release().equals(TARGET);
-		follow(now, session, toTarget);
+		trackSession(now, session, toTarget);
 		this.sent++;
 		this.sentToTarget += toTarget ? 1 : 0;
 		node.recordSent(replica);
-		boolean fails = toTarget && bad(now, route, replica) && this.random.nextDouble() < BAD_RATE;
-		this.running.merge(replica.id(), 1, Integer::sum);
-		this.events.add(new Event(now + FIRST_MILLIS, () -> {
-			node.onLoadReported(now + FIRST_MILLIS, replica, new LoadReport(running(replica), 0, SLOTS), now);
-			node.onAnswerStarted(replica, new AnswerKind(route.name(), ""), fails, now, FIRST_MILLIS);
+		boolean fails = toTarget && isFaulty(now, route, replica) && this.random.nextDouble() < FAULTY_FAILURE_RATIO;
+		this.runningOn.merge(replica.id(), 1, Integer::sum);
+		this.events.add(new Event(now + FIRST_TOKEN_MILLIS, () -> {
+			node.onLoadReported(now + FIRST_TOKEN_MILLIS, replica, new LoadReport(runningOn(replica), 0, SLOTS), now);
+			node.onAnswerStarted(replica, new AnswerKind(route.name(), ""), fails, now, FIRST_TOKEN_MILLIS);
 		}));
-		this.events.add(new Event(now + (fails ? FIRST_MILLIS : route.millis),
-				() -> this.running.merge(replica.id(), -1, Integer::sum)));
+		this.events.add(new Event(now + (fails ? FIRST_TOKEN_MILLIS : route.millis),
+				() -> this.runningOn.merge(replica.id(), -1, Integer::sum)));
 	}
 
-	private void follow(long now, Session session, boolean toTarget) {
-		boolean good = this.badness == Badness.NONE && this.state != RolloutState.ROLLED_BACK;
-		this.movedBack += (session.onTarget && !toTarget && good) ? 1 : 0;
-		this.tooEarly += (toTarget && 2 * now < this.duration) ? 1 : 0;
+	private void trackSession(long now, Session session, boolean toTarget) {
+		boolean good = this.fault == Fault.NONE && this.state != RolloutState.ROLLED_BACK;
+		this.movedBackCount += (session.onTarget && !toTarget && good) ? 1 : 0;
+		this.tooEarlyCount += (toTarget && 2 * now < this.durationMillis) ? 1 : 0;
 		session.onTarget = toTarget;
 	}
 
-	private int running(Replica replica) {
-		return this.running.getOrDefault(replica.id(), 0);
+	private int runningOn(Replica replica) {
+		return this.runningOn.getOrDefault(replica.id(), 0);
 	}
 
-	private boolean bad(long now, Route route, Replica replica) {
-		return switch (this.badness) {
+	private boolean isFaulty(long now, Route route, Replica replica) {
+		return switch (this.fault) {
 			case NONE -> false;
 			case START -> true;
-			case UNDER_LOAD -> running(replica) >= SLOTS / 2;
+			case UNDER_LOAD -> runningOn(replica) >= SLOTS / 2;
 			case ONE_ROUTE -> route == Route.LONG;
-			case LATE -> now > 0.55 * this.duration;
+			case LATE -> now > 0.55 * this.durationMillis;
 		};
 	}
 
-	private void look(long now, int index) {
+	private void updateNode(long now, int index) {
 		Rollout node = this.nodes.get(index);
-		if (now % LOOK_MILLIS == STEP * (index % (LOOK_MILLIS / STEP))) {
-			node.update(now, (index == this.deaf) ? now : this.newsMillis);
-			node.findDueState(now).ifPresent((due) -> write(now, due));
+		if (now % UPDATE_MILLIS == STEP_MILLIS * (index % (UPDATE_MILLIS / STEP_MILLIS))) {
+			node.update(now, (index == this.isolatedNode) ? now : this.propagationMillis);
+			node.findDueState(now).ifPresent((due) -> writeState(now, due));
 		}
-		boolean due = now % this.noteMillis == STEP * (index % (this.noteMillis / STEP));
-		if (index != this.deaf && (due || urgent(now, index))) {
+		boolean due = now % this.noteMillis == STEP_MILLIS * (index % (this.noteMillis / STEP_MILLIS));
+		if (index != this.isolatedNode && (due || isNoteUrgent(now, index))) {
 			RolloutNote note = node.note(now, "node-" + index);
-			this.told.put(index, note.evidence());
-			this.toldAt.put(index, now);
-			long at = now + newsMillis();
-			this.events.add(new Event(at, () -> tell(at, index, note)));
+			this.minReportedEvidence.put(index, note.evidence());
+			this.reportedAt.put(index, now);
+			long at = now + propagationMillis();
+			this.events.add(new Event(at, () -> deliverNote(at, index, note)));
 		}
 	}
 
-	private boolean urgent(long now, int index) {
+	private boolean isNoteUrgent(long now, int index) {
 		double evidence = this.nodes.get(index).note(now, "node-" + index).evidence();
-		double least = this.told.merge(index, evidence, Math::min);
-		return evidence - least >= URGENT_EVIDENCE && now - this.toldAt.getOrDefault(index, 0L) >= URGENT_NOTE_MILLIS;
+		double least = this.minReportedEvidence.merge(index, evidence, Math::min);
+		return evidence - least >= URGENT_EVIDENCE
+				&& now - this.reportedAt.getOrDefault(index, 0L) >= URGENT_NOTE_MILLIS;
 	}
 
 	/**
 	 * Returns how long news take now.
 	 */
-	private long newsMillis() {
+	private long propagationMillis() {
 		boolean grows = this.nodes.stream().anyMatch(Rollout::isRampingUp);
-		return grows ? Math.min(URGENT_NEWS_MILLIS, this.newsMillis) : this.newsMillis;
+		return grows ? Math.min(URGENT_PROPAGATION_MILLIS, this.propagationMillis) : this.propagationMillis;
 	}
 
-	private void tell(long now, int from, RolloutNote note) {
+	private void deliverNote(long now, int from, RolloutNote note) {
 		for (int i = 0; i < this.nodes.size(); i++) {
-			if (i != from && i != this.deaf) {
+			if (i != from && i != this.isolatedNode) {
 				this.nodes.get(i).onNote(now, note);
 			}
 		}
 	}
 
-	private void write(long now, RolloutState due) {
+	private void writeState(long now, RolloutState due) {
 		boolean over = this.state == RolloutState.COMPLETED || this.state == RolloutState.ROLLED_BACK;
 		if (over || due == this.state) {
 			return;
@@ -345,9 +349,9 @@
 		this.state = due;
 		this.revision++;
 		long written = this.revision;
-		this.events.add(new Event(now + newsMillis(), () -> {
+		this.events.add(new Event(now + propagationMillis(), () -> {
 			for (int i = 0; i < this.nodes.size(); i++) {
-				if (i != this.deaf || due == RolloutState.RUNNING) {
+				if (i != this.isolatedNode || due == RolloutState.RUNNING) {
 					this.nodes.get(i).onStateRead(due, TARGET, written);
 				}
 			}
@@ -370,18 +374,18 @@
 	 * Returns how many requests ran on the old release after one in their session had run
 	 * on the new one, though that is good and was not taken back.
 	 */
-	int movedBack() {
-		return this.movedBack;
+	int movedBackCount() {
+		return this.movedBackCount;
 	}
 
 	/**
 	 * Returns how many requests of sessions ran on the new release in the first half.
 	 */
-	int tooEarly() {
-		return this.tooEarly;
+	int tooEarlyCount() {
+		return this.tooEarlyCount;
 	}
 
-	enum Badness {
+	enum Fault {
 
 		NONE, START, UNDER_LOAD, ONE_ROUTE, LATE
 
--- a/core/src/test/java/org/gullsaddle/serve/RolloutModelTests.java
+++ b/core/src/test/java/org/gullsaddle/serve/RolloutModelTests.java
@@ -24,7 +24,7 @@
 			"UNDER_LOAD, 24000, 4", "UNDER_LOAD, 24000, 20", "ONE_ROUTE, 24000, 1", "ONE_ROUTE, 24000, 4",
 			"ONE_ROUTE, 16000, 20", "ONE_ROUTE, 10000, 4", "LATE, 24000, 4", "LATE, 16000, 20",
 			"UNDER_LOAD, 16000, 20" })
-	void badReleaseKeepsToItsAllowance(RolloutModel.Badness badness, long duration, int nodes) {
+	void badReleaseKeepsToItsAllowance(RolloutModel.Fault badness, long duration, int nodes) {
 		for (int seed = 0; seed < 10; seed++) {
 			RolloutModel model = new RolloutModel(badness, duration, nodes, seed);
 			model.run();
@@ -41,7 +41,7 @@
 	@ParameterizedTest
 	@CsvSource({ "UNDER_LOAD, 10000, 4" })
 	@Tag("known-red")
-	void releaseThatFailsAboveTheTriedLoadKeepsToItsAllowance(RolloutModel.Badness badness, long duration, int nodes) {
+	void releaseThatFailsAboveTheTriedLoadKeepsToItsAllowance(RolloutModel.Fault badness, long duration, int nodes) {
 		badReleaseKeepsToItsAllowance(badness, duration, nodes);
 	}
 
@@ -52,7 +52,7 @@
 	@ParameterizedTest
 	@CsvSource({ "START, 24000, 4", "UNDER_LOAD, 24000, 1", "UNDER_LOAD, 24000, 20", "ONE_ROUTE, 16000, 20",
 			"LATE, 24000, 4" })
-	void badReleaseKeepsToItsAllowanceInABurst(RolloutModel.Badness badness, long duration, int nodes) {
+	void badReleaseKeepsToItsAllowanceInABurst(RolloutModel.Fault badness, long duration, int nodes) {
 		for (int seed = 0; seed < 10; seed++) {
 			RolloutModel model = new RolloutModel(badness, duration, nodes, seed);
 			model.withSessions(24, true).burst(2.5, 0.52, 0.75).run();
@@ -67,7 +67,7 @@
 	@CsvSource({ "24000, 1", "24000, 4", "24000, 20", "16000, 4", "10000, 4", "10000, 20" })
 	void goodReleaseIsCompletedInTime(long duration, int nodes) {
 		for (int seed = 0; seed < 10; seed++) {
-			RolloutModel model = new RolloutModel(RolloutModel.Badness.NONE, duration, nodes, seed);
+			RolloutModel model = new RolloutModel(RolloutModel.Fault.NONE, duration, nodes, seed);
 			model.run();
 			assertThat(model.state()).as("seed " + seed).isEqualTo(RolloutState.COMPLETED);
 		}
@@ -76,10 +76,10 @@
 	/** Guards against a node without the store that lets a bad release grow. */
 	@ParameterizedTest
 	@CsvSource({ "START, 24000", "UNDER_LOAD, 24000", "ONE_ROUTE, 10000" })
-	void nodeThatHearsNothingKeepsToItsPartOfTheAllowance(RolloutModel.Badness badness, long duration) {
+	void nodeThatHearsNothingKeepsToItsPartOfTheAllowance(RolloutModel.Fault badness, long duration) {
 		for (int seed = 0; seed < 10; seed++) {
 			RolloutModel model = new RolloutModel(badness, duration, 4, seed);
-			model.deaf(0);
+			model.isolatedNode(0);
 			model.run();
 			assertThat((double) model.sentToTarget()).as("seed " + seed)
 				.isLessThanOrEqualTo(ALLOWED_SHARE * model.sent() + ALLOWED_SLACK);
--- a/core/src/test/java/org/gullsaddle/serve/RolloutSessionTests.java
+++ b/core/src/test/java/org/gullsaddle/serve/RolloutSessionTests.java
@@ -22,10 +22,10 @@
 
 	private static void keeps(long duration, int nodes, UnaryOperator<RolloutModel> setup) {
 		for (int seed = 0; seed < SEEDS; seed++) {
-			RolloutModel model = setup.apply(new RolloutModel(RolloutModel.Badness.NONE, duration, nodes, seed));
+			RolloutModel model = setup.apply(new RolloutModel(RolloutModel.Fault.NONE, duration, nodes, seed));
 			model.run();
-			assertThat(model.movedBack()).as("seed " + seed).isLessThanOrEqualTo(ALLOWED);
-			assertThat(model.tooEarly()).as("seed " + seed).isZero();
+			assertThat(model.movedBackCount()).as("seed " + seed).isLessThanOrEqualTo(ALLOWED);
+			assertThat(model.tooEarlyCount()).as("seed " + seed).isZero();
 			assertThat(model.state()).as("seed " + seed).isEqualTo(RolloutState.COMPLETED);
 		}
 	}
@@ -48,7 +48,7 @@
 	@ParameterizedTest
 	@CsvSource({ "24000, 4", "24000, 22", "10000, 22" })
 	void nodesThatLearnOfTheOrderOneAfterAnotherAgree(long duration, int nodes) {
-		keeps(duration, nodes, (model) -> model.withSessions(LIVE, false).learnOneAfterAnother());
+		keeps(duration, nodes, (model) -> model.withSessions(LIVE, false).learnOrderAtDifferentTimes());
 	}
 
 	/** Guards against a node that starts in a roll-out and takes it for a new one. */
--- a/core/src/test/java/org/gullsaddle/serve/RolloutTests.java
+++ b/core/src/test/java/org/gullsaddle/serve/RolloutTests.java
@@ -43,17 +43,17 @@
 	/** When the next request is sent: none overlaps another one. */
 	private long sentAt;
 
-	private void answered(String release, String kind, boolean failed, long firstMillis) {
+	private void answer(String release, String kind, boolean failed, long firstMillis) {
 		this.rollout.onAnswerStarted(BOTH.get(release.equals("v2") ? 1 : 0), new AnswerKind(kind, ""), failed,
 				this.sentAt, firstMillis);
 		this.sentAt += firstMillis;
 	}
 
-	private boolean onTarget(long now, String key, boolean session) {
-		return allowed(now, BOTH, new ReleaseKey(key, session)).get(0).release().equals("v2");
+	private boolean isOnTarget(long now, String key, boolean session) {
+		return choose(now, BOTH, new ReleaseKey(key, session)).get(0).release().equals("v2");
 	}
 
-	private List<Replica> allowed(long now, List<Replica> replicas, ReleaseKey key) {
+	private List<Replica> choose(long now, List<Replica> replicas, ReleaseKey key) {
 		return this.rollout.chooseReplicas(now, replicas, key, Set.of(), 1);
 	}
 
@@ -62,7 +62,7 @@
 	 */
 	private void prove(long now) {
 		this.rollout.onStateRead(RolloutState.RUNNING, "v2", 11);
-		answers(20, 0);
+		answerMany(20, 0);
 		for (int i = 0; i < 20; i++) {
 			this.rollout.onLoadReported(now, BOTH.get(1), new LoadReport(6, 0, 8), now);
 		}
@@ -72,42 +72,42 @@
 	/**
 	 * Looks at the roll-out as often as a node does until a time.
 	 */
-	private void lookUntil(long from, long until) {
+	private void updateUntil(long from, long until) {
 		for (long now = from; now <= until; now += 200) {
 			this.rollout.update(now, 0);
 		}
 	}
 
-	private long onTarget(long now, boolean session) {
+	private long isOnTarget(long now, boolean session) {
 		long onTarget = 0;
 		for (int i = 0; i < 1000; i++) {
-			onTarget += onTarget(now, "key-" + i, session) ? 1 : 0;
+			onTarget += isOnTarget(now, "key-" + i, session) ? 1 : 0;
 		}
 		return onTarget;
 	}
 
 	private long sessionsOnTarget(long now) {
-		return onTarget(now, true);
+		return isOnTarget(now, true);
 	}
 
-	private void answers(int good, int bad) {
+	private void answerMany(int good, int bad) {
 		for (int i = 0; i < good; i++) {
-			answered("v2", "chat", false, 100);
+			answer("v2", "chat", false, 100);
 		}
 		for (int i = 0; i < bad; i++) {
-			answered("v2", "chat", true, 100);
+			answer("v2", "chat", true, 100);
 		}
 	}
 
 	@Test
-	void runningIsWrittenFirst() {
+	void runningIsTheFirstStateWritten() {
 		assertThat(this.rollout.findDueState(0)).contains(RolloutState.RUNNING);
 		this.rollout.onStateRead(RolloutState.RUNNING, "v2", 11);
 		assertThat(this.rollout.findDueState(0)).isEmpty();
 	}
 
 	@Test
-	void stateOfAnEarlierOrderIsOnlyTheGuardOfTheNextWrite() {
+	void stateOfAnEarlierOrderOnlyGuardsTheNextWrite() {
 		this.rollout.onStateRead(RolloutState.COMPLETED, "v2", 9);
 		assertThat(this.rollout.findDueState(0)).contains(RolloutState.RUNNING);
 		assertThat(this.rollout.stateRevision()).isEqualTo(9);
@@ -129,12 +129,12 @@
 	 * new, and it would send sessions back to the old release.
 	 */
 	@Test
-	void nodeThatStartsAnewGoesOnWhereTheOthersAre() {
+	void restartedNodeContinuesAtThePeersElapsedTime() {
 		Rollout other = new Rollout(0, this.rollout.order(), 10);
 		this.rollout.onNote(0, new RolloutNote("other", 0, Map.of(), 40, DURATION * 3 / 4));
 		for (int i = 0; i < 1000; i++) {
 			ReleaseKey key = new ReleaseKey("key-" + i, true);
-			assertThat(allowed(0, BOTH, key)).isEqualTo(other.chooseReplicas(DURATION * 3 / 4, BOTH, key, Set.of(), 1));
+			assertThat(choose(0, BOTH, key)).isEqualTo(other.chooseReplicas(DURATION * 3 / 4, BOTH, key, Set.of(), 1));
 		}
 		assertThat(sessionsOnTarget(0)).isPositive();
 	}
@@ -143,7 +143,7 @@
 	 * The same once the release was proved: all sessions are on it at the other nodes.
 	 */
 	@Test
-	void nodeThatStartsAnewAfterTheProofHasTheSameShare() {
+	void nodeRestartedAfterTheProofHasTheSameShare() {
 		this.rollout.onStateRead(RolloutState.RUNNING, "v2", 11);
 		this.rollout.onNote(0, new RolloutNote("other", 0, Map.of(), 40, DURATION * 4 / 5, Map.of(), 12, 0.6,
 				DURATION * 6 / 10, 0, 0));
@@ -155,10 +155,10 @@
 
 		@Test
 		void smallShareOfRequestsWithoutASessionGoesToItInTheFirstHalfAndAllInTheEnd() {
-			assertThat(onTarget(DURATION / 4, false)).isBetween(50L, 110L);
+			assertThat(isOnTarget(DURATION / 4, false)).isBetween(50L, 110L);
 			prove(DURATION * 6 / 10);
-			lookUntil(DURATION * 6 / 10, DURATION * 4 / 5);
-			assertThat(onTarget(DURATION * 4 / 5, false)).isEqualTo(1000);
+			updateUntil(DURATION * 6 / 10, DURATION * 4 / 5);
+			assertThat(isOnTarget(DURATION * 4 / 5, false)).isEqualTo(1000);
 		}
 
 		/** Guards against a share that rises by the clock, whatever was learned. */
@@ -170,7 +170,7 @@
 				RolloutTests.this.rollout.update(now, 0);
 				RolloutTests.this.rollout.findDueState(now)
 					.ifPresent((state) -> RolloutTests.this.rollout.onStateRead(state, "v2", revision));
-				Replica replica = allowed(now, BOTH, new ReleaseKey("key-" + now, now % 2 == 0)).get(0);
+				Replica replica = choose(now, BOTH, new ReleaseKey("key-" + now, now % 2 == 0)).get(0);
 				RolloutTests.this.rollout.recordSent(replica);
 				sent += replica.release().equals("v2") ? 1 : 0;
 			}
@@ -182,13 +182,13 @@
 		@Test
 		void itsShareDoesNotRiseInTheFirstHalfHoweverSoonItIsProved() {
 			prove(DURATION * 32 / 100);
-			lookUntil(DURATION * 32 / 100, DURATION / 2);
+			updateUntil(DURATION * 32 / 100, DURATION / 2);
 			assertThat(RolloutTests.this.rollout.progress(DURATION / 2).share()).isZero();
 		}
 
 		/** Guards against a share that rises at a node which cannot hear the others. */
 		@Test
-		void itsShareDoesNotRiseByOldKnowledge() {
+		void shareDoesNotRiseOnOutdatedPeerState() {
 			prove(DURATION * 6 / 10);
 			RolloutTests.this.rollout.update(DURATION * 4 / 5, DURATION / 2);
 			assertThat(RolloutTests.this.rollout.progress(DURATION * 4 / 5).share()).isZero();
@@ -223,13 +223,13 @@
 			RolloutTests.this.rollout.recordRequest(new ReleaseKey("b", true, "large", 9000));
 			assertThat(largeOnTarget(DURATION * 53 / 100)).isBetween(200L, 300L);
 			prove(DURATION * 6 / 10);
-			lookUntil(DURATION * 6 / 10, DURATION * 4 / 5);
+			updateUntil(DURATION * 6 / 10, DURATION * 4 / 5);
 			assertThat(largeOnTarget(DURATION * 4 / 5)).isEqualTo(1000);
 		}
 
 		private long largeOnTarget(long now) {
 			return IntStream.range(0, 1000)
-				.filter((i) -> allowed(now, BOTH, new ReleaseKey("key-" + i, true, "large", 9000)).get(0)
+				.filter((i) -> choose(now, BOTH, new ReleaseKey("key-" + i, true, "large", 9000)).get(0)
 					.release()
 					.equals("v2"))
 				.count();
@@ -245,9 +245,9 @@
 		 * All old replicas crash early in a roll-out; the new ones are sound.
 		 */
 		@Test
-		void itIsTheWayOutWhenNoOldReplicaIsLeft() {
+		void isUsedWhenNoOldReplicaIsLeft() {
 			List<Replica> left = List.of(replica("new", "v2"));
-			assertThat(allowed(1000, left, new ReleaseKey("s", true))).isEqualTo(left);
+			assertThat(choose(1000, left, new ReleaseKey("s", true))).isEqualTo(left);
 		}
 
 		@Test
@@ -256,7 +256,7 @@
 				String session = "key-" + i;
 				boolean before = false;
 				for (long now = 0; now < DURATION; now += 500) {
-					boolean onTarget = onTarget(now, session, true);
+					boolean onTarget = isOnTarget(now, session, true);
 					assertThat(onTarget || !before).isTrue();
 					before = onTarget;
 				}
@@ -266,16 +266,16 @@
 		@Test
 		void itIsCompletedInTime() {
 			prove(DURATION * 6 / 10);
-			lookUntil(DURATION * 6 / 10, DURATION * 9 / 10);
+			updateUntil(DURATION * 6 / 10, DURATION * 9 / 10);
 			assertThat(RolloutTests.this.rollout.findDueState(DURATION / 2)).isEmpty();
 			assertThat(RolloutTests.this.rollout.findDueState(DURATION * 9 / 10)).contains(RolloutState.COMPLETED);
 		}
 
 		@Test
-		void withoutEnoughAnswersItIsTakenBack() {
+		void isRolledBackWithoutEnoughAnswers() {
 			RolloutTests.this.rollout.onStateRead(RolloutState.RUNNING, "v2", 11);
-			answers(3, 0);
-			lookUntil(0, DURATION * 9 / 10);
+			answerMany(3, 0);
+			updateUntil(0, DURATION * 9 / 10);
 			assertThat(RolloutTests.this.rollout.findDueState(DURATION * 9 / 10)).isEmpty();
 			assertThat(RolloutTests.this.rollout.findDueState(DURATION * 96 / 100)).contains(RolloutState.ROLLED_BACK);
 		}
@@ -289,11 +289,11 @@
 		void largeModelsAnswersAreComparedWithItsOwn() {
 			RolloutTests.this.rollout.onStateRead(RolloutState.RUNNING, "v2", 11);
 			for (int i = 0; i < 40; i++) {
-				answered("v1", "chat/small", false, 90);
-				answered("v1", "chat/large", false, 1100);
+				answer("v1", "chat/small", false, 90);
+				answer("v1", "chat/large", false, 1100);
 			}
 			for (int i = 0; i < 20; i++) {
-				answered("v2", "chat/large", false, 1300);
+				answer("v2", "chat/large", false, 1300);
 			}
 			assertThat(RolloutTests.this.rollout.evidence()).isZero();
 		}
@@ -303,22 +303,22 @@
 		 * reasons. The new one does no worse, and is completed.
 		 */
 		@Test
-		void failuresThatTheOldReleaseHasTooAreNoReason() {
+		void failuresThatTheOldReleaseHasTooDoNotCount() {
 			RolloutTests.this.rollout.onStateRead(RolloutState.RUNNING, "v2", 11);
 			for (int i = 0; i < 100; i++) {
-				answered("v1", "read", i % 4 == 0, 30);
+				answer("v1", "read", i % 4 == 0, 30);
 			}
 			for (int i = 0; i < 200; i++) {
-				answered("v2", "read", i % 4 == 0, 30);
+				answer("v2", "read", i % 4 == 0, 30);
 			}
 			assertThat(RolloutTests.this.rollout.findDueState(DURATION / 2)).isEmpty();
 		}
 
 		@Test
-		void fewFailuresAmongManyAnswersAreNoReason() {
+		void fewFailuresAmongManyAnswersDoNotRollBack() {
 			RolloutTests.this.rollout.onStateRead(RolloutState.RUNNING, "v2", 11);
 			for (int i = 0; i < 30; i++) {
-				answers(19, 1);
+				answerMany(19, 1);
 			}
 			assertThat(RolloutTests.this.rollout.findDueState(DURATION / 2)).isEmpty();
 		}
@@ -335,15 +335,15 @@
 		@Test
 		void evidenceOfSeveralNodesIsPooled() {
 			RolloutTests.this.rollout.onStateRead(RolloutState.RUNNING, "v2", 11);
-			answers(1, 2);
+			answerMany(1, 2);
 			assertThat(RolloutTests.this.rollout.findDueState(1000)).isEmpty();
 			RolloutTests.this.rollout.onNote(1000, new RolloutNote("other", 2.5, Map.of(), 3, 1000));
 			assertThat(RolloutTests.this.rollout.findDueState(1000)).contains(RolloutState.ROLLED_BACK);
 		}
 
 		@Test
-		void itGetsNothingMoreOnceItIsFoundOut() {
-			answers(0, 5);
+		void foundBadGetsNoMoreRequests() {
+			answerMany(0, 5);
 			assertThat(sessionsOnTarget(DURATION - 1)).isZero();
 		}
 
@@ -352,9 +352,9 @@
 		 * not sent to it.
 		 */
 		@Test
-		void itIsNotTheWayOutWhenNoOtherReplicaIsLeft() {
-			answers(0, 5);
-			assertThat(allowed(1000, List.of(replica("new", "v2")), new ReleaseKey("s", true))).isEmpty();
+		void isNotUsedWhenNoOldReplicaIsLeft() {
+			answerMany(0, 5);
+			assertThat(choose(1000, List.of(replica("new", "v2")), new ReleaseKey("s", true))).isEmpty();
 		}
 
 		/**
@@ -365,9 +365,9 @@
 		void failuresOfOneKindAreNotHiddenByTheOthers() {
 			RolloutTests.this.rollout.onStateRead(RolloutState.RUNNING, "v2", 11);
 			for (int i = 0; i < 8; i++) {
-				answered("v2", "briefs", i % 2 == 0, 100);
+				answer("v2", "briefs", i % 2 == 0, 100);
 				for (int j = 0; j < 6; j++) {
-					answered("v2", "notes", false, 100);
+					answer("v2", "notes", false, 100);
 				}
 			}
 			assertThat(RolloutTests.this.rollout.findDueState(DURATION / 2)).contains(RolloutState.ROLLED_BACK);
@@ -380,7 +380,7 @@
 		@Test
 		void slowAnswersThatOneReplicaGivesAtOnceCountOnce() {
 			for (int i = 0; i < 50; i++) {
-				answered("v1", "chat", false, 100);
+				answer("v1", "chat", false, 100);
 			}
 			for (int i = 0; i < 12; i++) {
 				RolloutTests.this.rollout.onAnswerStarted(BOTH.get(1), new AnswerKind("chat", ""), false,
@@ -394,10 +394,10 @@
 		@Test
 		void answersSeveralTimesSlowerThanTheOldOnesCountAsFailures() {
 			for (int i = 0; i < 50; i++) {
-				answered("v1", "chat", false, 100);
+				answer("v1", "chat", false, 100);
 			}
 			for (int i = 0; i < 4; i++) {
-				answered("v2", "chat", false, 2000);
+				answer("v2", "chat", false, 2000);
 			}
 			assertThat(RolloutTests.this.rollout.evidence()).isGreaterThan(4);
 		}
@@ -421,13 +421,13 @@
 		private static final long STEP_MILLIS = 100;
 
 		/** What a node sends to the new release in a step at first. */
-		private static final double CANARY = 0.02;
+		private static final double CANARY_REQUESTS_PER_STEP = 0.02;
 
 		/** The same once all traffic goes there. */
-		private static final double ALL = 0.25;
+		private static final double FULL_REQUESTS_PER_STEP = 0.25;
 
 		/** What any release fails. */
-		private static final double USUAL = 0.04;
+		private static final double TOLERATED_FAILURE_RATIO = 0.04;
 
 		/**
 		 * Plays a roll-out until any node condemns the release or its time is over.
@@ -437,7 +437,8 @@
 		 * @return how many answers failed on them until then, or empty if it was not
 		 * condemned
 		 */
-		private OptionalInt badAnswers(int nodes, double badRate, int badRoutes, long badFrom, int seed) {
+		private OptionalInt failedAnswersUntilFoundBad(int nodes, double badRate, int badRoutes, long badFrom,
+				int seed) {
 			Random random = new Random(seed);
 			List<Rollout> rollouts = Stream
 				.generate(() -> new Rollout(0, new RolloutOrder(SERVICE, "v2", DURATION), 10))
@@ -447,16 +448,17 @@
 			int bad = 0;
 			for (long now = 0; now < 0.85 * DURATION; now += STEP_MILLIS) {
 				for (int i = 0; i < nodes; i++) {
-					if (random.nextDouble() < ((now < DURATION / 2) ? CANARY : ALL)) {
+					if (random
+						.nextDouble() < ((now < DURATION / 2) ? CANARY_REQUESTS_PER_STEP : FULL_REQUESTS_PER_STEP)) {
 						int route = random.nextInt(ROUTES);
 						boolean onBad = route < badRoutes && now >= badFrom;
-						boolean failed = random.nextDouble() < (onBad ? badRate : USUAL);
+						boolean failed = random.nextDouble() < (onBad ? badRate : TOLERATED_FAILURE_RATIO);
 						bad += (onBad && failed) ? 1 : 0;
 						AnswerKind kind = new AnswerKind("route-" + route, "model-" + random.nextInt(MODELS));
 						rollouts.get(i).onAnswerStarted(BOTH.get(1), kind, failed, now, 100);
 					}
 					if (now % NOTE_MILLIS == STEP_MILLIS * (i % (NOTE_MILLIS / STEP_MILLIS))) {
-						tell(now, rollouts, i);
+						deliverNote(now, rollouts, i);
 					}
 					if (rollouts.get(i).findDueState(now).equals(Optional.of(RolloutState.ROLLED_BACK))) {
 						return OptionalInt.of(bad);
@@ -466,7 +468,7 @@
 			return OptionalInt.empty();
 		}
 
-		private void tell(long now, List<Rollout> rollouts, int from) {
+		private void deliverNote(long now, List<Rollout> rollouts, int from) {
 			RolloutNote note = rollouts.get(from).note(now, "node-" + from);
 			for (int i = 0; i < rollouts.size(); i++) {
 				if (i != from) {
@@ -481,26 +483,28 @@
 		 */
 		@ParameterizedTest
 		@ValueSource(ints = { 4, 20, 31, 100 })
-		void goodReleaseIsHardlyEverTakenBack(int nodes) {
+		void goodReleaseIsRarelyRolledBack(int nodes) {
 			long takenBack = IntStream.range(0, SEEDS)
-				.filter((seed) -> badAnswers(nodes, 0, 0, 0, seed).isPresent())
+				.filter((seed) -> failedAnswersUntilFoundBad(nodes, 0, 0, 0, seed).isPresent())
 				.count();
 			assertThat(takenBack).isLessThanOrEqualTo(1);
 		}
 
 		@ParameterizedTest
 		@ValueSource(ints = { 4, 20, 31, 100 })
-		void badReleaseIsFoundOutBeforeFiftyBadAnswers(int nodes) {
+		void badReleaseIsFoundBeforeFiftyFailures(int nodes) {
 			for (int seed = 0; seed < SEEDS; seed++) {
-				assertThat(badAnswers(nodes, 0.5, ROUTES, 0, seed).orElse(1000)).as("seed " + seed).isLessThan(50);
+				assertThat(failedAnswersUntilFoundBad(nodes, 0.5, ROUTES, 0, seed).orElse(1000)).as("seed " + seed)
+					.isLessThan(50);
 			}
 		}
 
 		@ParameterizedTest
 		@ValueSource(ints = { 4, 20, 31, 100 })
-		void releaseThatIsBadOnOneRouteIsFoundOutToo(int nodes) {
+		void releaseThatIsBadOnOneRouteIsFound(int nodes) {
 			for (int seed = 0; seed < SEEDS; seed++) {
-				assertThat(badAnswers(nodes, 0.5, 1, 0, seed).orElse(1000)).as("seed " + seed).isLessThan(50);
+				assertThat(failedAnswersUntilFoundBad(nodes, 0.5, 1, 0, seed).orElse(1000)).as("seed " + seed)
+					.isLessThan(50);
 			}
 		}
 
@@ -509,9 +513,10 @@
 		 */
 		@ParameterizedTest
 		@ValueSource(ints = { 4, 20, 31 })
-		void releaseThatTurnsBadLateIsFoundOutToo(int nodes) {
+		void releaseThatTurnsBadLateIsFound(int nodes) {
 			for (int seed = 0; seed < SEEDS; seed++) {
-				assertThat(badAnswers(nodes, 0.5, ROUTES, DURATION / 2 + 2000, seed).orElse(1000)).as("seed " + seed)
+				assertThat(failedAnswersUntilFoundBad(nodes, 0.5, ROUTES, DURATION / 2 + 2000, seed).orElse(1000))
+					.as("seed " + seed)
 					.isLessThan(100);
 			}
 		}
@@ -526,7 +531,7 @@
 		 * Guards against a node's old sum that is taken for what it saw after a restart.
 		 */
 		@Test
-		void nodeThatStartedAgainIsHeardAnew() {
+		void sumsOfARestartedNodeStartAtZero() {
 			Rollout rollout = RolloutTests.this.rollout;
 			rollout.onNote(1000, new RolloutNote("other", -50, Map.of(), 140, 1000));
 			rollout.onNote(3000, new RolloutNote("other", -1, Map.of(), 3, 3000));
--- a/core/src/test/java/org/gullsaddle/serve/RolloutWriteScheduleTests.java
+++ b/core/src/test/java/org/gullsaddle/serve/RolloutWriteScheduleTests.java
@@ -51,7 +51,7 @@
 	}
 
 	@Test
-	void endOfABadReleaseIsWrittenAtOnce() {
+	void rollBackIsWrittenWithin300Millis() {
 		Rollout rollout = new Rollout(0, ORDER, 10);
 		RolloutWriteSchedule turns = new RolloutWriteSchedule("node");
 		turns.isWriteDue(0, rollout, RolloutState.ROLLED_BACK);
@@ -59,7 +59,7 @@
 	}
 
 	@Test
-	void stateIsWrittenAgainIfItIsStillDueAfterAWhile() {
+	void stateStillDueIsWrittenAgainAfterTwoSeconds() {
 		Rollout rollout = new Rollout(0, ORDER, 10);
 		RolloutWriteSchedule turns = new RolloutWriteSchedule("node");
 		turns.onWriteAnswered(0, rollout, RolloutState.RUNNING);
