--- a/core/src/main/java/org/gullsaddle/serve/Rollout.java
+++ b/core/src/main/java/org/gullsaddle/serve/Rollout.java
@@ -15,42 +15,46 @@
 import org.gullsaddle.fleet.RolloutState;
 
 /**
- * One roll-out as a node sees it: which part of the traffic the new release gets, and
- * whether it is bad. Confined to one thread.
+ * A node's view of one roll-out: decides which share of the traffic the new release gets
+ * and whether it is rolled back. Confined to one thread.
  * <p>
- * A request goes to the new release if its key's number, the same on every node, is below
- * the share. The share of sessions is the same on all routes and, by
- * {@link RolloutClock}, at all nodes, and only rises until the verdict, so that a session
- * changes its release at most once. That is in the second half: one that was served by
- * the old release just before must keep it, and a node does not know the sessions of the
- * others. Requests without a session are tried from the start. Nodes pool their evidence
- * by notes: one node sees too few answers of a small share to know in time.
+ * A request goes to the new release if the hash of its key, which is the same on every
+ * node, is below the share. The share of sessions is the same on all routes and, by
+ * {@link RolloutClock}, on all nodes, and never falls before the verdict, so that a
+ * session changes its release at most once. Sessions move only in the second half of the
+ * roll-out: a session that was just served by the old release must keep it, and a node
+ * does not know the sessions of its peers. Requests without a session are sent to the new
+ * release from the start. Nodes pool their evidence by notes, because with a small share
+ * one node sees too few answers to decide in time.
  * <p>
- * Until the release is proved its requests fill one replica after the other, so that it
- * is tried under load, and stay within an allowance that the nodes share. What bounds
- * sessions is how many are let in; one that spends the allowance all the same is taken
- * back as a whole. A release is proved once it has answered well on each route in use and
- * under load, as far as all nodes tell. An unknown release is not taken for a sound one:
- * without a proof it is taken back.
+ * Until the release is proved, its requests fill one replica after the other, so that it
+ * is tried under load, and they stay within an allowance that the nodes share. Sessions
+ * are bounded only by the share that is admitted; if they exceed the allowance all the
+ * same, the whole release is rolled back. A release is proved once it has answered well
+ * on each route in use and under load, by the reports of all nodes. A release that is not
+ * proved in time is rolled back.
  */
 public final class Rollout {
 
-	/** A hundred to one for a bad release. */
+	/** Logarithm of the likelihood ratio, 100 to 1, at which a release counts as bad. */
 	private static final double EVIDENCE_THRESHOLD = Math.log(100);
 
 	/**
-	 * How much longer than this node another one may have known the order for both to
-	 * have known it from the start, in milliseconds.
+	 * How much earlier a peer may have learned of the order, in milliseconds, for this
+	 * node to count as having followed the roll-out from its start.
 	 */
 	private static final long MAX_LEARNED_LATER_MILLIS = 3000;
 
 	/**
-	 * How many replicas of the old release must be unreachable, one after the other, to
-	 * take it that they have stopped, as they do at the end.
+	 * How many replicas of the old release must be unreachable in a row for the old
+	 * release to count as stopped, as it is at the end of a roll-out.
 	 */
 	private static final int MIN_UNREACHABLE_OLD_REPLICAS = 3;
 
-	/** How many kinds of request are judged, each by itself; later ones count as one. */
+	/**
+	 * How many kinds of answer are compared separately; further kinds share one
+	 * comparison.
+	 */
 	private static final int MAX_KINDS = 64;
 
 	private static final AnswerKind OTHER_KIND = new AnswerKind("other", "");
@@ -77,7 +81,10 @@
 
 	private final RampUp rampUp;
 
-	/** When each replica of the new release was last found slow, until its answer. */
+	/**
+	 * When the last slow answer of each replica of the new release ended, in
+	 * milliseconds.
+	 */
 	private final Map<ReplicaId, Long> slowUntil = new HashMap<>();
 
 	private final Set<ReplicaId> unreachableOldReplicas = new HashSet<>();
@@ -89,12 +96,12 @@
 	private boolean foundBad;
 
 	/**
-	 * Makes a roll-out of which this node has just learned.
+	 * Creates a roll-out of which this node has just learned.
 	 * @param notBefore a time before which it was not ordered
 	 * @param now the time
 	 * @param order the order
-	 * @param revision the revision of the order
-	 * @param limits what the release may get before it is proved
+	 * @param revision the store's revision of the order
+	 * @param limits the allowance of the release until it is proved
 	 */
 	public Rollout(long notBefore, long now, RolloutOrder order, long revision, RolloutLimits limits) {
 		this.learnedAt = now;
@@ -108,7 +115,7 @@
 	}
 
 	/**
-	 * Makes a roll-out that was just ordered, with the usual limits.
+	 * Creates a roll-out that was just ordered, with the default limits.
 	 * @param now the time
 	 * @param order the order
 	 * @param revision the revision of the order
@@ -118,9 +125,10 @@
 	}
 
 	/**
-	 * Takes in the entry of a replica of the service, which tells when it started.
+	 * Handles the entry of a replica of the service, which contains when the replica
+	 * started.
 	 * @param now the time
-	 * @param timeOfDay the time of day here, in Unix milliseconds
+	 * @param timeOfDay this node's time of day, in Unix milliseconds
 	 * @param replica the replica
 	 */
 	public void onReplicaListed(long now, long timeOfDay, Replica replica) {
@@ -146,7 +154,7 @@
 	}
 
 	/**
-	 * Returns the state that was written last.
+	 * Returns the state in the store.
 	 * @return the state, or empty if none was written for this order
 	 */
 	public Optional<RolloutState> writtenState() {
@@ -154,7 +162,7 @@
 	}
 
 	/**
-	 * Returns the revision of the state, the guard of its next change.
+	 * Returns the revision of the state, which the next conditional write expects.
 	 * @return the revision, 0 if there was none
 	 */
 	public long stateRevision() {
@@ -162,10 +170,10 @@
 	}
 
 	/**
-	 * Takes in the state as written. One that is older than what is known, from a reading
-	 * that took long, changes nothing.
+	 * Handles a state that was read from the store. A state older than the known one,
+	 * from a slow read, is ignored.
 	 * @param newState the state
-	 * @param target the release that it speaks of
+	 * @param target the release that the state is about
 	 * @param newRevision its revision
 	 */
 	public void onStateRead(RolloutState newState, String target, long newRevision) {
@@ -179,10 +187,10 @@
 	}
 
 	/**
-	 * Notes that an answer has begun: whether it is a failure stands in its head.
-	 * @param replica the replica that gives it
-	 * @param kind what it is compared by
-	 * @param failed whether it was a failure
+	 * Handles the start of an answer, whose head already says whether it is a failure.
+	 * @param replica the replica that answers
+	 * @param kind the kind of answer that it is compared with
+	 * @param failed whether it is a failure
 	 * @param sentAt when the request was sent, in milliseconds
 	 * @param firstMillis how long its first part took, in milliseconds
 	 */
@@ -199,21 +207,22 @@
 		boolean underLoad = this.loadTrial.wasUnderLoad(replica.id(), sentAt);
 		boolean slow = !failed && trial.isSlow(firstMillis);
 		if (slow && (underLoad || !isNewSlowEvent(replica.id(), sentAt, firstMillis))) {
-			// The old release was not tried under as much load.
+			// The old release did not run under as much load, so the latencies are not
+			// comparable.
 			return;
 		}
-		double says = trial.evidenceOf(failed, firstMillis);
-		this.evidence.recordAnswer((known ? kind : OTHER_KIND).route(), says);
+		double evidenceOfAnswer = trial.evidenceOf(failed, firstMillis);
+		this.evidence.recordAnswer((known ? kind : OTHER_KIND).route(), evidenceOfAnswer);
 		if (underLoad) {
-			this.evidence.recordAnswerUnderLoad(says);
+			this.evidence.recordAnswerUnderLoad(evidenceOfAnswer);
 		}
 		checkEvidence();
 	}
 
 	/**
-	 * Says whether a slow answer is news. All that wait at a replica while it reads one
-	 * very long prompt are answered late together; that is one event of one replica, and
-	 * says little of the release.
+	 * Returns whether a slow answer belongs to a new slow event. All requests that wait
+	 * at a replica while it reads one very long prompt are answered late together; that
+	 * is one event of one replica and hardly evidence against the release.
 	 */
 	private boolean isNewSlowEvent(ReplicaId replica, long sentAt, long firstMillis) {
 		if (sentAt < this.slowUntil.getOrDefault(replica, Long.MIN_VALUE)) {
@@ -224,7 +233,7 @@
 	}
 
 	/**
-	 * Notes that this node sent a request to a replica.
+	 * Counts a request that this node sent to a replica.
 	 * @param replica the replica
 	 */
 	public void recordSent(Replica replica) {
@@ -232,11 +241,11 @@
 	}
 
 	/**
-	 * Takes in what a replica told of its load.
+	 * Handles the load that a replica reported.
 	 * @param now the time
 	 * @param replica the replica
 	 * @param load its load
-	 * @param sentAt when the request was sent that it answers
+	 * @param sentAt when the request was sent whose answer reported it
 	 */
 	public void onLoadReported(long now, Replica replica, LoadReport load, long sentAt) {
 		if (isOnTarget(replica)) {
@@ -248,7 +257,7 @@
 	}
 
 	/**
-	 * Notes that a replica could not be reached.
+	 * Records that a replica could not be reached.
 	 * @param replica the replica
 	 */
 	public void recordUnreachable(Replica replica) {
@@ -258,7 +267,7 @@
 	}
 
 	/**
-	 * Takes in another node's note.
+	 * Handles a peer's note.
 	 * @param now the time
 	 * @param note the note
 	 */
@@ -273,15 +282,17 @@
 	}
 
 	/**
-	 * Finds out whether the release is proved. Is to be called some times a second.
+	 * Checks whether the release is proved and raises its share. Must be called several
+	 * times a second.
 	 * @param now the time
-	 * @param knowledgeMillis how old what this node knows of the others may be
+	 * @param knowledgeMillis the greatest possible age of what this node knows of its
+	 * peers
 	 */
 	public void update(long now, long knowledgeMillis) {
 		this.rampUp.onPeerStateAge(now, knowledgeMillis);
-		boolean open = canRampUp(now) && !this.rampUp.isProved()
+		boolean canBeProved = canRampUp(now) && !this.rampUp.isProved()
 				&& elapsedRatio(now) <= RampUpSchedule.LATEST_PROOF_RATIO;
-		if (open && this.proof.isProved(elapsedRatio(now))) {
+		if (canBeProved && this.proof.isProved(elapsedRatio(now))) {
 			this.rampUp.onProved(elapsedMillis(now));
 		}
 		updateProvedShare(now);
@@ -292,7 +303,8 @@
 	}
 
 	/**
-	 * Returns the share of all requests since the proof.
+	 * Raises the share of all requests since the proof if that is allowed now, and
+	 * returns it.
 	 */
 	private double updateProvedShare(long now) {
 		if (this.rampUp.isProved() && canRampUp(now)) {
@@ -302,8 +314,8 @@
 	}
 
 	/**
-	 * Says whether more requests may go to the new release from one moment to the next,
-	 * so that news of it are urgent.
+	 * Returns whether the share of the new release may rise at any moment, so that nodes
+	 * must exchange notes quickly.
 	 * @return true from the proof until the end
 	 */
 	public boolean isRampingUp() {
@@ -311,7 +323,7 @@
 	}
 
 	/**
-	 * Returns what this node tells the others.
+	 * Returns the note with this node's figures for its peers.
 	 * @param now the time
 	 * @param node this node's name
 	 * @return the note
@@ -324,7 +336,7 @@
 	}
 
 	/**
-	 * Returns the evidence against the new release, of all nodes.
+	 * Returns the evidence against the new release from all nodes.
 	 * @return the sum of logarithms, 0 or more
 	 */
 	public double evidence() {
@@ -332,7 +344,7 @@
 	}
 
 	/**
-	 * Returns the answers of the new release that are known of.
+	 * Returns how many answers of the new release this node and its peers have seen.
 	 * @return the number
 	 */
 	public int answerCount() {
@@ -340,7 +352,7 @@
 	}
 
 	/**
-	 * Returns how far the new release has come, as this node knows.
+	 * Returns the progress of the roll-out as known to this node.
 	 * @param now the time
 	 * @return its figures
 	 */
@@ -351,9 +363,9 @@
 	}
 
 	/**
-	 * Returns the state that is to be written now.
+	 * Returns the state that must be written now.
 	 * @param now the time
-	 * @return the state, or empty if what is written stands
+	 * @return the state, or empty if the written state is current
 	 */
 	public Optional<RolloutState> findDueState(long now) {
 		if (this.writtenState == null) {
@@ -365,16 +377,16 @@
 		if (this.foundBad || hasExhaustedAllowanceOrTime(now)) {
 			return Optional.of(RolloutState.ROLLED_BACK);
 		}
-		double part = elapsedRatio(now);
+		double elapsed = elapsedRatio(now);
 		double completeAt = RampUpSchedule.completionRatio(this.rampUp.provedAtRatio());
-		boolean late = toRatio(this.clock.elapsedSinceOrderMillis(now)) >= RampUpSchedule.LATEST_COMPLETION_RATIO;
-		boolean whole = this.rampUp.share() >= 1 && (part >= completeAt || late);
-		return whole ? Optional.of(RolloutState.COMPLETED) : Optional.empty();
+		boolean overdue = toRatio(this.clock.elapsedSinceOrderMillis(now)) >= RampUpSchedule.LATEST_COMPLETION_RATIO;
+		boolean servesAll = this.rampUp.share() >= 1 && (elapsed >= completeAt || overdue);
+		return servesAll ? Optional.of(RolloutState.COMPLETED) : Optional.empty();
 	}
 
 	/**
-	 * Says whether the release has spent its allowance without a proof, or does not serve
-	 * all requests though its time is nearly over.
+	 * Returns whether the release has exceeded its allowance without a proof, or does not
+	 * serve all requests although its time is nearly over.
 	 */
 	private boolean hasExhaustedAllowanceOrTime(long now) {
 		if (!this.rampUp.isProved() && this.usage.isAllowanceSpent(this.evidence.notes())) {
@@ -385,7 +397,8 @@
 	}
 
 	/**
-	 * Returns the share of the new release among requests like one.
+	 * Returns the share of the new release among requests of the same route that have, or
+	 * do not have, a session like this one.
 	 */
 	private double newReleaseShare(long now, ReleaseKey key) {
 		if (this.rampUp.isCutOff(now)) {
@@ -397,8 +410,8 @@
 	}
 
 	/**
-	 * Says whether the old replicas have stopped, though this node has not heard of the
-	 * end.
+	 * Returns whether the old replicas seem to have stopped although this node has not
+	 * read that the roll-out is completed.
 	 */
 	private boolean isOldReleaseGone(long now) {
 		return elapsedRatio(now) >= RampUpSchedule.EARLIEST_COMPLETION_RATIO
@@ -406,40 +419,41 @@
 	}
 
 	/**
-	 * Notes what a request is like, for the order in which routes are tried.
-	 * @param key what decides by which release it is served
+	 * Records the prompt size of a request; routes with the smallest prompts are tried
+	 * first.
+	 * @param key the key that decides its release
 	 */
 	public void recordRequest(ReleaseKey key) {
 		this.routes.recordPrompt(key.route(), key.promptTokens());
 	}
 
 	/**
-	 * Keeps the replicas that a request may go to.
+	 * Chooses the replicas that a request may be sent to.
 	 * @param now the time
 	 * @param replicas the replicas of the service
-	 * @param key what decides by which release it is served
+	 * @param key the key that decides its release
 	 * @param leftOut replicas that it may not be sent to now
 	 * @param nodes how many nodes share the allowance of an unproved release, 0 if that
 	 * is not known
-	 * @return those of its release; of the other release if there are none and that is
-	 * not a bad one, nor one that has spent its allowance
+	 * @return the replicas of its release; those of the other release if it has none,
+	 * unless the other release is bad or has used up its allowance
 	 */
 	public List<Replica> chooseReplicas(long now, List<Replica> replicas, ReleaseKey key, Set<ReplicaId> leftOut,
 			int nodes) {
-		List<Replica> target = replicasOf(replicas, true);
-		List<Replica> former = replicasOf(replicas, false);
-		if (isRolledBack() || target.isEmpty()) {
-			return former;
+		List<Replica> targetReplicas = replicasOf(replicas, true);
+		List<Replica> oldReplicas = replicasOf(replicas, false);
+		if (isRolledBack() || targetReplicas.isEmpty()) {
+			return oldReplicas;
 		}
 		if (this.writtenState == RolloutState.COMPLETED || isOldReleaseGone(now)) {
-			return target;
+			return targetReplicas;
 		}
-		boolean chosen = isWithinShare(now, key);
-		boolean goes = chosen && (updateProvedShare(now) > 0 || key.session());
-		if (!goes && !((chosen || former.isEmpty()) && this.usage.canSendToTarget(nodes))) {
-			return former;
+		boolean withinShare = isWithinShare(now, key);
+		boolean admitted = withinShare && (updateProvedShare(now) > 0 || key.session());
+		if (!admitted && !((withinShare || oldReplicas.isEmpty()) && this.usage.canSendToTarget(nodes))) {
+			return oldReplicas;
 		}
-		return this.loadTrial.chooseReplicas(now, target, leftOut, this.routes.hasSmallestPrompts(key.route()));
+		return this.loadTrial.chooseReplicas(now, targetReplicas, leftOut, this.routes.hasSmallestPrompts(key.route()));
 	}
 
 	private boolean isWithinShare(long now, ReleaseKey key) {
@@ -449,7 +463,8 @@
 	/**
 	 * Returns the replicas of the release that the roll-out replaces.
 	 * @param replicas the replicas to choose from
-	 * @return those that are not of its target, none once it is completed
+	 * @return the replicas that do not run the target release; none once the roll-out is
+	 * completed
 	 */
 	List<Replica> oldReplicas(List<Replica> replicas) {
 		return (this.writtenState == RolloutState.COMPLETED) ? List.of() : replicasOf(replicas, false);
@@ -459,8 +474,8 @@
 		return this.foundBad || this.writtenState == RolloutState.ROLLED_BACK;
 	}
 
-	private List<Replica> replicasOf(List<Replica> replicas, boolean target) {
-		return replicas.stream().filter((replica) -> isOnTarget(replica) == target).toList();
+	private List<Replica> replicasOf(List<Replica> replicas, boolean onTarget) {
+		return replicas.stream().filter((replica) -> isOnTarget(replica) == onTarget).toList();
 	}
 
 	private boolean isOnTarget(Replica replica) {
