--- a/core/src/main/java/org/gullsaddle/serve/AttemptEnd.java
+++ b/core/src/main/java/org/gullsaddle/serve/AttemptEnd.java
@@ -6,7 +6,7 @@
 public sealed interface AttemptEnd {
 
 	/**
-	 * Names the end in a word, for counting.
+	 * Returns the label of this end in metrics.
 	 * @return {@code answered}, {@code failed}, {@code not-run}, {@code broken},
 	 * {@code withdrawn} or {@code dropped}
 	 */
@@ -21,8 +21,8 @@
 	}
 
 	/**
-	 * Says why a request ends with it.
-	 * @return some words
+	 * Returns the reason why a request ends with this attempt.
+	 * @return a short text
 	 */
 	default String endReason() {
 		return switch (this) {
@@ -35,16 +35,16 @@
 	}
 
 	/**
-	 * The replica did not run it, and will not.
+	 * The replica did not run the request and will not.
 	 *
-	 * @param unreachable whether no connection could be had, so that nothing was sent
-	 * @param reason why, in a word
+	 * @param unreachable whether there was no connection, so that nothing was sent
+	 * @param reason a short reason
 	 */
 	record NotRun(boolean unreachable, String reason) implements AttemptEnd {
 	}
 
 	/**
-	 * The replica gave its whole answer.
+	 * The replica sent a complete answer.
 	 *
 	 * @param status the HTTP status
 	 */
@@ -53,7 +53,7 @@
 		private static final int SERVER_ERROR = 500;
 
 		/**
-		 * Says whether the replica failed.
+		 * Returns whether the replica failed.
 		 * @return true for a status of 500 or more
 		 */
 		public boolean hasFailed() {
@@ -63,25 +63,25 @@
 	}
 
 	/**
-	 * It may have run, wholly or in part, but no whole answer came.
+	 * The request may have run, wholly or in part, but no complete answer arrived.
 	 *
-	 * @param reason what went wrong, in a word
+	 * @param reason a short reason
 	 */
 	record Broken(String reason) implements AttemptEnd {
 	}
 
 	/**
-	 * The caller left, or its time was over.
+	 * The caller left, or the deadline passed.
 	 *
-	 * @param reason which of them, in a word
+	 * @param reason which of them
 	 */
 	record Withdrawn(String reason) implements AttemptEnd {
 	}
 
 	/**
-	 * Its answer was dropped for a larger model's.
+	 * The answer was dropped for a larger model's.
 	 *
-	 * @param confidence the model's own opinion of the answer, 0 to 100
+	 * @param confidence the model's own rating of the answer, 0 to 100
 	 */
 	record Dropped(int confidence) implements AttemptEnd {
 	}
--- a/core/src/main/java/org/gullsaddle/serve/BackpressureTable.java
+++ b/core/src/main/java/org/gullsaddle/serve/BackpressureTable.java
@@ -17,15 +17,16 @@
 import org.gullsaddle.fleet.ServiceName;
 
 /**
- * How replicas asked for fewer requests, and what this node may send them. What one
- * process asked does not bind the next one under its id. Confined to one thread.
+ * Holds the rate limits and back-offs of replicas and decides what this node may send
+ * them. What one process of a replica asked for does not apply to the next one with the
+ * same id. Confined to one thread.
  */
 public final class BackpressureTable {
 
-	/** The latest time at which a refused caller is told to come back. */
+	/** The longest retry-after time given to a refused caller. */
 	private static final long MAX_RETRY_AFTER_MILLIS = 10_000;
 
-	/** The longest rest that a replica is given by one answer. */
+	/** The longest back-off that one answer can cause. */
 	private static final long MAX_BACK_OFF_MILLIS = 300_000;
 
 	private static final double MILLIS_PER_SECOND = 1000;
@@ -42,15 +43,18 @@
 
 	private final Map<ReplicaId, BackOff> backOffs = new HashMap<>();
 
-	/** Until when the parts of limits are promised to callers that were refused. */
+	/**
+	 * Until when the capacity of a service's limited replicas is reserved for refused
+	 * callers.
+	 */
 	private final Map<ServiceName, Long> promisedUntil = new HashMap<>();
 
 	/**
-	 * Makes an empty book.
+	 * Creates an empty table.
 	 * @param self this node
-	 * @param place where it is
-	 * @param peers tells all nodes, or empty while others may not know this one
-	 * @param random draws when this node has its turns
+	 * @param place the node's location
+	 * @param peers supplies all nodes, or empty while peers may not know this node
+	 * @param random draws when this node may probe
 	 */
 	public BackpressureTable(NodeId self, Place place, Supplier<Optional<List<Peer>>> peers, RandomGenerator random) {
 		this.self = self;
@@ -60,11 +64,11 @@
 	}
 
 	/**
-	 * Takes in what an answer says.
+	 * Handles the back-pressure of an answer.
 	 * @param now the time in milliseconds
 	 * @param replica the replica that answered
-	 * @param asked what it asks for
-	 * @return whether its limit is another one than before
+	 * @param asked the back-pressure
+	 * @return whether the replica's rate limit has changed
 	 */
 	public boolean onAnswer(long now, Replica replica, Backpressure asked) {
 		if (asked.backOffMillis() > 0) {
@@ -81,7 +85,8 @@
 	}
 
 	/**
-	 * An answer to a request that was sent before may ask for a rest that ends sooner.
+	 * Starts a back-off. One that would end sooner than the known one, from an answer to
+	 * an earlier request, is ignored.
 	 */
 	private void startBackOff(Replica replica, long until) {
 		BackOff known = this.backOffs.get(replica.id());
@@ -102,9 +107,10 @@
 	}
 
 	/**
-	 * Returns the limit that a replica names.
+	 * Returns a replica's rate limit.
 	 * @param replica the replica
-	 * @return the requests a second that it takes from all nodes, or empty for no limit
+	 * @return the requests a second that it takes from all nodes together, or empty
+	 * without a limit
 	 */
 	public OptionalDouble limit(Replica replica) {
 		LimitedReplica known = this.limitedReplicas.get(replica.id());
@@ -113,34 +119,34 @@
 	}
 
 	/**
-	 * Returns how many nodes come before this one for a limited replica, or empty if that
-	 * is not known.
+	 * Returns how many nodes come before this one in the distribution of a replica's rate
+	 * limit, or empty if that is not known.
 	 */
 	OptionalInt findNodePosition(long now, Replica replica) {
 		return findLimited(now, replica).map(LimitedReplica::nodePosition).orElse(OptionalInt.empty());
 	}
 
 	/**
-	 * Says whether every node has a share of a replica's limit.
+	 * Returns whether every node has a share of a replica's rate limit.
 	 */
 	boolean isSharedByAllNodes(long now, Replica replica) {
 		return findLimited(now, replica).map(LimitedReplica::isSharedByAllNodes).orElse(false);
 	}
 
 	/**
-	 * Says whether any replica asks for fewer requests.
+	 * Returns whether any replica has a rate limit or a back-off.
 	 */
 	boolean hasBackpressure(long now) {
-		this.backOffs.values().removeIf((rest) -> rest.until <= now);
+		this.backOffs.values().removeIf((backOff) -> backOff.until <= now);
 		return !this.limitedReplicas.isEmpty() || !this.backOffs.isEmpty();
 	}
 
 	/**
-	 * Says whether a replica may be given one more request now.
+	 * Returns whether one more request may be sent to a replica now.
 	 * @param now the time in milliseconds
 	 * @param replica the replica
-	 * @return true if it has not asked for rest, and names no limit or this node has a
-	 * part of it left
+	 * @return true if it is not in a back-off, and has no rate limit or this node has
+	 * some of its share left
 	 */
 	public boolean canSend(long now, Replica replica) {
 		if (backOffMillis(now, replica) > 0) {
@@ -150,10 +156,10 @@
 	}
 
 	/**
-	 * Returns how long a replica is still to get nothing from this node.
+	 * Returns the remaining back-off of a replica.
 	 * @param now the time in milliseconds
 	 * @param replica the replica
-	 * @return the time from now, in milliseconds, 0 if it has not asked for rest
+	 * @return the time from now, in milliseconds, 0 without a back-off
 	 */
 	public long backOffMillis(long now, Replica replica) {
 		BackOff known = this.backOffs.get(replica.id());
@@ -161,18 +167,18 @@
 	}
 
 	/**
-	 * Says whether a replica may be asked for its load. That is work too, and what a
-	 * replica in need takes is kept for requests.
+	 * Returns whether a replica may be asked for its load. A load request is work too,
+	 * and the little that an overloaded replica takes is kept for callers' requests.
 	 * @param now the time in milliseconds
 	 * @param replica the replica
-	 * @return true if it names no limit and has not asked for rest
+	 * @return true if it has neither a rate limit nor a back-off
 	 */
 	public boolean canAskForLoad(long now, Replica replica) {
 		return limit(replica).isEmpty() && backOffMillis(now, replica) == 0;
 	}
 
 	/**
-	 * Gives a request to a replica.
+	 * Admits a request to a replica and counts it against the rate limit.
 	 * @param now the time in milliseconds
 	 * @param replica the replica
 	 * @return whether it may be sent
@@ -191,11 +197,11 @@
 	}
 
 	/**
-	 * Says whether a request may be sent now that there is a connection: the replica may
-	 * have asked for rest or named a limit since the request was given to it.
+	 * Returns whether a request may be sent now that there is a connection: the replica
+	 * may have asked for a back-off or a rate limit since it was chosen.
 	 * @param now the time in milliseconds
 	 * @param replica the replica
-	 * @param before what was said when the request was given to it
+	 * @param before the permission given when the replica was chosen
 	 * @return true if it may be sent
 	 */
 	public boolean canStillSend(long now, Replica replica, SendPermission before) {
@@ -207,32 +213,33 @@
 	}
 
 	/**
-	 * Returns when a caller is to come back for whom no replica of a service has room.
-	 * Callers that are refused one after the other are told times as far apart as the
-	 * requests that this node may send.
+	 * Returns the retry-after time of a caller refused because no replica of a service
+	 * takes a request, and reserves that time. Successive callers get times as far apart
+	 * as the requests that this node may send.
 	 * @param now the time in milliseconds
 	 * @param service the service
-	 * @param replicas its replicas, one or more, all limited or resting
+	 * @param replicas its replicas, one or more, all with a rate limit or a back-off
 	 * @return the time from now, in milliseconds
 	 */
 	public long nextRetryAfterMillis(long now, ServiceName service, Collection<Replica> replicas) {
 		double perSecond = 0;
-		long soonest = MAX_RETRY_AFTER_MILLIS;
+		long earliestMillis = MAX_RETRY_AFTER_MILLIS;
 		for (Replica replica : replicas) {
-			long rest = backOffMillis(now, replica);
+			long backOff = backOffMillis(now, replica);
 			Optional<LimitedReplica> known = findLimited(now, replica);
 			perSecond += known.map((each) -> each.share().perSecond()).orElse(0.0);
-			soonest = Math.min(soonest, Math.max(rest, known.map((each) -> each.waitMillis(now)).orElse(rest)));
+			earliestMillis = Math.min(earliestMillis,
+					Math.max(backOff, known.map((each) -> each.waitMillis(now)).orElse(backOff)));
 		}
-		long apart = (perSecond > 0) ? Math.round(MILLIS_PER_SECOND / perSecond) : 0;
-		long next = Math.max(now + soonest, this.promisedUntil.getOrDefault(service, now) + apart);
-		long at = Math.min(next, now + MAX_RETRY_AFTER_MILLIS);
+		long intervalMillis = (perSecond > 0) ? Math.round(MILLIS_PER_SECOND / perSecond) : 0;
+		long nextAt = Math.max(now + earliestMillis, this.promisedUntil.getOrDefault(service, now) + intervalMillis);
+		long at = Math.min(nextAt, now + MAX_RETRY_AFTER_MILLIS);
 		this.promisedUntil.put(service, at);
 		return at - now;
 	}
 
 	/**
-	 * Returns how many replicas name a limit.
+	 * Returns how many replicas have a rate limit.
 	 * @return their number
 	 */
 	public int countLimited() {
@@ -240,17 +247,17 @@
 	}
 
 	/**
-	 * Returns how many replicas have asked this node for rest.
+	 * Returns how many replicas are in a back-off for this node.
 	 * @param now the time in milliseconds
 	 * @return their number
 	 */
 	public long countBackingOff(long now) {
-		return this.backOffs.values().stream().filter((rest) -> rest.until > now).count();
+		return this.backOffs.values().stream().filter((backOff) -> backOff.until > now).count();
 	}
 
 	/**
-	 * Forgets replicas that are gone.
-	 * @param known those to remember
+	 * Removes replicas that no longer exist.
+	 * @param known the replicas to keep
 	 */
 	public void retain(Set<ReplicaId> known) {
 		this.limitedReplicas.keySet().retainAll(known);
--- a/core/src/main/java/org/gullsaddle/serve/DeadlineCheck.java
+++ b/core/src/main/java/org/gullsaddle/serve/DeadlineCheck.java
@@ -7,70 +7,70 @@
 import org.gullsaddle.fleet.ServiceName;
 
 /**
- * Knows which generations would not even begin before their callers leave, at any replica
- * anywhere. Late answers are worth something too, so that an objective that is missed is
- * no reason. Confined to one thread.
+ * Decides which generations to refuse because they would not start before their deadline
+ * on any replica in any region. A missed latency objective is no reason, because a late
+ * answer still has some value. Confined to one thread.
  */
 public final class DeadlineCheck {
 
-	/** The chance to begin below which a request counts as lost. */
+	/** The probability of a start in time below which a request counts as too late. */
 	private static final double MIN_START_PROBABILITY = 0.05;
 
-	/** How many answers must have begun here for delays to be known. */
+	/** How many answers must have started at this node for the delays to be known. */
 	private static final int MIN_ANSWERS = 50;
 
-	/** How long they say something, in milliseconds. */
+	/** How long answers count, in milliseconds. */
 	private static final long ANSWERS_VALID_MILLIS = 10_000;
 
 	/**
-	 * How often one is tried all the same, in milliseconds: where all were refused,
-	 * nothing would tell that there is room again.
+	 * How often a request that is too late is let through, in milliseconds: if all were
+	 * refused, no answer would show that there is capacity again.
 	 */
 	private static final long TRIAL_INTERVAL_MILLIS = 500;
 
 	private final Map<ServiceName, ServiceAnswers> services = new HashMap<>();
 
 	/**
-	 * Notes that an answer has begun.
+	 * Records the start of an answer.
 	 * @param now the time in milliseconds
 	 * @param service the service
 	 */
 	public void recordAnswerStarted(long now, ServiceName service) {
-		ServiceAnswers known = this.services.computeIfAbsent(service, (missing) -> new ServiceAnswers());
-		known.answerCount++;
-		known.answeredAt = now;
+		ServiceAnswers answers = this.services.computeIfAbsent(service, (missing) -> new ServiceAnswers());
+		answers.answerCount++;
+		answers.answeredAt = now;
 	}
 
 	/**
-	 * Says whether a request is better refused at once.
+	 * Returns whether a request should be refused at once.
 	 * @param now the time in milliseconds
 	 * @param service its service
 	 * @param choices all replicas that may run its smallest model
-	 * @param leftMillis the time that it has left, in milliseconds
-	 * @return true if it would not begin at any of them
+	 * @param remainingMillis the time to its deadline, in milliseconds
+	 * @return true if it would not start in time on any of them
 	 */
-	public boolean shouldRefuse(long now, ServiceName service, List<Choice> choices, long leftMillis) {
-		ServiceAnswers known = this.services.get(service);
-		if (known == null || !known.isReliable(now) || choices.isEmpty()
-				|| !choices.stream().allMatch((choice) -> isTooLate(choice, leftMillis))) {
+	public boolean shouldRefuse(long now, ServiceName service, List<Choice> choices, long remainingMillis) {
+		ServiceAnswers answers = this.services.get(service);
+		if (answers == null || !answers.isReliable(now) || choices.isEmpty()
+				|| !choices.stream().allMatch((choice) -> isTooLate(choice, remainingMillis))) {
 			return false;
 		}
-		if (now - known.triedAt >= TRIAL_INTERVAL_MILLIS) {
-			known.triedAt = now;
+		if (now - answers.triedAt >= TRIAL_INTERVAL_MILLIS) {
+			answers.triedAt = now;
 			return false;
 		}
 		return true;
 	}
 
 	/**
-	 * Says whether a request would not begin at a replica. One that has nothing to do is
-	 * always tried.
+	 * Returns whether a request would start too late on a replica. It never would on an
+	 * idle one, which is always tried.
 	 * @param choice the replica
-	 * @param leftMillis the time left, in milliseconds
-	 * @return true if it is lost there
+	 * @param remainingMillis the time to its deadline, in milliseconds
+	 * @return true if it would probably not start in time
 	 */
-	public static boolean isTooLate(Choice choice, long leftMillis) {
-		return choice.load().requests() >= 1 && choice.delay().chanceWithin(leftMillis) < MIN_START_PROBABILITY;
+	public static boolean isTooLate(Choice choice, long remainingMillis) {
+		return choice.load().requests() >= 1 && choice.delay().chanceWithin(remainingMillis) < MIN_START_PROBABILITY;
 	}
 
 	private static final class ServiceAnswers {
--- a/core/src/main/java/org/gullsaddle/serve/DecayingSum.java
+++ b/core/src/main/java/org/gullsaddle/serve/DecayingSum.java
@@ -1,7 +1,7 @@
 package org.gullsaddle.serve;
 
 /**
- * A sum of what came lately, older parts less. Confined to one thread.
+ * A sum whose parts decay exponentially with age. Confined to one thread.
  */
 final class DecayingSum {
 
@@ -16,11 +16,11 @@
 	private boolean started;
 
 	/**
-	 * Begins with nothing.
-	 * @param halfMillis the time until half is forgotten
+	 * Creates a sum of zero.
+	 * @param halfLifeMillis the half-life in milliseconds
 	 */
-	DecayingSum(double halfMillis) {
-		this.halfLifeMillis = halfMillis;
+	DecayingSum(double halfLifeMillis) {
+		this.halfLifeMillis = halfLifeMillis;
 	}
 
 	void add(long now, double amount) {
@@ -41,7 +41,7 @@
 	}
 
 	/**
-	 * Returns how much came, a millisecond.
+	 * Returns the recent mean rate, per millisecond.
 	 */
 	double ratePerMilli(long now) {
 		double recent = sum(now);
--- a/core/src/main/java/org/gullsaddle/serve/LimitNote.java
+++ b/core/src/main/java/org/gullsaddle/serve/LimitNote.java
@@ -1,11 +1,12 @@
 package org.gullsaddle.serve;
 
 /**
- * What a node that heard it from a replica itself tells the others of its rate limit.
+ * A replica's rate limit, as written for the peers by a node that got it in an answer.
  *
- * @param startedAt the Unix millisecond of the replica's start, 0 if not told
- * @param limited whether it names a limit
- * @param perSecond the requests a second that it takes from all nodes, 0 without a limit
+ * @param startedAt when the replica started, in Unix milliseconds, 0 if not reported
+ * @param limited whether it has a limit
+ * @param perSecond the requests a second that it takes from all nodes together, 0 without
+ * a limit
  */
 public record LimitNote(long startedAt, boolean limited, double perSecond) {
 
--- a/core/src/main/java/org/gullsaddle/serve/LimitNoteExchange.java
+++ b/core/src/main/java/org/gullsaddle/serve/LimitNoteExchange.java
@@ -13,36 +13,39 @@
 import org.gullsaddle.fleet.ReplicaId;
 
 /**
- * Decides what nodes tell each other of rate limits: that a replica names one, another
- * one, or none any more. Nodes that send nothing there hear it from no answer. There is
- * one note for each replica; who heard something else from the replica itself writes it
- * anew. Where every node has a share of the limit, all hear it themselves, and nothing is
- * written. Confined to one thread.
+ * Decides which notes on replicas' rate limits nodes write for each other: that a replica
+ * has a new limit, a changed one, or none any more. Nodes that send a replica nothing get
+ * no answers that say so. There is one note per replica; a node whose own answers differ
+ * from the note replaces it. Where every node has a share of the limit, all nodes get
+ * answers, and nothing is written. Confined to one thread.
  */
 public final class LimitNoteExchange {
 
 	/**
-	 * How long what a replica said itself counts for more than a note, in milliseconds:
-	 * as long as notes may be on their way.
+	 * How long an answer of the replica outweighs a note, in milliseconds: as long as
+	 * notes may take to arrive.
 	 */
 	private static final long OBSERVATION_VALID_MILLIS = 2500;
 
 	/**
-	 * How much later than the node before it a node writes, in milliseconds: by then it
-	 * has mostly read what that one wrote.
+	 * The time between the writes of successive nodes, in milliseconds: by then a node
+	 * has mostly read the note of the one before it.
 	 */
 	private static final long WRITER_STEP_MILLIS = 1600;
 
-	/** When the first node writes, in milliseconds, so that few changes are one note. */
+	/**
+	 * How long the first node waits before it writes, in milliseconds, so that quick
+	 * changes are merged into one note.
+	 */
 	private static final long GATHER_MILLIS = 500;
 
-	/** How many nodes write one after the other, before all others. */
+	/** How many nodes write in a fixed order, before all others. */
 	private static final int ORDERED_WRITERS = 3;
 
-	/** The time over which the other nodes spread what they write, in milliseconds. */
+	/** The time over which the writes of the other nodes are spread, in milliseconds. */
 	private static final long WRITE_SPREAD_MILLIS = 3000;
 
-	/** The part by which a limit must change to be told. */
+	/** The relative change of a limit from which on a new note is written. */
 	private static final double MIN_CHANGE_RATIO = 0.25;
 
 	private final BackpressureTable backpressure;
@@ -53,26 +56,26 @@
 
 	private final Map<ReplicaId, Observation> observations = new HashMap<>();
 
-	/** Replicas whose notes may not be as this node wrote them. */
+	/** Replicas whose note in the store may differ from what this node wrote. */
 	private final Set<ReplicaId> unconfirmed = new HashSet<>();
 
 	/**
-	 * Makes it.
-	 * @param book learns what is told
-	 * @param random spreads out when nodes write
+	 * Creates an exchange without notes.
+	 * @param backpressure the table to which notes are applied
+	 * @param random spreads the writes of nodes
 	 */
-	public LimitNoteExchange(BackpressureTable book, RandomGenerator random) {
-		this.backpressure = book;
+	public LimitNoteExchange(BackpressureTable backpressure, RandomGenerator random) {
+		this.backpressure = backpressure;
 		this.random = random;
 	}
 
 	/**
-	 * Takes in what an answer says.
+	 * Handles the back-pressure of an answer.
 	 * @param now the time in milliseconds
 	 * @param replica the replica that answered
-	 * @param asked what it asks for
-	 * @return when {@link #findNoteToWrite} is to be asked, in milliseconds from now, or
-	 * empty if there is nothing to tell
+	 * @param asked the back-pressure
+	 * @return when {@link #findNoteToWrite} must be called, in milliseconds from now, or
+	 * empty if there is nothing to write
 	 */
 	public OptionalLong onAnswer(long now, Replica replica, Backpressure asked) {
 		int rank = this.backpressure.findNodePosition(now, replica).orElse(ORDERED_WRITERS);
@@ -100,7 +103,7 @@
 	}
 
 	/**
-	 * Says whether there is a note by which a replica is limited.
+	 * Returns whether there is a note that a replica has a limit.
 	 */
 	private boolean hasLimitNote(Replica replica) {
 		LimitNote note = this.notes.get(replica.id());
@@ -108,13 +111,13 @@
 	}
 
 	/**
-	 * Takes in a note.
+	 * Handles a note that was read.
 	 * @param now the time in milliseconds
 	 * @param id the replica
-	 * @param note what is told of it
-	 * @param listed the replica as it is listed, or empty if it is not
-	 * @return when {@link #onReplicaListed} is to be told of the replica again, in
-	 * milliseconds from now, or empty if it need not be
+	 * @param note the note on it
+	 * @param listed the replica's entry, or empty if it has none
+	 * @return when {@link #onReplicaListed} must be called again for the replica, in
+	 * milliseconds from now, or empty if that is not needed
 	 */
 	public OptionalLong onNote(long now, ReplicaId id, LimitNote note, Optional<Replica> listed) {
 		this.notes.put(id, note);
@@ -123,7 +126,7 @@
 	}
 
 	/**
-	 * Takes in that a replica is listed.
+	 * Handles a replica's entry.
 	 * @param now the time in milliseconds
 	 * @param replica the replica
 	 */
@@ -135,8 +138,9 @@
 	}
 
 	/**
-	 * Has a note count, unless the replica itself has just said something. If a note
-	 * stands that long against it, nodes that hear the replica agree with the note.
+	 * Applies a note, unless the replica itself has just answered. A note that is still
+	 * in the store when the answer's precedence ends is taken as confirmed by the nodes
+	 * that get answers.
 	 */
 	private OptionalLong applyNote(long now, Replica replica, LimitNote note) {
 		if (note.startedAt() != replica.startedAt()) {
@@ -152,9 +156,9 @@
 	}
 
 	/**
-	 * Returns what to write for the other nodes.
+	 * Returns the note to write for the peers.
 	 * @param id the replica
-	 * @return the note, or empty if another node has written it meanwhile
+	 * @return the note, or empty if a peer has written it meanwhile
 	 */
 	public Optional<LimitNote> findNoteToWrite(ReplicaId id) {
 		Observation known = this.observations.get(id);
@@ -168,7 +172,7 @@
 	}
 
 	/**
-	 * Takes in that a note may not stand as it was written.
+	 * Records that the write of a note may have failed.
 	 * @param id the replica
 	 */
 	public void onWriteFailed(ReplicaId id) {
@@ -176,8 +180,8 @@
 	}
 
 	/**
-	 * Forgets replicas that are gone.
-	 * @param known those to remember
+	 * Removes replicas that no longer exist.
+	 * @param known the replicas to keep
 	 */
 	public void retain(Set<ReplicaId> known) {
 		this.notes.keySet().retainAll(known);
@@ -189,9 +193,9 @@
 		if (this.unconfirmed.contains(replica.id())) {
 			return true;
 		}
-		boolean told = hasLimitNote(replica);
-		if (!told || limit.isEmpty()) {
-			return told || limit.isPresent();
+		boolean hasNote = hasLimitNote(replica);
+		if (!hasNote || limit.isEmpty()) {
+			return hasNote || limit.isPresent();
 		}
 		LimitNote note = this.notes.get(replica.id());
 		return Math.abs(limit.getAsDouble() - note.perSecond()) > MIN_CHANGE_RATIO * note.perSecond();
--- a/core/src/main/java/org/gullsaddle/serve/LimitShare.java
+++ b/core/src/main/java/org/gullsaddle/serve/LimitShare.java
@@ -10,38 +10,39 @@
 import org.gullsaddle.fleet.Replica;
 
 /**
- * A node's share of the requests that a replica takes from all nodes together.
+ * A node's share of a replica's rate limit.
  * <p>
- * Nodes share no counter. Each knows the others, and all work out the same shares: a few
- * nodes, those nearest to the replica, have equal parts of its limit, the others none.
- * Were the limit spread over all of many nodes, one request from each would already be
- * too much. The fewer the nodes with a part, the less they can send at once.
+ * Nodes share no counter. Each knows its peers, and all compute the same shares: the few
+ * nodes nearest to the replica have equal shares of its limit, the others none. If the
+ * limit were spread over many nodes, one request from each would already exceed it. The
+ * fewer nodes have a share, the fewer requests can be sent at once.
  *
  * @param perSecond the requests a second that the node may send
- * @param burst how many of them it may send at once, after some time without any
+ * @param burst the number of requests that it may send at once after a pause
  */
 record LimitShare(double perSecond, double burst) {
 
-	/** The share of a node that sends nothing. */
+	/** The share of a node that may send nothing. */
 	static final LimitShare NONE = new LimitShare(0, 0);
 
 	/**
-	 * The nodes with a part: as many as the replica takes requests in this time, and some
-	 * more.
+	 * As many nodes have a share as the replica takes requests in this many seconds, and
+	 * the extra nodes.
 	 */
 	private static final double SHARING_SECONDS = 2;
 
 	private static final int EXTRA_SHARING_NODES = 2;
 
-	/** How long a share may be saved up for a burst. */
+	/** How many seconds of a share may be saved for a burst. */
 	private static final double MAX_BURST_SECONDS = 1;
 
 	/**
-	 * Returns how many nodes come before a node for a replica: those nearer to it first.
+	 * Returns how many nodes come before a node when those nearest to a replica come
+	 * first.
 	 * @param replica the replica
 	 * @param self the node
 	 * @param peers all nodes
-	 * @param place says which data centers are near each other
+	 * @param place knows the distances between data centers
 	 * @return their number, or empty if the node is not among them
 	 */
 	static OptionalInt findNodePosition(Replica replica, NodeId self, List<Peer> peers, Place place) {
@@ -54,24 +55,24 @@
 	}
 
 	/**
-	 * Works out a node's share.
+	 * Computes a node's share.
 	 * @param perSecond the replica's limit
-	 * @param rank how many nodes come before it for the replica
-	 * @param nodes how many nodes there are
+	 * @param position how many nodes come before it for the replica
+	 * @param nodes the number of nodes
 	 */
-	static LimitShare of(double perSecond, int rank, int nodes) {
-		long parts = sharingNodes(perSecond, nodes);
-		if (rank >= parts) {
+	static LimitShare of(double perSecond, int position, int nodes) {
+		long sharing = sharingNodes(perSecond, nodes);
+		if (position >= sharing) {
 			return NONE;
 		}
-		double share = perSecond / parts;
+		double share = perSecond / sharing;
 		return new LimitShare(share, Math.max(1, MAX_BURST_SECONDS * share));
 	}
 
 	/**
 	 * Returns how many nodes have a share.
 	 * @param perSecond the replica's limit
-	 * @param nodes how many nodes there are
+	 * @param nodes the number of nodes
 	 */
 	static long sharingNodes(double perSecond, int nodes) {
 		return Math.min(nodes, (long) Math.floor(SHARING_SECONDS * perSecond) + EXTRA_SHARING_NODES);
--- a/core/src/main/java/org/gullsaddle/serve/LimitedReplica.java
+++ b/core/src/main/java/org/gullsaddle/serve/LimitedReplica.java
@@ -9,20 +9,20 @@
 import org.gullsaddle.fleet.Replica;
 
 /**
- * A replica that names a rate limit, and what this node may still send there.
+ * A replica with a rate limit, and a token bucket of what this node may send it.
  * <p>
- * A node without a share would never hear that the limit has ended. So every node has a
- * turn now and then, at a time that it draws, in which it may send one request; a turn
- * that is not used is lost.
+ * A node without a share would never learn that the limit has ended. So every node may
+ * probe from time to time, in a window that it draws: it may send one request in it. A
+ * window that is not used is lost.
  */
 final class LimitedReplica {
 
-	/** How long all nodes together take for one turn each, for every node. */
+	/** The mean time between the probe windows of all nodes together, in milliseconds. */
 	private static final long PROBE_INTERVAL_MILLIS = 10_000;
 
 	private static final long PROBE_WINDOW_MILLIS = 1000;
 
-	/** How many nodes are assumed while they are not known. */
+	/** The number of nodes assumed while it is not known. */
 	private static final int ASSUMED_NODES = 10;
 
 	private static final double MILLIS_PER_SECOND = 1000;
@@ -33,7 +33,7 @@
 
 	private final Place place;
 
-	/** Where in the order of turns this node begins, from 0 to 1. */
+	/** The phase of this node's probe windows, from 0 to 1. */
 	private final double probePhase;
 
 	private double perSecond;
@@ -67,7 +67,7 @@
 	}
 
 	/**
-	 * Takes in the limit that the replica names now.
+	 * Updates the replica's limit.
 	 */
 	void updateLimit(long now, double newPerSecond) {
 		if (this.perSecond != newPerSecond) {
@@ -78,7 +78,7 @@
 	}
 
 	/**
-	 * Takes in which nodes there are, or empty while others may not know this one.
+	 * Updates the nodes, empty while peers may not know this node.
 	 */
 	void updatePeers(long now, Optional<List<Peer>> newPeers) {
 		if (!this.peers.equals(newPeers)) {
@@ -99,7 +99,7 @@
 	}
 
 	/**
-	 * Says whether one more request may be sent.
+	 * Returns whether one more request may be sent.
 	 */
 	boolean canSend(long now) {
 		refill(now);
@@ -107,7 +107,7 @@
 	}
 
 	/**
-	 * Notes that a request is sent.
+	 * Counts a request that is sent, as a token or as this window's probe.
 	 */
 	void recordSent(long now) {
 		refill(now);
@@ -120,19 +120,19 @@
 	}
 
 	/**
-	 * Returns when there is room for a request again, in milliseconds from now.
+	 * Returns when a request may be sent again, in milliseconds from now.
 	 */
 	long waitMillis(long now) {
 		if (canSend(now)) {
 			return 0;
 		}
 		long period = probePeriodMillis();
-		long untilTurn = period - Math.floorMod(probeTime(now), period);
+		long untilProbe = period - Math.floorMod(probeTime(now), period);
 		if (this.share.perSecond() == 0) {
-			return untilTurn;
+			return untilProbe;
 		}
 		long untilToken = (long) Math.ceil((1 - this.tokens) / this.share.perSecond() * MILLIS_PER_SECOND);
-		return Math.min(untilToken, untilTurn);
+		return Math.min(untilToken, untilProbe);
 	}
 
 	OptionalInt nodePosition() {
--- a/core/src/main/java/org/gullsaddle/serve/LoadTrial.java
+++ b/core/src/main/java/org/gullsaddle/serve/LoadTrial.java
@@ -14,21 +14,25 @@
 /**
  * Tries a new release under load while it has a small share of the requests: its replicas
  * are filled one after the other, in an order that is the same on every node. Spread over
- * all of them a small share is no load, and a release that fails under load looks sound.
- * Confined to one thread.
+ * all of them, a small share is hardly any load, and a release that fails under load
+ * looks good. Confined to one thread.
  */
 final class LoadTrial {
 
-	/** Up to which part of its slots a replica is filled before the next one is used. */
+	/**
+	 * The ratio of busy slots at which a replica counts as full and the next one is used.
+	 */
 	private static final double FULL_LOAD_RATIO = 0.75;
 
-	/** Which part of a replica's slots must have run at once for a trial under load. */
+	/** The ratio of busy slots from which a replica counts as under load. */
 	private static final double TRIAL_LOAD_RATIO = 0.5;
 
-	/** Which part of its slots may wait at a replica before the next one is used. */
+	/**
+	 * The queue length, as a ratio of the slots, above which the next replica is used.
+	 */
 	private static final double MAX_WAITING_RATIO = 0.25;
 
-	/** How long a replica is taken to be as full as it told, in milliseconds. */
+	/** How long a load report counts, in milliseconds. */
 	private static final long REPORT_VALID_MILLIS = 1000;
 
 	private final String target;
@@ -46,24 +50,24 @@
 	}
 
 	/**
-	 * Returns which part of a replica's slots is in use.
+	 * Returns the ratio of a replica's slots that are busy.
 	 */
 	static double loadRatio(LoadReport load) {
 		return (double) load.running() / load.slots();
 	}
 
 	/**
-	 * Takes in what a replica of the new release told of its load with an answer.
+	 * Handles the load that a replica of the new release reported with an answer.
 	 * @param sentAt when the request was sent
 	 */
 	void onLoadReported(long now, Replica replica, LoadReport load, long sentAt) {
 		this.triedLoad = Math.max(this.triedLoad, loadRatio(load));
 		if (loadRatio(load) >= TRIAL_LOAD_RATIO) {
 			LoadedPeriod before = this.loadedPeriods.get(replica.id());
-			boolean goesOn = before != null && now - before.until <= REPORT_VALID_MILLIS;
-			// A load that is told soon is the one that the request came to.
+			boolean continues = before != null && now - before.until <= REPORT_VALID_MILLIS;
+			// A load reported soon after the request was sent is the one that it met.
 			long from = (now - sentAt <= REPORT_VALID_MILLIS) ? sentAt : now;
-			this.loadedPeriods.put(replica.id(), new LoadedPeriod(goesOn ? before.from : from, now));
+			this.loadedPeriods.put(replica.id(), new LoadedPeriod(continues ? before.from : from, now));
 		}
 		if (wasUnderLoad(replica.id(), sentAt)) {
 			this.answersUnderLoad++;
@@ -79,26 +83,26 @@
 	}
 
 	/**
-	 * Says whether a request came to a replica that ran as much as a trial takes.
+	 * Returns whether a request met a replica under enough load for a trial.
 	 * @param sentAt when it was sent
 	 */
 	boolean wasUnderLoad(ReplicaId replica, long sentAt) {
-		LoadedPeriod times = this.loadedPeriods.get(replica);
-		return times != null && sentAt >= times.from && sentAt <= times.until;
+		LoadedPeriod period = this.loadedPeriods.get(replica);
+		return period != null && sentAt >= period.from && sentAt <= period.until;
 	}
 
 	/**
-	 * Chooses the replicas that a request may go to. Those with the smallest prompts fill
-	 * one; large prompts, which are read one after the other and would keep its slots
-	 * empty, go to the others.
-	 * @param replicas those of the new release
-	 * @param leftOut those that the request may not be sent to
+	 * Chooses the replicas that a request may be sent to. Requests with the smallest
+	 * prompts fill one replica. Large prompts, which are read one after the other and
+	 * would keep its slots empty, go to the others.
+	 * @param replicas the replicas of the new release
+	 * @param excluded those that the request may not be sent to
 	 * @param smallest whether the request's prompt is among the smallest
 	 * @return some of them, or all if the request may be sent to none of them
 	 */
-	List<Replica> chooseReplicas(long now, List<Replica> replicas, Set<ReplicaId> leftOut, boolean smallest) {
+	List<Replica> chooseReplicas(long now, List<Replica> replicas, Set<ReplicaId> excluded, boolean smallest) {
 		List<Replica> open = replicas.stream()
-			.filter((replica) -> !leftOut.contains(replica.id()))
+			.filter((replica) -> !excluded.contains(replica.id()))
 			.sorted(Comparator.comparingDouble((replica) -> Spread.unit(replica.id().value() + '@' + this.target)))
 			.toList();
 		if (open.isEmpty()) {
@@ -115,26 +119,24 @@
 	}
 
 	/**
-	 * Returns the most that ran at once at a replica of the new release, as a part of its
-	 * slots.
+	 * Returns the highest load of a replica of the new release, as a ratio of its slots.
 	 */
 	double triedLoad() {
 		return this.triedLoad;
 	}
 
 	/**
-	 * Returns how many requests were answered that came to a replica which ran as much as
-	 * a trial takes.
+	 * Returns the number of answers from replicas under enough load for a trial.
 	 */
 	int answersUnderLoad() {
 		return this.answersUnderLoad;
 	}
 
 	/**
-	 * When a replica last ran as much as a trial takes.
+	 * The last period in which a replica was under enough load for a trial.
 	 *
-	 * @param from when it was first told
-	 * @param until when it was last told
+	 * @param from the first report of that load
+	 * @param until the last report of it
 	 */
 	private record LoadedPeriod(long from, long until) {
 	}
--- a/core/src/main/java/org/gullsaddle/serve/Peer.java
+++ b/core/src/main/java/org/gullsaddle/serve/Peer.java
@@ -3,10 +3,10 @@
 import org.gullsaddle.base.NodeId;
 
 /**
- * A node among those that serve the same deployment.
+ * A node of the same deployment.
  *
  * @param node its id
- * @param dataCenter where it is, empty if that is not known
+ * @param dataCenter its data center, empty if that is not known
  */
 public record Peer(NodeId node, String dataCenter) {
 }
--- a/core/src/main/java/org/gullsaddle/serve/PooledEvidence.java
+++ b/core/src/main/java/org/gullsaddle/serve/PooledEvidence.java
@@ -8,20 +8,25 @@
 import org.gullsaddle.rollout.ChangeDetector;
 
 /**
- * The evidence against a new release from the answers that all nodes saw, as if one node
- * had seen them. Confined to one thread.
+ * The evidence against a new release from the answers of all nodes, as if one node had
+ * seen them. Confined to one thread.
  * <p>
- * Nodes tell sums of what speaks against the release and for it. Only what is new in a
- * sum is added. Evidence that each node cuts off at nothing by itself would not do: good
- * answers at one node then count nothing against a failure at another, and of many nodes
- * some have always just seen a failure.
+ * Nodes report signed sums of evidence, and the change since a node's last report is
+ * added here. It would not do if each node cut its own sum off at zero: good answers at
+ * one node would then not outweigh a failure at another, and among many nodes some have
+ * always just seen a failure.
  */
 final class PooledEvidence {
 
-	/** Stands among the routes for answers of replicas under load, of any route. */
+	/**
+	 * The key, among the routes, of the answers from replicas under load on any route.
+	 */
 	private static final String UNDER_LOAD_KEY = "under load";
 
-	/** How many answers the threshold is made for; more make chance findings likelier. */
+	/**
+	 * The number of answers that the threshold suits; with more, false alarms grow
+	 * likelier.
+	 */
 	private static final double THRESHOLD_ANSWERS = 17;
 
 	private final double threshold;
@@ -44,68 +49,70 @@
 	}
 
 	/**
-	 * Adds what an answer that this node saw says against the release.
+	 * Adds the evidence of an answer that this node saw.
 	 */
-	void recordAnswer(String route, double says) {
+	void recordAnswer(String route, double evidence) {
 		this.ownAnswerCount++;
-		this.ownEvidence += says;
-		this.ownEvidenceByRoute.merge(route, says, Double::sum);
-		add(route, says);
-		this.total.add(says);
+		this.ownEvidence += evidence;
+		this.ownEvidenceByRoute.merge(route, evidence, Double::sum);
+		add(route, evidence);
+		this.total.add(evidence);
 	}
 
 	/**
-	 * Adds the same of an answer that was given under load. Those are judged by
-	 * themselves too, as many answers without load hide them.
+	 * Adds the evidence of an answer under load. These answers are also judged
+	 * separately, because many answers without load would hide their failures.
 	 */
-	void recordAnswerUnderLoad(double says) {
-		this.ownEvidenceByRoute.merge(UNDER_LOAD_KEY, says, Double::sum);
-		add(UNDER_LOAD_KEY, says);
+	void recordAnswerUnderLoad(double evidence) {
+		this.ownEvidenceByRoute.merge(UNDER_LOAD_KEY, evidence, Double::sum);
+		add(UNDER_LOAD_KEY, evidence);
 	}
 
 	/**
-	 * Takes in another node's note.
-	 * @param fromTheStart whether this node has seen the roll-out since its order; else
-	 * the first note of another node may tell of long ago
+	 * Handles a peer's note.
+	 * @param fromTheStart whether this node has followed the roll-out since its order;
+	 * otherwise the first note of a peer may include old evidence and only sets the base
+	 * for the next one
 	 */
 	void onNote(RolloutNote note, boolean fromTheStart) {
 		RolloutNote before = this.notesByNode.put(note.node(), note);
 		if (before == null && !fromTheStart) {
 			return;
 		}
-		// A node that started again begins its sums anew.
-		boolean anew = before == null || note.answers() < before.answers();
-		this.total.add(note.evidence() - (anew ? 0 : before.evidence()));
+		// The sums of a restarted node begin at zero.
+		boolean fromZero = before == null || note.answers() < before.answers();
+		this.total.add(note.evidence() - (fromZero ? 0 : before.evidence()));
 		note.routes()
-			.forEach((route, evidence) -> add(route, evidence - (anew ? 0 : before.routes().getOrDefault(route, 0.0))));
+			.forEach((route, evidence) -> add(route,
+					evidence - (fromZero ? 0 : before.routes().getOrDefault(route, 0.0))));
 	}
 
-	private void add(String route, double says) {
-		this.evidenceByRoute.computeIfAbsent(route, (missing) -> new ChangeDetector(this.threshold)).add(says);
+	private void add(String route, double evidence) {
+		this.evidenceByRoute.computeIfAbsent(route, (missing) -> new ChangeDetector(this.threshold)).add(evidence);
 	}
 
 	/**
-	 * Says whether the release is bad: for all requests, or for those of one route. The
-	 * more answers there were, and the more routes are suspected, the more it takes.
-	 * @param underLoad how many answers were given under load
+	 * Returns whether the release is bad for all requests or for those of one route. The
+	 * threshold rises with the number of answers and of suspected routes.
+	 * @param underLoad the number of answers under load
 	 */
 	boolean isReleaseBad(int underLoad) {
-		ChangeDetector loaded = this.evidenceByRoute.get(UNDER_LOAD_KEY);
-		if (loaded != null && loaded.sum() >= this.threshold + Math.log(1 + underLoad / THRESHOLD_ANSWERS)) {
+		ChangeDetector ofLoaded = this.evidenceByRoute.get(UNDER_LOAD_KEY);
+		if (ofLoaded != null && ofLoaded.sum() >= this.threshold + Math.log(1 + underLoad / THRESHOLD_ANSWERS)) {
 			return true;
 		}
-		double enough = this.threshold + Math.log(1 + answerCount() / THRESHOLD_ANSWERS);
+		double required = this.threshold + Math.log(1 + answerCount() / THRESHOLD_ANSWERS);
 		double[] suspected = this.evidenceByRoute.values()
 			.stream()
 			.mapToDouble(ChangeDetector::sum)
 			.filter((sum) -> sum > 0)
 			.toArray();
-		double most = Arrays.stream(suspected).max().orElse(0);
-		return this.total.sum() >= enough || most >= enough + Math.log(Math.max(1, suspected.length));
+		double strongest = Arrays.stream(suspected).max().orElse(0);
+		return this.total.sum() >= required || strongest >= required + Math.log(Math.max(1, suspected.length));
 	}
 
 	/**
-	 * Returns the most evidence, from all requests or from those of one route.
+	 * Returns the strongest evidence: from all requests or from those of one route.
 	 */
 	double maxEvidence() {
 		return Math.max(this.total.sum(),
@@ -113,7 +120,7 @@
 	}
 
 	/**
-	 * Returns the evidence from all requests, 0 or more.
+	 * Returns the evidence from all requests, never negative.
 	 */
 	double totalEvidence() {
 		return this.total.sum();
@@ -124,14 +131,14 @@
 	}
 
 	/**
-	 * Returns the sum over the answers that this node saw.
+	 * Returns the signed sum over the answers that this node saw.
 	 */
 	double ownEvidence() {
 		return this.ownEvidence;
 	}
 
 	/**
-	 * Returns the same for each route by itself.
+	 * Returns the signed sum for each route.
 	 */
 	Map<String, Double> ownEvidenceByRoute() {
 		return this.ownEvidenceByRoute;
@@ -142,7 +149,7 @@
 	}
 
 	/**
-	 * Returns the last note of each other node.
+	 * Returns the last note of each peer.
 	 */
 	Collection<RolloutNote> notes() {
 		return this.notesByNode.values();
--- a/core/src/main/java/org/gullsaddle/serve/RampUp.java
+++ b/core/src/main/java/org/gullsaddle/serve/RampUp.java
@@ -1,35 +1,39 @@
 package org.gullsaddle.serve;
 
 /**
- * How the share of a new release rises once it is proved, as far as a node knows: it does
- * not by old knowledge, as the release may have been taken back. Confined to one thread.
+ * The share of a new release from its proof on, as known to this node. The share does not
+ * rise while the peers' state known here is outdated, because the release may have been
+ * rolled back meanwhile. Confined to one thread.
  */
 final class RampUp {
 
 	/**
-	 * How old a node's knowledge of the others' evidence may be for the share to rise:
-	 * this part of the roll-out's time, and at least so many milliseconds.
+	 * The greatest age of the peers' evidence at which the share may rise, as a ratio of
+	 * the roll-out's duration.
 	 */
 	private static final double MAX_PEER_STATE_AGE_RATIO = 0.1;
 
+	/** The lower bound of that age. */
 	private static final long MIN_MAX_PEER_STATE_AGE_MILLIS = 2500;
 
 	private final long durationMillis;
 
-	/** Until when what this node knows of the others is new enough. */
+	/** Until when the known state of the peers is recent enough. */
 	private long freshUntil;
 
-	/** When it is so old that the release may have been taken back long ago. */
+	/** From when it is so old that the release may have been rolled back long ago. */
 	private long cutOffAt = Long.MAX_VALUE;
 
-	/** When it was proved, by any node, in milliseconds since the order; 0 if not yet. */
+	/**
+	 * When any node proved the release, in milliseconds since the order; 0 if none has.
+	 */
 	private long provedMillis;
 
 	/** The share of all requests since the proof. */
 	private double share;
 
 	/**
-	 * Makes the growth of a release of whose order a node has just heard.
+	 * Creates the ramp-up of a release of whose order this node has just learned.
 	 */
 	RampUp(long now, long durationMillis) {
 		this.durationMillis = durationMillis;
@@ -37,7 +41,7 @@
 	}
 
 	/**
-	 * Takes in how old what this node knows of the others may be.
+	 * Updates the greatest possible age of the peers' state that this node knows.
 	 */
 	void onPeerStateAge(long now, long ageMillis) {
 		this.freshUntil = now - ageMillis + maxPeerStateAgeMillis();
@@ -57,8 +61,8 @@
 	}
 
 	/**
-	 * Takes in that the release was proved, by this node or another one.
-	 * @param elapsedMillis when, since the order
+	 * Records that this node or a peer proved the release. The earliest proof counts.
+	 * @param elapsedMillis when it was proved, in milliseconds since the order
 	 */
 	void onProved(long elapsedMillis) {
 		this.provedMillis = (this.provedMillis > 0) ? Math.min(this.provedMillis, elapsedMillis) : elapsedMillis;
@@ -73,18 +77,19 @@
 	}
 
 	/**
-	 * Returns when it was proved, as a part of the roll-out's time, 0 if it is not.
+	 * Returns when the release was proved, as a ratio of the roll-out's duration; 0 if it
+	 * is not proved.
 	 */
 	double provedAtRatio() {
 		return (double) this.provedMillis / this.durationMillis;
 	}
 
 	/**
-	 * Lets the share rise to what a time allows.
-	 * @param part the time, as a part of the roll-out's
+	 * Raises the share to what the schedule allows at a time.
+	 * @param elapsedRatio the elapsed time as a ratio of the roll-out's duration
 	 */
-	void raiseShare(double part) {
-		this.share = Math.max(this.share, RampUpSchedule.provedShare(part, provedAtRatio()));
+	void raiseShare(double elapsedRatio) {
+		this.share = Math.max(this.share, RampUpSchedule.provedShare(elapsedRatio, provedAtRatio()));
 	}
 
 	double share() {
--- a/core/src/main/java/org/gullsaddle/serve/RampUpSchedule.java
+++ b/core/src/main/java/org/gullsaddle/serve/RampUpSchedule.java
@@ -1,80 +1,83 @@
 package org.gullsaddle.serve;
 
 /**
- * How the share of a new release rises. All times are parts of the roll-out's time, so
- * that nodes agree without asking each other.
+ * The schedule by which the share of a new release rises. All times are ratios of the
+ * roll-out's duration, so that nodes agree without asking each other.
  * <p>
- * At first the share is small. Sessions are let in from the middle on. Of the requests
- * without one those of the routes with the smallest prompts rise first, to try the
- * release under load. Once it is proved it gets all requests, so much later that each
- * node has heard of it.
+ * At first the share is small. Sessions are admitted from the middle on. Among requests
+ * without a session, the share rises first on the routes with the smallest prompts, to
+ * try the release under load. A proved release gets all requests, late enough for every
+ * node to have read of the proof.
  */
 final class RampUpSchedule {
 
-	/** When sessions may go to the new release. */
+	/** From when sessions may be served by the new release. */
 	static final double SESSIONS_START_RATIO = 0.505;
 
-	/** When a proof is accepted that was not tried under as much load as it should be. */
+	/** From when a proof is accepted with fewer answers under load than required. */
 	static final double LOAD_TRIAL_END_RATIO = 0.58;
 
-	/** Until when a proof leaves enough time for the share to rise. */
+	/** Until when a proof leaves enough time for the ramp-up. */
 	static final double LATEST_PROOF_RATIO = 0.75;
 
 	/**
-	 * When the roll-out ends well: what runs on old replicas is cut off then, so late,
-	 * but with time left to write the state in an outage.
+	 * The earliest completion. Requests that still run on old replicas are cut off then,
+	 * so this is late, but it leaves time to write the state in an outage of the store.
 	 */
 	static final double EARLIEST_COMPLETION_RATIO = 0.86;
 
-	/** When it ends at the latest if all requests go to the release. */
+	/** The latest completion of a release that gets all requests. */
 	static final double LATEST_COMPLETION_RATIO = 0.945;
 
-	/** What is not served by the new release alone by then is taken back. */
+	/** A release that does not serve all requests by then is rolled back. */
 	static final double ROLL_BACK_RATIO = 0.96;
 
 	/**
-	 * When the share rises at the earliest, however soon the release is proved: one that
-	 * turns bad late is better found out with a small share.
+	 * The earliest ramp-up, however soon the release is proved: a release that turns bad
+	 * late does less harm with a small share.
 	 */
 	private static final double EARLIEST_RAMP_UP_RATIO = 0.6;
 
-	/** How long news of a proof may take to all nodes. */
+	/** How long a proof may take to be known to all nodes. */
 	static final double PROOF_PROPAGATION_RATIO = 0.085;
 
-	/** When requests without a session are used to try the release under load. */
+	/** From when requests without a session are used to try the release under load. */
 	private static final double LOAD_TRIAL_START_RATIO = 0.3;
 
 	/**
-	 * The share of the new release at first: enough for some answers a second, and half
-	 * of what a bad one may get.
+	 * The initial share of the new release: enough for some answers a second, and half of
+	 * what a bad release may get.
 	 */
 	private static final double CANARY_SHARE = 0.08;
 
-	/** The share of requests without a session while the release is tried. */
+	/**
+	 * The share of requests without a session during the load trial, except on the routes
+	 * with the smallest prompts.
+	 */
 	private static final double TRIAL_SHARE = 0.25;
 
-	/** The share of sessions when the trial begins. */
+	/** The share of sessions when they are first admitted. */
 	private static final double INITIAL_SESSION_SHARE = 0.25;
 
 	/**
-	 * The share of sessions soon after. With it until the latest proof a release keeps to
-	 * its allowance, by itself and in a burst of some seconds: a session that was let in
-	 * cannot be sent back.
+	 * The later share of sessions. With this share until the latest proof, a release
+	 * stays within its allowance, in normal traffic and in a burst of some seconds. An
+	 * admitted session cannot be sent back.
 	 */
 	private static final double SESSION_SHARE = 0.4;
 
-	/** When it is that large. */
+	/** From when the later share of sessions applies. */
 	private static final double MORE_SESSIONS_START_RATIO = 0.54;
 
-	/** The share of the routes that are tried under load when that begins. */
+	/** The share on the routes with the smallest prompts when the load trial begins. */
 	private static final double INITIAL_LOAD_TRIAL_SHARE = 0.5;
 
-	/** In which time that share doubles. */
+	/** The time in which that share doubles. */
 	private static final double LOAD_TRIAL_DOUBLING_RATIO = 0.02;
 
 	/**
-	 * How long all requests go to the release before the roll-out ends, if there is time:
-	 * those with small prompts try it under load until then.
+	 * How long all requests go to the release before the completion, if there is time;
+	 * until the ramp-up, requests with small prompts try it under load.
 	 */
 	private static final double MIN_FULL_TRAFFIC_RATIO = 0.08;
 
@@ -82,36 +85,37 @@
 	}
 
 	/**
-	 * Returns the share of sessions of a release that is not proved. It is the same for
-	 * all routes, as a session may use several.
-	 * @param part the time
+	 * Returns the share of sessions for a release that is not proved. It is the same on
+	 * all routes, because a session may use several.
+	 * @param elapsedRatio the elapsed time as a ratio of the duration
 	 */
-	static double unprovedSessionShare(double part) {
-		if (part < SESSIONS_START_RATIO) {
+	static double unprovedSessionShare(double elapsedRatio) {
+		if (elapsedRatio < SESSIONS_START_RATIO) {
 			return 0;
 		}
-		return (part < MORE_SESSIONS_START_RATIO) ? INITIAL_SESSION_SHARE : SESSION_SHARE;
+		return (elapsedRatio < MORE_SESSIONS_START_RATIO) ? INITIAL_SESSION_SHARE : SESSION_SHARE;
 	}
 
 	/**
-	 * Returns the share of requests without a session of a release that is not proved.
-	 * @param part the time
+	 * Returns the share of requests without a session for a release that is not proved.
+	 * @param elapsedRatio the elapsed time as a ratio of the duration
 	 * @param smallest whether the route's prompts are among the smallest
 	 */
-	static double unprovedRequestShare(double part, boolean smallest) {
-		if (part < LOAD_TRIAL_START_RATIO) {
+	static double unprovedRequestShare(double elapsedRatio, boolean smallest) {
+		if (elapsedRatio < LOAD_TRIAL_START_RATIO) {
 			return CANARY_SHARE;
 		}
 		return smallest
 				? Math.min(1,
 						INITIAL_LOAD_TRIAL_SHARE
-								* Math.pow(2, (part - LOAD_TRIAL_START_RATIO) / LOAD_TRIAL_DOUBLING_RATIO))
+								* Math.pow(2, (elapsedRatio - LOAD_TRIAL_START_RATIO) / LOAD_TRIAL_DOUBLING_RATIO))
 				: TRIAL_SHARE;
 	}
 
 	/**
-	 * Returns when the roll-out of a release that was proved ends.
-	 * @param provedAt when it was proved
+	 * Returns when the roll-out of a proved release is completed, as a ratio of the
+	 * duration.
+	 * @param provedAt when the release was proved, as a ratio of the duration
 	 */
 	static double completionRatio(double provedAt) {
 		return Math.max(EARLIEST_COMPLETION_RATIO, rampUpStartRatio(provedAt) + MIN_FULL_TRAFFIC_RATIO);
@@ -122,12 +126,12 @@
 	}
 
 	/**
-	 * Returns the share of a release that was proved.
-	 * @param part the time
-	 * @param provedAt when
+	 * Returns the share of a proved release.
+	 * @param elapsedRatio the elapsed time as a ratio of the duration
+	 * @param provedAt when the release was proved, as a ratio of the duration
 	 */
-	static double provedShare(double part, double provedAt) {
-		return (part < rampUpStartRatio(provedAt)) ? 0 : 1;
+	static double provedShare(double elapsedRatio, double provedAt) {
+		return (elapsedRatio < rampUpStartRatio(provedAt)) ? 0 : 1;
 	}
 
 }
--- a/core/src/main/java/org/gullsaddle/serve/RankFlow.java
+++ b/core/src/main/java/org/gullsaddle/serve/RankFlow.java
@@ -1,15 +1,15 @@
 package org.gullsaddle.serve;
 
 /**
- * How fast requests of one service and rank come and end, and how many are open beyond
- * the usual. Confined to one thread.
+ * The rates at which requests of one service and rank arrive and end, and how many more
+ * than usual are open. Confined to one thread.
  */
 final class RankFlow {
 
-	/** How long what came and ended counts, as the time until half is forgotten. */
+	/** The half-life of the counts of arrivals and ends, in milliseconds. */
 	private static final double RECENT_HALF_LIFE_MILLIS = 3000;
 
-	/** How long the usual number of open requests is remembered, in the same way. */
+	/** The half-life of the usual number of open requests, in milliseconds. */
 	private static final double USUAL_HALF_LIFE_MILLIS = 30_000;
 
 	private final DecayingSum recentRequests = new DecayingSum(RECENT_HALF_LIFE_MILLIS);
@@ -22,7 +22,7 @@
 
 	private double usualOpen;
 
-	/** How much of the usual number is known, 0 to 1. */
+	/** The total weight in the mean of open requests, 0 to 1. */
 	private double usualWeight;
 
 	private long updatedAt;
@@ -36,8 +36,8 @@
 	}
 
 	/**
-	 * Notes that a request is open no longer.
-	 * @param ran whether it leaves room that it took
+	 * Handles the end of a request.
+	 * @param ran whether it ran, so that its end frees capacity
 	 */
 	void onRequestClosed(long now, boolean ran) {
 		advance(now);
@@ -58,7 +58,7 @@
 	}
 
 	/**
-	 * Returns how many requests are open beyond the usual.
+	 * Returns how many more requests than usual are open.
 	 */
 	double excessOpenRequests(long now) {
 		advance(now);
@@ -66,7 +66,7 @@
 	}
 
 	/**
-	 * Returns how many requests end, a millisecond.
+	 * Returns the rate at which requests end, per millisecond.
 	 */
 	double endsPerMilli(long now) {
 		return this.recentEnds.ratePerMilli(now);
--- a/core/src/main/java/org/gullsaddle/serve/RateLimit.java
+++ b/core/src/main/java/org/gullsaddle/serve/RateLimit.java
@@ -1,13 +1,13 @@
 package org.gullsaddle.serve;
 
 /**
- * What an answer says of the requests a second that its replica takes from all nodes
+ * What an answer says about its replica's rate limit, in requests a second from all nodes
  * together.
  */
 public sealed interface RateLimit {
 
 	/**
-	 * The replica takes no more than so many.
+	 * The replica has a limit.
 	 *
 	 * @param perSecond the requests a second, 0 or more
 	 */
@@ -22,13 +22,13 @@
 	}
 
 	/**
-	 * The replica names no limit, or none any more.
+	 * The replica has no limit, or no longer has one.
 	 */
 	record Unlimited() implements RateLimit {
 	}
 
 	/**
-	 * The replica names a limit that cannot be read, so that what it said before holds.
+	 * The value cannot be parsed; the previous limit stays in force.
 	 */
 	record Invalid() implements RateLimit {
 	}
--- a/core/src/main/java/org/gullsaddle/serve/ReleaseComparison.java
+++ b/core/src/main/java/org/gullsaddle/serve/ReleaseComparison.java
@@ -1,38 +1,45 @@
 package org.gullsaddle.serve;
 
 /**
- * The evidence against a new release from one kind of request, judged by how the old
- * release answers the same kind.
+ * Compares how the old and the new release answer one kind of request, and rates each
+ * answer of the new release as evidence against it.
  * <p>
  * Kinds differ: a large model takes ten times as long to its first token as a small one,
- * and some services fail a quarter of their reads on any release. Judged by the mean of
- * all kinds, a good release is taken back for what the old one does as well.
+ * and some services fail a quarter of their reads on any release. Compared with the mean
+ * of all kinds, a good release would be rolled back for what the old one does as well.
  */
 final class ReleaseComparison {
 
 	/**
-	 * What a release may fail without being bad, however sound the old one is: replicas
-	 * crash, and answers are spoiled on the way.
+	 * The ratio of failures that does not make a release bad, however few the old one
+	 * has: replicas crash, and answers are broken on the way.
 	 */
 	private static final double TOLERATED_FAILURE_RATIO = 0.06;
 
-	/** How many answers of the old release it takes to trust its rate of failures. */
+	/**
+	 * The weight of the tolerated ratio of failures, as a number of answers of the old
+	 * release.
+	 */
 	private static final double PRIOR_ANSWERS = 20;
 
 	/**
-	 * The part of what an old release would have answered well that a bad one fails. Most
-	 * bad releases fail half; a smaller figure finds those that are less bad, later.
+	 * The ratio of requests that a bad release fails among those the old one would have
+	 * answered well. Most bad releases fail half of them; a smaller ratio also finds
+	 * milder faults, but later.
 	 */
 	private static final double BAD_RELEASE_FAILURE_RATIO = 0.3;
 
-	/** How many times slower than the old release an answer counts as a failure. */
+	/**
+	 * How many times slower than with the old release an answer is when it counts as a
+	 * failure.
+	 */
 	private static final double SLOW_RATIO = 4;
 
 	private static final double SLOW_MARGIN_MILLIS = 300;
 
 	/**
-	 * How many answers of the old release are needed to know its pace: the first few
-	 * after a start are slow for want of kept prompts.
+	 * How many answers of the old release are needed to know its latency: the first ones
+	 * after a start are slow because no prompts are cached.
 	 */
 	private static final int MIN_ANSWERS_FOR_LATENCY = 5;
 
@@ -50,29 +57,30 @@
 			this.oldFailures++;
 			return;
 		}
-		int sound = this.oldAnswers - this.oldFailures;
-		this.oldFirstPartMillis += Math.max(SMOOTHING, 1.0 / sound) * (firstMillis - this.oldFirstPartMillis);
+		int goodAnswers = this.oldAnswers - this.oldFailures;
+		this.oldFirstPartMillis += Math.max(SMOOTHING, 1.0 / goodAnswers) * (firstMillis - this.oldFirstPartMillis);
 	}
 
 	/**
-	 * Returns what an answer of the new release says against it, as a logarithm; negative
-	 * if it speaks for it.
+	 * Returns the evidence of an answer against the new release, as a log likelihood
+	 * ratio; negative if it is in its favour.
 	 */
 	double evidenceOf(boolean failed, double firstMillis) {
-		double good = goodFailureRatio();
-		double bad = good + BAD_RELEASE_FAILURE_RATIO * (1 - good);
-		boolean counts = failed || isSlow(firstMillis);
-		return counts ? Math.log(bad / good) : Math.log((1 - bad) / (1 - good));
+		double goodRatio = goodFailureRatio();
+		double badRatio = goodRatio + BAD_RELEASE_FAILURE_RATIO * (1 - goodRatio);
+		boolean countsAsFailure = failed || isSlow(firstMillis);
+		return countsAsFailure ? Math.log(badRatio / goodRatio) : Math.log((1 - badRatio) / (1 - goodRatio));
 	}
 
 	private double goodFailureRatio() {
-		double seen = (this.oldFailures + PRIOR_ANSWERS * TOLERATED_FAILURE_RATIO) / (this.oldAnswers + PRIOR_ANSWERS);
-		return Math.max(TOLERATED_FAILURE_RATIO, seen);
+		double smoothedRatio = (this.oldFailures + PRIOR_ANSWERS * TOLERATED_FAILURE_RATIO)
+				/ (this.oldAnswers + PRIOR_ANSWERS);
+		return Math.max(TOLERATED_FAILURE_RATIO, smoothedRatio);
 	}
 
 	/**
-	 * Says whether an answer of the new release took several times as long as the old
-	 * one's.
+	 * Returns whether an answer of the new release took several times as long as those of
+	 * the old one.
 	 */
 	boolean isSlow(double firstMillis) {
 		return this.oldAnswers - this.oldFailures >= MIN_ANSWERS_FOR_LATENCY
--- a/core/src/main/java/org/gullsaddle/serve/ReleaseKey.java
+++ b/core/src/main/java/org/gullsaddle/serve/ReleaseKey.java
@@ -1,20 +1,20 @@
 package org.gullsaddle.serve;
 
 /**
- * What decides by which release a request is served.
+ * The key that decides which release serves a request.
  *
- * @param value what it keeps its release by: its session, or what else tells requests
- * apart
- * @param session whether requests before and after it may have the same value
- * @param route its route
- * @param promptTokens how large its prompt is, 0 for a request without one
+ * @param value the value that is hashed: the session, or an identifier of the request
+ * without one
+ * @param session whether earlier and later requests may have the same value
+ * @param route the route
+ * @param promptTokens the size of the prompt in tokens, 0 without a prompt
  */
 public record ReleaseKey(String value, boolean session, String route, long promptTokens) {
 
 	/**
-	 * Makes the key of a request without a prompt.
-	 * @param value what it keeps its release by
-	 * @param session whether requests before and after it may have the same value
+	 * Creates the key of a request without a prompt.
+	 * @param value the value that is hashed
+	 * @param session whether earlier and later requests may have the same value
 	 */
 	public ReleaseKey(String value, boolean session) {
 		this(value, session, "", 0);
--- a/core/src/main/java/org/gullsaddle/serve/ReleaseProof.java
+++ b/core/src/main/java/org/gullsaddle/serve/ReleaseProof.java
@@ -1,22 +1,22 @@
 package org.gullsaddle.serve;
 
 /**
- * Whether a new release has been tried at what it is to get: answers on each route in
- * use, and load. Confined to one thread.
+ * Decides whether a new release is proved: whether it answered well on each route in use
+ * and under load. Confined to one thread.
  */
 final class ReleaseProof {
 
 	private static final int MIN_ANSWERS = 10;
 
-	/** How many answers on each route in use a proof takes. */
+	/** How many answers a proof requires on each route in use. */
 	private static final int MIN_ANSWERS_PER_ROUTE = 5;
 
-	/** How many answers of replicas under load a proof takes. */
+	/** How many answers of replicas under load a proof requires. */
 	private static final int MIN_ANSWERS_UNDER_LOAD = 12;
 
 	/**
-	 * Evidence against a release, or against it on any route, by which it is not proved,
-	 * though not bad either: one failure that good answers have not outweighed.
+	 * The evidence against a release, or against it on any route, from which on it is not
+	 * proved although not yet bad: one failure that good answers have not outweighed.
 	 */
 	private static final double MAX_EVIDENCE = 1.5;
 
@@ -36,10 +36,11 @@
 	}
 
 	/**
-	 * Says whether the release is proved, as far as this node and the others know.
-	 * @param part the part of the roll-out's time that has passed
+	 * Returns whether the release is proved, by the answers known to this node and its
+	 * peers.
+	 * @param elapsedRatio the elapsed time as a ratio of the roll-out's duration
 	 */
-	boolean isProved(double part) {
+	boolean isProved(double elapsedRatio) {
 		if (this.evidence.answerCount() < MIN_ANSWERS || this.evidence.maxEvidence() >= MAX_EVIDENCE
 				|| !this.routes.isCovered(MIN_ANSWERS_PER_ROUTE)) {
 			return false;
@@ -47,12 +48,11 @@
 		if (answersUnderLoad() >= MIN_ANSWERS_UNDER_LOAD) {
 			return true;
 		}
-		return part >= RampUpSchedule.LOAD_TRIAL_END_RATIO && triedLoad() >= this.usage.oldLoad();
+		return elapsedRatio >= RampUpSchedule.LOAD_TRIAL_END_RATIO && triedLoad() >= this.usage.oldLoad();
 	}
 
 	/**
-	 * Returns how many requests were answered, at any node, that came to a replica which
-	 * ran as much as a trial takes.
+	 * Returns how many answers any node got from replicas under enough load for a trial.
 	 */
 	int answersUnderLoad() {
 		return this.loadTrial.answersUnderLoad()
@@ -60,12 +60,12 @@
 	}
 
 	/**
-	 * Returns the most that ran at once at a replica of the new release, by any node's
-	 * word, as a part of its slots.
+	 * Returns the highest load of a replica of the new release that any node reported, as
+	 * a ratio of its slots.
 	 */
 	double triedLoad() {
-		double others = this.evidence.notes().stream().mapToDouble(RolloutNote::triedLoad).max().orElse(0);
-		return Math.max(this.loadTrial.triedLoad(), others);
+		double ofPeers = this.evidence.notes().stream().mapToDouble(RolloutNote::triedLoad).max().orElse(0);
+		return Math.max(this.loadTrial.triedLoad(), ofPeers);
 	}
 
 }
--- a/core/src/main/java/org/gullsaddle/serve/ReleaseUsage.java
+++ b/core/src/main/java/org/gullsaddle/serve/ReleaseUsage.java
@@ -5,13 +5,14 @@
 import org.gullsaddle.base.LoadReport;
 
 /**
- * What a node has sent to a service since a roll-out was ordered, and under which loads
- * the replicas of the old release said that they ran it. Confined to one thread.
+ * Counts the requests that this node has sent to each release of a service since a
+ * roll-out was ordered, and tracks the load that the old release's replicas reported.
+ * Confined to one thread.
  * <p>
- * For requests without a session each node keeps to the allowance of an unproved release
- * by its own count: its part of what it sent, and an equal part of the slack. The sum
- * over all nodes keeps to it then, whatever they know of each other. Sessions that were
- * let in stay, so that what all nodes sent is watched too.
+ * For requests without a session, each node keeps within the allowance of an unproved
+ * release by its own count: the share of what it sent itself, and an equal part of the
+ * extra requests. All nodes together then keep within the allowance, whatever they know
+ * of each other. Admitted sessions stay, so the sum over all nodes is checked too.
  */
 final class ReleaseUsage {
 
@@ -30,7 +31,7 @@
 	}
 
 	/**
-	 * Notes that a request was sent.
+	 * Counts a request that was sent.
 	 * @param toTarget whether it went to the new release
 	 */
 	void sent(boolean toTarget) {
@@ -39,24 +40,24 @@
 	}
 
 	/**
-	 * Takes in what a replica of the old release told of its load.
+	 * Handles the load that a replica of the old release reported.
 	 */
 	void onOldLoadReported(LoadReport load) {
 		this.oldLoad += SMOOTHING * (LoadTrial.loadRatio(load) - this.oldLoad);
 	}
 
 	/**
-	 * Says whether one more request may go to the new release while it is not proved.
-	 * @param nodes how many nodes share the slack, 0 if that is not known
+	 * Returns whether one more request may go to the new release while it is not proved.
+	 * @param nodes how many nodes share the extra requests, 0 if that is not known
 	 */
 	boolean canSendToTarget(int nodes) {
-		double slack = (nodes > 0) ? this.limits.extraRequests() / nodes : 0;
-		return this.sentToTarget + 1 <= this.limits.share() * (this.sent + 1) + slack;
+		double extraRequests = (nodes > 0) ? this.limits.extraRequests() / nodes : 0;
+		return this.sentToTarget + 1 <= this.limits.share() * (this.sent + 1) + extraRequests;
 	}
 
 	/**
-	 * Says whether the allowance is spent, as far as all nodes tell.
-	 * @param notes what the others told
+	 * Returns whether the allowance is exceeded, by the counts of all nodes.
+	 * @param notes the last notes of the peers
 	 */
 	boolean isAllowanceSpent(Collection<RolloutNote> notes) {
 		int all = this.sent + notes.stream().mapToInt(RolloutNote::sent).sum();
@@ -65,7 +66,7 @@
 	}
 
 	/**
-	 * Returns the requests that were sent to any release, repeated ones too.
+	 * Returns the number of requests sent to any release, including retries.
 	 */
 	int sent() {
 		return this.sent;
@@ -76,8 +77,7 @@
 	}
 
 	/**
-	 * Returns what usually runs at once at a replica of the old release, as a part of its
-	 * slots.
+	 * Returns the mean load of the old release's replicas, as a ratio of their slots.
 	 */
 	double oldLoad() {
 		return this.oldLoad;
--- a/core/src/main/java/org/gullsaddle/serve/RemainingTime.java
+++ b/core/src/main/java/org/gullsaddle/serve/RemainingTime.java
@@ -3,22 +3,26 @@
 /**
  * The time that a refused request has left.
  *
- * @param remainingMillis until its caller gives it up, in milliseconds
- * @param objectiveMillis until its answer is late, in milliseconds, negative if it is
+ * @param remainingMillis the time to its deadline, in milliseconds
+ * @param objectiveMillis the time to its latency objective, in milliseconds, negative if
+ * that is missed
  */
 public record RemainingTime(long remainingMillis, long objectiveMillis) {
 
-	/** The part of the time left that callers wait at most when told to. */
+	/**
+	 * The longest retry-after time that callers heed, as a ratio of the time to the
+	 * deadline.
+	 */
 	private static final double MAX_WAIT_RATIO = 1.0 / 3;
 
 	/**
-	 * The part of the objective after which a return is too late to be answered in it, as
-	 * it waits once more then.
+	 * The latest return from which the objective can still be met, as a ratio of the time
+	 * to it: the request has to wait once more then.
 	 */
 	private static final double USEFUL_OBJECTIVE_RATIO = 1.0 / 3;
 
 	/**
-	 * Returns how late it is useful to return, in milliseconds.
+	 * Returns the longest retry-after time that is useful, in milliseconds.
 	 */
 	double usefulMillis() {
 		double heeded = MAX_WAIT_RATIO * this.remainingMillis;
--- a/core/src/main/java/org/gullsaddle/serve/RetryAfter.java
+++ b/core/src/main/java/org/gullsaddle/serve/RetryAfter.java
@@ -1,10 +1,10 @@
 package org.gullsaddle.serve;
 
 /**
- * When a refused caller is to come back.
+ * When a refused caller may come back.
  *
  * @param retryAfterMillis the time from now, in milliseconds
- * @param capacityExpected whether room is expected for it by then
+ * @param capacityExpected whether capacity is expected for it by then
  */
 public record RetryAfter(long retryAfterMillis, boolean capacityExpected) {
 }
--- a/core/src/main/java/org/gullsaddle/serve/RetryAfterScheduler.java
+++ b/core/src/main/java/org/gullsaddle/serve/RetryAfterScheduler.java
@@ -7,11 +7,12 @@
 import org.gullsaddle.fleet.ServiceName;
 
 /**
- * Tells refused callers when to come back, as fast as requests of their service and rank
- * really end at this node. Confined to one thread.
+ * Schedules when refused callers may come back, at the rate at which requests of their
+ * service and rank end at this node. Confined to one thread.
  * <p>
- * Callers return at other nodes, so that none of them knows who was told what. Each node
- * spreads those that it refuses by its own rate; together they return at the rate of all.
+ * Callers may come back to other nodes, and no node knows the times that its peers gave.
+ * Each node spreads the callers that it refuses by its own rate; together they come back
+ * at the rate of all nodes.
  */
 public final class RetryAfterScheduler {
 
@@ -20,45 +21,45 @@
 	private final RandomGenerator random;
 
 	/**
-	 * Makes return times.
-	 * @param random draws where in its turn a caller returns
+	 * Creates an empty scheduler.
+	 * @param random draws when a caller comes back within its reservation
 	 */
 	public RetryAfterScheduler(RandomGenerator random) {
 		this.random = random;
 	}
 
 	/**
-	 * Notes that a request came.
+	 * Handles the arrival of a request.
 	 * @param now the time in milliseconds
 	 * @param service its service
-	 * @param rank its rank, 0 first
+	 * @param rank its rank, 0 is the most urgent
 	 */
 	public void onRequestOpened(long now, ServiceName service, int rank) {
 		scheduleOf(service).flow(rank).onRequestOpened(now);
 	}
 
 	/**
-	 * Notes that a request is open no longer.
+	 * Handles the end of a request.
 	 * @param now the time in milliseconds
 	 * @param service its service
-	 * @param rank its rank, 0 first
-	 * @param ran whether it leaves room that it took
+	 * @param rank its rank, 0 is the most urgent
+	 * @param ran whether it ran, so that its end frees capacity
 	 */
 	public void onRequestClosed(long now, ServiceName service, int rank, boolean ran) {
 		scheduleOf(service).flow(rank).onRequestClosed(now, ran);
 	}
 
 	/**
-	 * Returns when a refused caller is to come back.
+	 * Returns when a refused caller may come back, and reserves capacity for it.
 	 * @param now the time in milliseconds
 	 * @param refused its request
-	 * @param soonestMillis the soonest that it may be told, spread already, in
+	 * @param earliestMillis the shortest time allowed, already spread over callers, in
 	 * milliseconds
-	 * @param left the time that it has left
-	 * @return the time, without hope if no room is expected while it is useful
+	 * @param remaining the time that the request has left
+	 * @return the time, and whether capacity is expected while it is still useful
 	 */
-	public RetryAfter schedule(long now, RefusedRequest refused, long soonestMillis, RemainingTime left) {
-		return scheduleOf(refused.service()).schedule(now, refused, soonestMillis, left);
+	public RetryAfter schedule(long now, RefusedRequest refused, long earliestMillis, RemainingTime remaining) {
+		return scheduleOf(refused.service()).schedule(now, refused, earliestMillis, remaining);
 	}
 
 	private ServiceRetrySchedule scheduleOf(ServiceName service) {
--- a/core/src/main/java/org/gullsaddle/serve/RetryBudget.java
+++ b/core/src/main/java/org/gullsaddle/serve/RetryBudget.java
@@ -1,13 +1,13 @@
 package org.gullsaddle.serve;
 
 /**
- * Lets retries be only a share of requests.
+ * Limits retries to a ratio of the requests.
  * <p>
- * When many backend servers fail at once, every request would be sent several times, and
- * the servers left would drown in the repeats: latency climbs, more time out, and the
- * load feeds itself. Retries that must be earned by first attempts keep the extra work
- * within the share, whatever fails. As each node keeps within its own share, all together
- * do, without telling each other.
+ * Without a limit, when many backend servers fail at once, every request is sent several
+ * times, and the retries overload the remaining servers: latency rises, more requests
+ * time out, and the load grows further. Retries that must be earned by first attempts
+ * keep the extra work within the ratio, whatever fails. As each node keeps within its own
+ * ratio, all nodes together do, without exchanging anything.
  */
 public final class RetryBudget {
 
@@ -18,22 +18,22 @@
 	private double savedRetries = MAX_SAVED_RETRIES / 4;
 
 	/**
-	 * Makes a budget.
-	 * @param share the retries that each request earns
+	 * Creates a budget.
+	 * @param retriesPerRequest the retries that each request earns
 	 */
-	public RetryBudget(double share) {
-		this.retriesPerRequest = share;
+	public RetryBudget(double retriesPerRequest) {
+		this.retriesPerRequest = retriesPerRequest;
 	}
 
 	/**
-	 * Notes a request's first attempt.
+	 * Adds what a request's first attempt earns.
 	 */
 	public void earn() {
 		this.savedRetries = Math.min(MAX_SAVED_RETRIES, this.savedRetries + this.retriesPerRequest);
 	}
 
 	/**
-	 * Takes a retry out of the budget.
+	 * Takes a retry out of the budget if there is one.
 	 * @return true if there was one
 	 */
 	public boolean trySpend() {
--- a/core/src/main/java/org/gullsaddle/serve/RetryPolicy.java
+++ b/core/src/main/java/org/gullsaddle/serve/RetryPolicy.java
@@ -4,16 +4,20 @@
 import org.gullsaddle.fleet.Route;
 
 /**
- * Decides whether a request is tried again after an attempt, and what may be said of it.
+ * Decides whether a request is retried after an attempt, and tracks whether it may have
+ * run.
  */
 public final class RetryPolicy {
 
-	/** How much time a second attempt needs to be worth its work, in milliseconds. */
+	/**
+	 * The least time to the deadline for which another attempt is worthwhile, in
+	 * milliseconds.
+	 */
 	private static final long MIN_ATTEMPT_MILLIS = 50;
 
 	/**
-	 * How many replicas that refuse or cannot be reached are tried for one request. Each
-	 * costs a round trip and counts as an arrival.
+	 * How many replicas that refuse or cannot be reached are followed by another attempt.
+	 * Each costs a round trip and counts as an arrival.
 	 */
 	private static final int MAX_REFUSALS = 2;
 
@@ -26,7 +30,7 @@
 	private Verdict verdict = Verdict.NOT_RUN;
 
 	/**
-	 * Makes the rule for one request.
+	 * Creates the policy of one request.
 	 * @param route its route
 	 */
 	public RetryPolicy(Route route) {
@@ -34,8 +38,8 @@
 	}
 
 	/**
-	 * Takes in an attempt's end.
-	 * @param end the end
+	 * Handles the end of an attempt.
+	 * @param end how it ended
 	 */
 	public void onAttemptEnded(AttemptEnd end) {
 		switch (end) {
@@ -53,7 +57,7 @@
 	}
 
 	/**
-	 * Says whether the request may have run.
+	 * Returns whether the request may have run.
 	 * @return the verdict of all attempts together
 	 */
 	public Verdict verdict() {
@@ -61,26 +65,28 @@
 	}
 
 	/**
-	 * Says whether the answer under way may be dropped for another attempt.
-	 * @param leftMillis the time left in milliseconds
+	 * Returns whether the current answer may be dropped for another attempt.
+	 * @param remainingMillis the time to the deadline, in milliseconds
 	 * @return true if one more attempt is allowed after it
 	 */
-	public boolean canDropAnswer(long leftMillis) {
-		return leftMillis >= MIN_ATTEMPT_MILLIS && this.runs + 1 < this.route.maxAttempts() && this.route.repeatable();
+	public boolean canDropAnswer(long remainingMillis) {
+		return remainingMillis >= MIN_ATTEMPT_MILLIS && this.runs + 1 < this.route.maxAttempts()
+				&& this.route.repeatable();
 	}
 
 	/**
-	 * Says whether an attempt that brings nothing may be given up for another one.
-	 * @param leftMillis the time left in milliseconds
-	 * @return true if one more attempt is allowed after it, and one after that if the
-	 * next replica refuses it
+	 * Returns whether an attempt without progress may be given up for another one.
+	 * @param remainingMillis the time to the deadline, in milliseconds
+	 * @return true if one more attempt is allowed after it, and a further one if the next
+	 * replica refuses it
 	 */
-	public boolean canMoveAttempt(long leftMillis) {
-		return canDropAnswer(leftMillis) && this.refusals < MAX_REFUSALS;
+	public boolean canMoveAttempt(long remainingMillis) {
+		return canDropAnswer(remainingMillis) && this.refusals < MAX_REFUSALS;
 	}
 
 	/**
-	 * Says whether the attempt after the one under way would be the last that is allowed.
+	 * Returns whether the attempt after the current one would be the last that is
+	 * allowed.
 	 * @return true if it would
 	 */
 	public boolean isNextAttemptLast() {
@@ -88,12 +94,14 @@
 	}
 
 	/**
-	 * Says whether another attempt is allowed and worth it. The budget is not asked.
-	 * @param leftMillis the time left in milliseconds
+	 * Returns whether another attempt is allowed and worthwhile, regardless of the retry
+	 * budget.
+	 * @param remainingMillis the time to the deadline, in milliseconds
 	 * @return true if it is
 	 */
-	public boolean canRetry(long leftMillis) {
-		if (leftMillis < MIN_ATTEMPT_MILLIS || this.runs >= this.route.maxAttempts() || this.refusals > MAX_REFUSALS) {
+	public boolean canRetry(long remainingMillis) {
+		if (remainingMillis < MIN_ATTEMPT_MILLIS || this.runs >= this.route.maxAttempts()
+				|| this.refusals > MAX_REFUSALS) {
 			return false;
 		}
 		return this.verdict == Verdict.NOT_RUN || this.route.repeatable();
--- a/core/src/main/java/org/gullsaddle/serve/Rollout.java
+++ b/core/src/main/java/org/gullsaddle/serve/Rollout.java
@@ -82,7 +82,7 @@
 	private final RampUp rampUp;
 
 	/**
-	 * When the last slow answer of each replica of the new release ended, in
+	 * When the last slow answer of each replica of the new release arrived, in
 	 * milliseconds.
 	 */
 	private final Map<ReplicaId, Long> slowUntil = new HashMap<>();
@@ -285,11 +285,11 @@
 	 * Checks whether the release is proved and raises its share. Must be called several
 	 * times a second.
 	 * @param now the time
-	 * @param knowledgeMillis the greatest possible age of what this node knows of its
-	 * peers
+	 * @param peerStateAgeMillis the greatest possible age of the peers' state that this
+	 * node knows
 	 */
-	public void update(long now, long knowledgeMillis) {
-		this.rampUp.onPeerStateAge(now, knowledgeMillis);
+	public void update(long now, long peerStateAgeMillis) {
+		this.rampUp.onPeerStateAge(now, peerStateAgeMillis);
 		boolean canBeProved = canRampUp(now) && !this.rampUp.isProved()
 				&& elapsedRatio(now) <= RampUpSchedule.LATEST_PROOF_RATIO;
 		if (canBeProved && this.proof.isProved(elapsedRatio(now))) {
@@ -432,13 +432,13 @@
 	 * @param now the time
 	 * @param replicas the replicas of the service
 	 * @param key the key that decides its release
-	 * @param leftOut replicas that it may not be sent to now
+	 * @param excluded replicas that it may not be sent to now
 	 * @param nodes how many nodes share the allowance of an unproved release, 0 if that
 	 * is not known
 	 * @return the replicas of its release; those of the other release if it has none,
 	 * unless the other release is bad or has used up its allowance
 	 */
-	public List<Replica> chooseReplicas(long now, List<Replica> replicas, ReleaseKey key, Set<ReplicaId> leftOut,
+	public List<Replica> chooseReplicas(long now, List<Replica> replicas, ReleaseKey key, Set<ReplicaId> excluded,
 			int nodes) {
 		List<Replica> targetReplicas = replicasOf(replicas, true);
 		List<Replica> oldReplicas = replicasOf(replicas, false);
@@ -453,7 +453,8 @@
 		if (!admitted && !((withinShare || oldReplicas.isEmpty()) && this.usage.canSendToTarget(nodes))) {
 			return oldReplicas;
 		}
-		return this.loadTrial.chooseReplicas(now, targetReplicas, leftOut, this.routes.hasSmallestPrompts(key.route()));
+		return this.loadTrial.chooseReplicas(now, targetReplicas, excluded,
+				this.routes.hasSmallestPrompts(key.route()));
 	}
 
 	private boolean isWithinShare(long now, ReleaseKey key) {
--- a/core/src/main/java/org/gullsaddle/serve/RolloutClock.java
+++ b/core/src/main/java/org/gullsaddle/serve/RolloutClock.java
@@ -1,40 +1,45 @@
 package org.gullsaddle.serve;
 
 /**
- * How long ago a roll-out began, the same at all nodes. Confined to one thread.
+ * Measures the time since a roll-out began, in agreement with all other nodes. Confined
+ * to one thread.
  * <p>
  * Nodes learn of an order one after another, and some start while it is under way. The
- * order itself tells no time, but its first replica's entry does: all nodes count from
- * that replica's start. The start is told by the time of day, which may be wrong here. It
- * is taken only if it falls between what this node knew before the order and now, and
- * dropped if others turn out to be far ahead. Without it a node counts from when it
- * learned of the order, or from what others tell.
+ * order itself contains no time, but the entry of the first replica of the new release
+ * does: all nodes count from that replica's start. The start is a time of day, and this
+ * node's clock may be wrong. The start is accepted only if it falls between the last time
+ * without the order and now, and is dropped if peers turn out to be far ahead. Without
+ * it, a node counts from when it learned of the order, or from the elapsed time that
+ * peers report.
  */
 final class RolloutClock {
 
-	/** By how much the time of day may differ from the replicas', in milliseconds. */
+	/** How far this node's time of day may differ from the replicas', in milliseconds. */
 	private static final long MAX_CLOCK_ERROR_MILLIS = 500;
 
-	/** How far ahead others are at least for this node's time to be wrong. */
+	/**
+	 * How far peers may be ahead before this node's clock counts as wrong, in
+	 * milliseconds.
+	 */
 	private static final long MAX_BEHIND_PEERS_MILLIS = 1500;
 
 	private final long notBefore;
 
-	/** When it began as far as is known without replicas' starts. */
+	/** When the roll-out began, as far as is known without the replicas' starts. */
 	private long learnedAt;
 
 	private boolean anchored;
 
 	private boolean clockWrong;
 
-	/** What to add to the time of day for this node's own time, in milliseconds. */
+	/** Added to the time of day to get this node's monotonic time, in milliseconds. */
 	private long clockOffsetMillis;
 
-	/** The time of day at which the first replica started, in milliseconds. */
+	/** The time of day at which the first replica started, in Unix milliseconds. */
 	private long firstStartedAt;
 
 	/**
-	 * Makes the time of a roll-out that a node learns of.
+	 * Creates the clock of a roll-out of which this node has just learned.
 	 * @param notBefore a time before which it was not ordered
 	 * @param now the time
 	 */
@@ -44,21 +49,21 @@
 	}
 
 	/**
-	 * Takes in when a replica of the new release started.
-	 * @param timeOfDay the time of day here, in Unix milliseconds
-	 * @param startedAt the replica's start, in Unix milliseconds, 0 if not told
+	 * Handles the start time of a replica of the new release.
+	 * @param timeOfDay this node's time of day, in Unix milliseconds
+	 * @param startedAt the replica's start, in Unix milliseconds, 0 if not reported
 	 */
 	void onReplicaStarted(long now, long timeOfDay, long startedAt) {
 		if (startedAt <= 0 || this.clockWrong) {
 			return;
 		}
 		if (this.anchored) {
-			boolean after = startedAt + this.clockOffsetMillis >= this.notBefore - MAX_CLOCK_ERROR_MILLIS;
-			this.firstStartedAt = after ? Math.min(this.firstStartedAt, startedAt) : this.firstStartedAt;
+			boolean afterOrder = startedAt + this.clockOffsetMillis >= this.notBefore - MAX_CLOCK_ERROR_MILLIS;
+			this.firstStartedAt = afterOrder ? Math.min(this.firstStartedAt, startedAt) : this.firstStartedAt;
 			return;
 		}
-		long at = now - timeOfDay + startedAt;
-		if (at >= this.notBefore - MAX_CLOCK_ERROR_MILLIS && at <= now + MAX_CLOCK_ERROR_MILLIS) {
+		long localStart = now - timeOfDay + startedAt;
+		if (localStart >= this.notBefore - MAX_CLOCK_ERROR_MILLIS && localStart <= now + MAX_CLOCK_ERROR_MILLIS) {
 			this.anchored = true;
 			this.clockOffsetMillis = now - timeOfDay;
 			this.firstStartedAt = startedAt;
@@ -66,7 +71,8 @@
 	}
 
 	/**
-	 * Takes in how long ago it began by another node's word, which took a while to come.
+	 * Handles the elapsed time that a peer reported. The note took a while to arrive, so
+	 * that the true time is no shorter.
 	 */
 	void onElapsedReported(long now, long elapsedMillis) {
 		if (elapsedMillis - elapsedMillis(now) > MAX_BEHIND_PEERS_MILLIS) {
@@ -77,14 +83,15 @@
 	}
 
 	/**
-	 * Returns how long ago it began, in milliseconds, 0 at least.
+	 * Returns how long ago the roll-out began, in milliseconds, never negative.
 	 */
 	long elapsedMillis(long now) {
 		return Math.max(0, now - (this.anchored ? this.firstStartedAt + this.clockOffsetMillis : this.learnedAt));
 	}
 
 	/**
-	 * Returns how long ago the order was given at most: before its first replica started.
+	 * Returns how long ago the order was given, in milliseconds: the longer of the time
+	 * since the first replica's start and the time since this node learned of the order.
 	 */
 	long elapsedSinceOrderMillis(long now) {
 		return Math.max(elapsedMillis(now), now - this.learnedAt);
--- a/core/src/main/java/org/gullsaddle/serve/RolloutLimits.java
+++ b/core/src/main/java/org/gullsaddle/serve/RolloutLimits.java
@@ -1,14 +1,14 @@
 package org.gullsaddle.serve;
 
 /**
- * What a release may get before it is proved.
+ * The allowance of a release until it is proved.
  *
- * @param share the part of all requests to its service since the order
- * @param extraRequests how many more, by all nodes together
+ * @param share its greatest share of all requests to the service since the order
+ * @param extraRequests how many requests beyond the share all nodes together may send
  */
 public record RolloutLimits(double share, double extraRequests) {
 
-	/** What holds where nothing is said. */
+	/** The limits without a setting. */
 	public static final RolloutLimits DEFAULT = new RolloutLimits(0.1, 10);
 
 }
--- a/core/src/main/java/org/gullsaddle/serve/RolloutWriteSchedule.java
+++ b/core/src/main/java/org/gullsaddle/serve/RolloutWriteSchedule.java
@@ -8,28 +8,30 @@
 import org.gullsaddle.fleet.ServiceName;
 
 /**
- * When a node writes a roll-out's state that is due. Confined to one thread.
+ * Decides when a node writes a due state of a roll-out to the store. Confined to one
+ * thread.
  * <p>
- * A state is due on all nodes at once, and only the first write succeeds. Nodes write one
- * after another instead, so that most of them read the state before it is their turn.
+ * A state is due on all nodes at once, and only the first write succeeds. The writes are
+ * therefore spread over time, so that most nodes read the new state before they would
+ * write it.
  */
 public final class RolloutWriteSchedule {
 
 	/**
-	 * The time over which nodes are spread to write that a roll-out runs, as a part of
-	 * its time. Nothing waits for it.
+	 * The time over which the nodes' writes of {@code RUNNING} are spread, as a ratio of
+	 * the roll-out's duration. Nothing waits for this write.
 	 */
 	private static final double START_SPREAD_RATIO = 0.2;
 
-	/** The same for the end of a good roll-out, which is due by a fixed time. */
+	/** The same for {@code COMPLETED}, which must be written by a fixed time. */
 	private static final double COMPLETE_SPREAD_RATIO = 0.04;
 
-	/** The same for the end of a bad release, in milliseconds. */
+	/** The time over which writes of {@code ROLLED_BACK} are spread, in milliseconds. */
 	private static final double ROLL_BACK_SPREAD_MILLIS = 300;
 
 	/**
-	 * How long after a write the same state is not written again, in milliseconds: until
-	 * this node has read what stands there.
+	 * How long a node waits before it writes the same state again, in milliseconds: by
+	 * then it has read what is in the store.
 	 */
 	private static final long REWRITE_DELAY_MILLIS = 2000;
 
@@ -38,7 +40,7 @@
 	private final String node;
 
 	/**
-	 * Makes a node's turns.
+	 * Creates the schedule of a node.
 	 * @param node the node's name
 	 */
 	public RolloutWriteSchedule(String node) {
@@ -46,24 +48,24 @@
 	}
 
 	/**
-	 * Says whether this node is to write a state now.
+	 * Returns whether this node must write a state now.
 	 * @param now the time in milliseconds
 	 * @param rollout the roll-out
 	 * @param state the state that is due
-	 * @return true if it is
+	 * @return whether its write is due
 	 */
 	public boolean isWriteDue(long now, Rollout rollout, RolloutState state) {
 		ServiceName service = rollout.order().service();
-		ScheduledWrite turn = this.scheduledWrites.get(service);
-		if (turn == null || turn.revision != rollout.revision() || turn.state != state) {
-			turn = new ScheduledWrite(rollout.revision(), state, now + delayMillis(rollout, state));
-			this.scheduledWrites.put(service, turn);
+		ScheduledWrite scheduled = this.scheduledWrites.get(service);
+		if (scheduled == null || scheduled.revision != rollout.revision() || scheduled.state != state) {
+			scheduled = new ScheduledWrite(rollout.revision(), state, now + delayMillis(rollout, state));
+			this.scheduledWrites.put(service, scheduled);
 		}
-		return now >= turn.dueAt;
+		return now >= scheduled.dueAt;
 	}
 
 	/**
-	 * Notes that the store answered a write, whether or not it took it.
+	 * Handles the store's answer to a write, whether it succeeded or not.
 	 * @param now the time in milliseconds
 	 * @param rollout the roll-out
 	 * @param state the state that was written
@@ -84,11 +86,11 @@
 	}
 
 	/**
-	 * When a state is to be written.
+	 * When a node writes a state.
 	 *
 	 * @param revision the revision of the roll-out's order
 	 * @param state the state
-	 * @param at the time in milliseconds
+	 * @param dueAt when to write, in milliseconds
 	 */
 	private record ScheduledWrite(long revision, RolloutState state, long dueAt) {
 	}
--- a/core/src/main/java/org/gullsaddle/serve/RouteCoverage.java
+++ b/core/src/main/java/org/gullsaddle/serve/RouteCoverage.java
@@ -4,20 +4,20 @@
 import java.util.Map;
 
 /**
- * The routes of a service during a roll-out: how large their prompts are, and how many
- * answers each release gave on them. Confined to one thread.
+ * The prompt sizes of a service's routes during a roll-out, and the number of answers
+ * that each release gave on them. Confined to one thread.
  */
 final class RouteCoverage {
 
-	/** How many routes are told apart; later ones are not counted. */
+	/** How many routes are counted separately; further ones are not counted. */
 	private static final int MAX_ROUTES = 64;
 
 	private static final double SMOOTHING = 0.1;
 
-	/** Prompts that are smaller than this part of others are clearly smaller. */
+	/** Prompts below this ratio of another route's prompts count as smaller. */
 	private static final double SMALLER_PROMPT_RATIO = 0.7;
 
-	/** How many answers of the old release on a route ask for a trial of it. */
+	/** How many answers of the old release a route has when it counts as in use. */
 	private static final int MIN_ANSWERS_IN_USE = 30;
 
 	private final Map<String, Double> promptTokensByRoute = new HashMap<>();
@@ -26,7 +26,7 @@
 
 	private final Map<String, Integer> newAnswersByRoute = new HashMap<>();
 
-	/** What each other node told of its answers of the new release. */
+	/** The answers of the new release by route, as each peer reported them. */
 	private final Map<String, Map<String, Integer>> peerAnswersByRoute = new HashMap<>();
 
 	void recordPrompt(String route, long promptTokens) {
@@ -40,8 +40,8 @@
 	}
 
 	/**
-	 * Says whether a route's prompts are among the smallest: they fill a replica's slots
-	 * without making others wait.
+	 * Returns whether a route's prompts are among the smallest. These fill a replica's
+	 * slots without delaying other requests.
 	 */
 	boolean hasSmallestPrompts(String route) {
 		double own = this.promptTokensByRoute.getOrDefault(route, 0.0);
@@ -60,13 +60,14 @@
 	}
 
 	/**
-	 * Says whether the new release gave enough answers on each route that is in use.
+	 * Returns whether the new release gave at least a number of answers on each route in
+	 * use.
 	 */
-	boolean isCovered(int enough) {
+	boolean isCovered(int minAnswers) {
 		return this.oldAnswersByRoute.entrySet()
 			.stream()
 			.filter((entry) -> entry.getValue() >= MIN_ANSWERS_IN_USE)
-			.allMatch((entry) -> newAnswerCount(entry.getKey()) >= enough);
+			.allMatch((entry) -> newAnswerCount(entry.getKey()) >= minAnswers);
 	}
 
 	private int newAnswerCount(String route) {
@@ -75,7 +76,7 @@
 	}
 
 	/**
-	 * Returns this node's answers of the new release by route.
+	 * Returns the answers of the new release that this node saw, by route.
 	 */
 	Map<String, Integer> newAnswersByRoute() {
 		return this.newAnswersByRoute;
--- a/core/src/main/java/org/gullsaddle/serve/SendPermission.java
+++ b/core/src/main/java/org/gullsaddle/serve/SendPermission.java
@@ -1,17 +1,21 @@
 package org.gullsaddle.serve;
 
 /**
- * Whether a request that was given to a replica may be sent there, as it stood then.
+ * Whether a request may be sent to the chosen replica, as decided when the replica was
+ * chosen.
  */
 public enum SendPermission {
 
-	/** The replica had asked for nothing. */
+	/** The replica had neither a rate limit nor a back-off. */
 	UNLIMITED,
 
-	/** The request has a part of the replica's limit. */
+	/** The request was counted against this node's share of the replica's rate limit. */
 	COUNTED,
 
-	/** The replica had asked for rest, or this node had no more of its limit to give. */
+	/**
+	 * The replica had asked for a back-off, or this node had used up its share of the
+	 * rate limit.
+	 */
 	DENIED
 
 }
--- a/core/src/main/java/org/gullsaddle/serve/ServiceRetrySchedule.java
+++ b/core/src/main/java/org/gullsaddle/serve/ServiceRetrySchedule.java
@@ -9,32 +9,37 @@
 import java.util.random.RandomGenerator;
 
 /**
- * The return times of one service's callers, see {@link RetryAfterScheduler}.
+ * The retry-after times of one service, see {@link RetryAfterScheduler}.
  */
 final class ServiceRetrySchedule {
 
-	/** The part of the room that is for returning callers; newcomers get the rest. */
+	/** The ratio of the capacity for returning callers; new callers get the rest. */
 	private static final double RETURNING_CALLERS_RATIO = 0.5;
 
-	/** The part of the room of more urgent ranks that a rank finds at least. */
+	/** The ratio of the whole capacity that each rank is assumed to get at least. */
 	private static final double MIN_CAPACITY_RATIO = 0.05;
 
 	/**
-	 * From which part of that time on callers without hope return: after those of their
-	 * rank that have some.
+	 * The ratio of the useful time after which callers come back for whom no capacity is
+	 * expected: after those of their rank for whom it is.
 	 */
 	private static final double NO_CAPACITY_START_RATIO = 0.75;
 
-	/** How many ends must be seen for their rate to mean something. */
+	/** How many requests must have ended for the rate to be reliable. */
 	private static final int MIN_ENDS = 6;
 
-	/** With fewer requests lately the rate at which they end tells nothing of room. */
+	/**
+	 * With fewer recent requests, the rate at which they end says nothing about capacity.
+	 */
 	private static final double MIN_RECENT_REQUESTS = 2;
 
-	/** How many moments of its turn are drawn, of which the loneliest is told. */
+	/**
+	 * How many times are drawn, of which the one farthest from other reservations is
+	 * used.
+	 */
 	private static final int DRAWS = 8;
 
-	/** How many places are kept at most. */
+	/** The greatest number of reservations held. */
 	private static final int MAX_RESERVATIONS = 4096;
 
 	private final Map<Integer, RankFlow> flows = new TreeMap<>();
@@ -51,40 +56,41 @@
 		return this.flows.computeIfAbsent(rank, (missing) -> new RankFlow());
 	}
 
-	RetryAfter schedule(long now, RefusedRequest refused, long soonest, RemainingTime left) {
+	RetryAfter schedule(long now, RefusedRequest refused, long earliestMillis, RemainingTime remaining) {
 		if (!hasEnoughData(now)) {
-			return new RetryAfter(soonest, true);
+			return new RetryAfter(earliestMillis, true);
 		}
 		this.reservations.removeIf((each) -> each.remainingRatio(now) <= 0);
 		Optional<Reservation> earlier = findEarlier(now, refused);
 		if (earlier.isPresent()) {
-			return repeatRetryAfter(now, earlier.get(), soonest);
+			return repeatRetryAfter(now, earlier.get(), earliestMillis);
 		}
-		double room = capacityPerMilli(now, refused.rank());
-		double step = 1 / (room * RETURNING_CALLERS_RATIO);
-		double first = soonest + waitingRequests(now, refused.rank()) / room + step * reservationsAhead(now, refused);
-		double last = left.usefulMillis();
-		// Many nodes have a turn in some seconds only: each begins somewhere in its
-		// first.
-		double drawn = first + step * this.random.nextDouble();
-		// Without any room it is infinite or not a number.
+		double capacity = capacityPerMilli(now, refused.rank());
+		double stepMillis = 1 / (capacity * RETURNING_CALLERS_RATIO);
+		double first = earliestMillis + waitingRequests(now, refused.rank()) / capacity
+				+ stepMillis * reservationsAhead(now, refused);
+		double last = remaining.usefulMillis();
+		// With many nodes, each has capacity only once in some seconds: each begins at
+		// a random time within its first step.
+		double drawn = first + stepMillis * this.random.nextDouble();
+		// Without any capacity it is infinite or not a number.
 		if (!(drawn <= last) || this.reservations.size() >= MAX_RESERVATIONS) {
-			return new RetryAfter(Math.max(soonest, Math.round(last * noCapacityRatio(refused.rank()))), false);
+			return new RetryAfter(Math.max(earliestMillis, Math.round(last * noCapacityRatio(refused.rank()))), false);
 		}
-		long at = now + mostIsolatedMillis(now, first, Math.min(step, last - first));
-		this.reservations.add(new Reservation(at, step, refused));
+		long at = now + mostIsolatedMillis(now, first, Math.min(stepMillis, last - first));
+		this.reservations.add(new Reservation(at, stepMillis, refused));
 		return new RetryAfter(at - now, true);
 	}
 
 	private boolean hasEnoughData(long now) {
-		int seen = this.flows.values().stream().mapToInt(RankFlow::endCount).sum();
+		int ended = this.flows.values().stream().mapToInt(RankFlow::endCount).sum();
 		double asked = this.flows.values().stream().mapToDouble((flow) -> flow.recentRequestCount(now)).sum();
-		return seen >= MIN_ENDS && asked >= MIN_RECENT_REQUESTS;
+		return ended >= MIN_ENDS && asked >= MIN_RECENT_REQUESTS;
 	}
 
 	/**
-	 * A caller that comes before its time is told the same time, and takes no second
-	 * place.
+	 * Finds the reservation of a caller that comes back too early: it keeps its time and
+	 * gets no second reservation.
 	 */
 	private Optional<Reservation> findEarlier(long now, RefusedRequest refused) {
 		return this.reservations.stream()
@@ -93,16 +99,18 @@
 	}
 
 	/**
-	 * Requests of equal content may be several callers', which are not to return at once.
+	 * Repeats a reserved time, with some delay: requests of equal content may come from
+	 * several callers, which must not come back all at once.
 	 */
-	private RetryAfter repeatRetryAfter(long now, Reservation told, long soonest) {
-		long late = Math.round(this.random.nextDouble() * Math.min(told.stepMillis, soonest));
-		return new RetryAfter(Math.max(soonest, told.returnAt - now + late), true);
+	private RetryAfter repeatRetryAfter(long now, Reservation reservation, long earliestMillis) {
+		long delay = Math.round(this.random.nextDouble() * Math.min(reservation.stepMillis, earliestMillis));
+		return new RetryAfter(Math.max(earliestMillis, reservation.returnAt - now + delay), true);
 	}
 
 	/**
-	 * Returns how much room a rank finds, in requests a millisecond: its own, and that of
-	 * less urgent ones, which it goes ahead of, and a little of the others'.
+	 * Returns the capacity available to a rank, in requests a millisecond: its own, that
+	 * of less urgent ranks, over which it has precedence, and at least a small ratio of
+	 * the whole.
 	 */
 	private double capacityPerMilli(long now, int rank) {
 		double all = 0;
@@ -124,8 +132,8 @@
 	}
 
 	/**
-	 * Returns how many places are ahead of a caller: those of more urgent ranks, and in
-	 * its own rank one of each team for each that its team has.
+	 * Returns how many reservations are ahead of a caller: those of more urgent ranks,
+	 * and in its own rank as many of each other team as its own team has, and one more.
 	 */
 	private double reservationsAhead(long now, RefusedRequest refused) {
 		Map<String, Double> ofRank = new HashMap<>();
@@ -144,8 +152,8 @@
 	}
 
 	/**
-	 * Returns the part of the time that callers wait after which one without hope is to
-	 * return: more urgent ranks somewhat sooner.
+	 * Returns the ratio of the useful time after which a caller comes back for whom no
+	 * capacity is expected; it is somewhat lower for more urgent ranks.
 	 */
 	private double noCapacityRatio(int rank) {
 		int ranks = this.flows.size();
@@ -172,15 +180,15 @@
 	}
 
 	/**
-	 * A caller's place among those that return.
+	 * The capacity reserved for a returning caller.
 	 *
-	 * @param at when it is to come
-	 * @param step for how long it has the room for returning callers
+	 * @param returnAt when the caller may come back
+	 * @param stepMillis for how long it takes up the capacity for returning callers
 	 * @param refused its request
 	 */
 	private record Reservation(long returnAt, double stepMillis, RefusedRequest refused) {
 
-		/** Returns how much of the place is still ahead of others, 0 to 1. */
+		/** Returns how much of the reservation is still ahead of others, 0 to 1. */
 		double remainingRatio(long now) {
 			return Math.clamp((this.returnAt + this.stepMillis - now) / this.stepMillis, 0, 1);
 		}
--- a/core/src/main/java/org/gullsaddle/serve/TeamBurstDetector.java
+++ b/core/src/main/java/org/gullsaddle/serve/TeamBurstDetector.java
@@ -6,30 +6,30 @@
 import org.gullsaddle.base.TeamId;
 
 /**
- * Notices teams that send far more than they usually do. Confined to one thread.
+ * Detects teams that send far more requests than usual. Confined to one thread.
  * <p>
- * When one team sends many times its usual, the engines' queues grow for all: without
- * this, teams that sent no more than ever wait as long as the one that fills them. What a
- * team sends beyond twice its share is queued behind its rank's other requests; nothing
- * is refused for it.
+ * When one team sends many times its usual number of requests, the engines' queues grow
+ * for all, and teams with unchanged traffic would wait as long as the one that causes the
+ * queues. Requests of a team beyond twice its share are therefore queued behind the other
+ * requests of their rank; none is refused for it.
  */
 public final class TeamBurstDetector {
 
-	/** How long recent requests count, as the time until half are forgotten. */
+	/** The half-life of the recent request counts, in milliseconds. */
 	private static final double RECENT_HALF_LIFE_MILLIS = 2000;
 
 	/**
-	 * How long a team's usual share is remembered, in the same way; what is recent does
-	 * not count as usual yet.
+	 * The half-life of the counts of a team's usual share, in milliseconds. Recent
+	 * requests are not part of the usual share yet.
 	 */
 	private static final double USUAL_HALF_LIFE_MILLIS = 60_000;
 
-	/** How many times its share a team may send. */
+	/** How many times its usual share a team may send. */
 	private static final double MAX_SHARE_RATIO = 2;
 
 	/**
-	 * How many recent requests there must be for shares to mean something: with fewer,
-	 * two requests of one team in a row look like a burst, and no queue is long.
+	 * How many recent requests are needed for reliable shares: with fewer, two successive
+	 * requests of one team look like a burst, and no queue is long.
 	 */
 	private static final double MIN_RECENT_REQUESTS = 12;
 
@@ -39,7 +39,7 @@
 
 	/**
 	 * Counts a request.
-	 * @param team whose it is
+	 * @param team its team
 	 * @param now the time in milliseconds
 	 */
 	public void recordRequest(TeamId team, long now) {
@@ -48,11 +48,11 @@
 	}
 
 	/**
-	 * Says whether a team sends more than twice its share: of what it usually sends, or
-	 * of an equal part if that is more.
+	 * Returns whether a team sends more than twice its share: its usual share, or an
+	 * equal share if that is larger.
 	 * @param team the team
 	 * @param now the time in milliseconds
-	 * @return true if its requests are to wait for others of their rank
+	 * @return true if its requests must wait for others of their rank
 	 */
 	public boolean isBursting(TeamId team, long now) {
 		RequestCounts counts = this.teams.get(team);
@@ -67,7 +67,7 @@
 	}
 
 	/**
-	 * Requests counted, older ones less.
+	 * Exponentially decaying counts of requests.
 	 */
 	private static final class RequestCounts {
 
--- a/core/src/main/java/org/gullsaddle/serve/WorkShares.java
+++ b/core/src/main/java/org/gullsaddle/serve/WorkShares.java
@@ -7,34 +7,36 @@
 import org.gullsaddle.base.TeamId;
 
 /**
- * Shares the work of engines among teams, rank by rank. Confined to one thread.
+ * Shares the work of engines fairly among teams, rank by rank. Confined to one thread.
  * <p>
- * What engines get done lately is shared so that the team that gets least gets as much as
- * it can: one that asks for little gets all of it, and what it leaves is shared by the
- * others. Only while teams ask for more than is done is anything beyond a share. A
- * request counts by its work and waits for its team's, never for its own size.
+ * The recently completed work is shared by max-min fairness: a team that asks for little
+ * gets all of it, and what it leaves is shared by the others. Only while teams ask for
+ * more than is completed can a team exceed its share. A request counts by its work; it
+ * waits because its team exceeds the share, never because of its own size.
  */
 public final class WorkShares {
 
-	/** How long work counts, as the time until half is forgotten. */
+	/** The half-life of recorded work, in milliseconds. */
 	static final double HALF_LIFE_MILLIS = 4000;
 
 	/**
-	 * How many requests must have ended for what is done to mean something, and how many
-	 * must have come lately.
+	 * How many requests must have ended, and how many must have arrived recently, for the
+	 * shares to be reliable.
 	 */
 	private static final int MIN_REQUESTS = 12;
 
-	/** With less asked beyond what is done, queues stay short. */
+	/** The ratio of requested to completed work up to which queues stay short. */
 	private static final double OVERLOAD_RATIO = 1.25;
 
 	/**
-	 * The part of what a rank asks for that it is taken to get at least, also where
+	 * The ratio of its requested work that a rank is assumed to get at least, even while
 	 * nothing ends.
 	 */
 	private static final double MIN_CAPACITY_RATIO = 0.25;
 
-	/** How many tokens are read in the time that a token takes to be written. */
+	/**
+	 * How many prompt tokens an engine reads in the time that it takes to generate one.
+	 */
 	private static final int PROMPT_TOKENS_PER_OUTPUT_TOKEN = 10;
 
 	private final Map<Integer, RankShares> ranks = new TreeMap<>();
@@ -48,10 +50,10 @@
 	/**
 	 * Counts a request that is sent to an engine.
 	 * @param now the time in milliseconds
-	 * @param team whose it is
-	 * @param rank its rank, 0 first
+	 * @param team its team
+	 * @param rank its rank, 0 is the most urgent
 	 * @param work its work
-	 * @return true if it is beyond its team's share, and waits for others of its rank
+	 * @return true if it exceeds its team's share and must wait for others of its rank
 	 */
 	public boolean recordSent(long now, TeamId team, int rank, double work) {
 		boolean over = isOverShare(now, team, rank);
@@ -61,7 +63,7 @@
 	}
 
 	/**
-	 * Notes that an engine is done with a request.
+	 * Records that an engine has finished a request.
 	 * @param now the time in milliseconds
 	 * @param work its work
 	 */
@@ -71,11 +73,12 @@
 	}
 
 	/**
-	 * Says whether a team has its share, while its rank asks for more than there is.
+	 * Returns whether a team has used up its share while its rank asks for more than the
+	 * capacity.
 	 * @param now the time in milliseconds
 	 * @param team the team
-	 * @param rank the rank of its request, 0 first
-	 * @return true if what it asks for now is beyond its share
+	 * @param rank the rank of its request, 0 is the most urgent
+	 * @return true if a request now exceeds its share
 	 */
 	public boolean isOverShare(long now, TeamId team, int rank) {
 		RankShares shares = this.ranks.get(rank);
@@ -84,26 +87,28 @@
 	}
 
 	/**
-	 * Says whether more is asked for than engines get done. Few requests make no queue.
+	 * Returns whether more work is requested than engines complete. Few requests make no
+	 * queue.
 	 */
 	private boolean isOverloaded(long now) {
-		double asked = this.ranks.values().stream().mapToDouble((each) -> each.requestedWork(now)).sum();
-		return this.recentRequests.sum(now) >= MIN_REQUESTS && asked > OVERLOAD_RATIO * this.recentWorkDone.sum(now);
+		double requested = this.ranks.values().stream().mapToDouble((each) -> each.requestedWork(now)).sum();
+		return this.recentRequests.sum(now) >= MIN_REQUESTS
+				&& requested > OVERLOAD_RATIO * this.recentWorkDone.sum(now);
 	}
 
 	private double capacity(long now, int rank, RankShares shares) {
-		double before = this.ranks.entrySet()
+		double ofUrgentRanks = this.ranks.entrySet()
 			.stream()
 			.filter((each) -> each.getKey() < rank)
 			.mapToDouble((each) -> each.getValue().requestedWork(now))
 			.sum();
-		return Math.max(this.recentWorkDone.sum(now) - before, MIN_CAPACITY_RATIO * shares.requestedWork(now));
+		return Math.max(this.recentWorkDone.sum(now) - ofUrgentRanks, MIN_CAPACITY_RATIO * shares.requestedWork(now));
 	}
 
 	/**
-	 * Returns a request's work at an engine, in tokens that the smallest model reads.
-	 * @param unreadTokens how much of its prompt is to be read
-	 * @param task what is to be done
+	 * Returns a request's work for an engine, in prompt tokens of the smallest model.
+	 * @param unreadTokens the tokens of its prompt that are not cached
+	 * @param task the task
 	 * @return the work, at least 1
 	 */
 	public static double workOf(int unreadTokens, Task task) {
@@ -112,7 +117,7 @@
 	}
 
 	/**
-	 * What the teams of one rank ask for.
+	 * The work that the teams of one rank request, and its fair level.
 	 */
 	private static final class RankShares {
 
@@ -139,35 +144,36 @@
 			}
 		}
 
-		boolean isOverLevel(long now, TeamId team, double room) {
+		boolean isOverLevel(long now, TeamId team, double capacity) {
 			TeamUse use = this.teams.get(team);
 			if (use == null) {
 				return false;
 			}
 			if (now - this.levelUpdatedAt >= LEVEL_UPDATE_MILLIS) {
 				this.teams.values().removeIf((each) -> each.requestedWork.sum(now) < 1);
-				this.level = computeLevel(now, room);
+				this.level = computeLevel(now, capacity);
 				this.levelUpdatedAt = now;
 			}
 			return use.workWithinShare.sum(now) >= this.level;
 		}
 
 		/**
-		 * Returns how much a team may use at most, so that all together use the room.
+		 * Returns the most work that a team may use so that all teams together use the
+		 * capacity.
 		 */
-		private double computeLevel(long now, double room) {
-			double[] asks = this.teams.values()
+		private double computeLevel(long now, double capacity) {
+			double[] requests = this.teams.values()
 				.stream()
 				.mapToDouble((use) -> use.requestedWork.sum(now))
 				.sorted()
 				.toArray();
-			double left = room;
-			for (int i = 0; i < asks.length; i++) {
-				double equal = left / (asks.length - i);
-				if (asks[i] >= equal) {
+			double remaining = capacity;
+			for (int i = 0; i < requests.length; i++) {
+				double equal = remaining / (requests.length - i);
+				if (requests[i] >= equal) {
 					return equal;
 				}
-				left -= asks[i];
+				remaining -= requests[i];
 			}
 			return Double.MAX_VALUE;
 		}
@@ -175,7 +181,7 @@
 	}
 
 	/**
-	 * What a team asks for, and what of it was within its share.
+	 * The work that a team requested, and how much of it was within its share.
 	 */
 	private static final class TeamUse {
 
--- a/core/src/main/java/org/gullsaddle/serve/package-info.java
+++ b/core/src/main/java/org/gullsaddle/serve/package-info.java
@@ -1,6 +1,5 @@
 /**
- * Decisions for one request: which model and replica, whether to try again, how to
- * answer; and for a roll-out: how much traffic the new version gets. Nothing here does
- * I/O.
+ * Decisions for one request (model, replica, retries, refusal) and for a roll-out (how
+ * much traffic the new release gets). No class of this package does I/O.
  */
 package org.gullsaddle.serve;
--- a/core/src/test/java/org/gullsaddle/serve/BackpressureTableTests.java
+++ b/core/src/test/java/org/gullsaddle/serve/BackpressureTableTests.java
@@ -43,7 +43,7 @@
 	}
 
 	/**
-	 * Counts the requests that may be sent in a minute, asked for every 10 ms.
+	 * Counts the requests that may be sent in a minute, with an attempt every 10 ms.
 	 */
 	private int sentInAMinute() {
 		int sent = 0;
@@ -65,14 +65,14 @@
 			assertThat(sentInAMinute()).isBetween(100, 115);
 		}
 
-		/** Guards against a replica that takes nothing now and is never asked again. */
+		/** Guards against a replica with a limit of 0 that is never probed again. */
 		@Test
 		void oneThatTakesNothingGetsARequestNowAndThen() {
 			BackpressureTableTests.this.book.onAnswer(0, BackpressureTableTests.this.replica, limit(0));
 			assertThat(sentInAMinute()).isBetween(5, 7);
 		}
 
-		/** Guards against nodes that each take the whole limit as they start together. */
+		/** Guards against nodes that start together and each use the whole limit. */
 		@Test
 		void nodeThatTheOthersMayNotKnowHasOnlyItsTurns() {
 			BackpressureTableTests.this.peers = Optional.empty();
@@ -89,7 +89,7 @@
 			assertThat(book.limit(BackpressureTableTests.this.replica)).isEqualTo(OptionalDouble.of(0.5));
 		}
 
-		/** Guards against a value that cannot be read and lifts a limit. */
+		/** Guards against an invalid value that removes a limit. */
 		@Test
 		void oneThatCannotBeReadChangesNothing() {
 			BackpressureTable book = BackpressureTableTests.this.book;
@@ -109,7 +109,9 @@
 			assertThat(book.canAskForLoad(0, BackpressureTableTests.this.replica)).isTrue();
 		}
 
-		/** Guards against a new process that is bound by what the one before it asked. */
+		/**
+		 * Guards against a new process that is bound by the limit of the one before it.
+		 */
 		@Test
 		void anotherProcessUnderItsIdIsFree() {
 			BackpressureTableTests.this.book.onAnswer(0, BackpressureTableTests.this.replica, limit(0));
@@ -135,7 +137,7 @@
 	@Nested
 	class WhileARequestWaitsForAConnection {
 
-		/** Guards against requests on their way that pass by a limit named meanwhile. */
+		/** Guards against requests that wait for a connection and bypass a new limit. */
 		@Test
 		void limitNamedMeanwhileHoldsForIt() {
 			BackpressureTable book = BackpressureTableTests.this.book;
@@ -160,7 +162,7 @@
 	@Nested
 	class WhereAllReplicasAreLimited {
 
-		/** Guards against callers that are all told to come back at the same time. */
+		/** Guards against callers that all get the same retry-after time. */
 		@Test
 		void callersAreToldTimesAsFarApartAsTheRequestsThatMayBeSent() {
 			BackpressureTable book = BackpressureTableTests.this.book;
@@ -211,7 +213,7 @@
 		}
 
 		/**
-		 * Guards against a rest that is cut short by an answer to a request sent before.
+		 * Guards against a back-off that is cut short by an answer to an earlier request.
 		 */
 		@Test
 		void neitherAShorterRestNorAnAnswerWithoutOneEndsIt() {
@@ -221,7 +223,7 @@
 			assertThat(takes(2999)).isFalse();
 		}
 
-		/** Guards against a replica that is left out for days by one wrong answer. */
+		/** Guards against a replica that is excluded for days by one wrong answer. */
 		@Test
 		void noOneRestLastsLongerThanFiveMinutes() {
 			heard(0, rest(Long.MAX_VALUE));
@@ -229,7 +231,7 @@
 			assertThat(takes(300_000)).isTrue();
 		}
 
-		/** Guards against requests that wait for a connection and then disturb it. */
+		/** Guards against requests that wait for a connection and ignore the back-off. */
 		@Test
 		void requestThatWaitsForAConnectionIsNotSent() {
 			BackpressureTable book = BackpressureTableTests.this.book;
@@ -248,7 +250,7 @@
 			assertThat(BackpressureTableTests.this.book.canSend(1, replica(2))).isTrue();
 		}
 
-		/** Guards against callers that are sent away for longer than the rest lasts. */
+		/** Guards against a retry-after time that is longer than the back-off. */
 		@Test
 		void callersAreToldToComeBackWhenItIsOver() {
 			heard(0, rest(3000));
--- a/core/src/test/java/org/gullsaddle/serve/DeadlineCheckTests.java
+++ b/core/src/test/java/org/gullsaddle/serve/DeadlineCheckTests.java
@@ -34,7 +34,7 @@
 		}
 	}
 
-	/** Asks twice, as the first of a time is tried whatever is known. */
+	/** Asks twice, because the first request in an interval is always let through. */
 	private boolean refuses(List<Choice> choices) {
 		return this.hopeless.shouldRefuse(0, SERVICE, choices, LEFT)
 				|| this.hopeless.shouldRefuse(1, SERVICE, choices, LEFT);
@@ -46,21 +46,21 @@
 		assertThat(refuses(List.of(LOST, LOST))).isTrue();
 	}
 
-	/** Guards against refusals on the word of a node that has just started. */
+	/** Guards against refusals by a node that has just started. */
 	@Test
 	void nodeThatHasSeenFewAnswersRefusesNothing() {
 		answers(10);
 		assertThat(refuses(List.of(LOST))).isFalse();
 	}
 
-	/** Guards against refusals of what another region could still run. */
+	/** Guards against refusals of requests that another region could still run. */
 	@Test
 	void oneReplicaAnywhereThatMayBeginIsEnough() {
 		answers(100);
 		assertThat(refuses(List.of(LOST, choice(40, 3000, 1500)))).isFalse();
 	}
 
-	/** Guards against refusals of long prompts where nothing is before them. */
+	/** Guards against refusals of long prompts where the replica is idle. */
 	@Test
 	void replicaWithNothingToDoIsAlwaysTried() {
 		answers(100);
@@ -73,7 +73,10 @@
 		assertThat(refuses(List.of(choice(40, 1900, 100)))).isFalse();
 	}
 
-	/** Guards against a node that refuses all and so never hears of room again. */
+	/**
+	 * Guards against a node that refuses all requests and so never learns of free
+	 * capacity.
+	 */
 	@Test
 	void oneIsTriedFromTimeToTime() {
 		answers(100);
@@ -84,7 +87,7 @@
 		assertThat(tried).isEqualTo(10);
 	}
 
-	/** Guards against knowledge of before a failure that nothing has renewed. */
+	/** Guards against decisions on outdated delays after a failure. */
 	@Test
 	void itIsForgottenWhereNothingAnswers() {
 		answers(100);
--- a/core/src/test/java/org/gullsaddle/serve/LimitShareTests.java
+++ b/core/src/test/java/org/gullsaddle/serve/LimitShareTests.java
@@ -33,11 +33,11 @@
 	}
 
 	private static LimitShare share(double perSecond, int node, List<Peer> peers) {
-		int rank = LimitShare.findNodePosition(REPLICA, new NodeId("node-" + node), peers, PLACE).orElseThrow();
-		return LimitShare.of(perSecond, rank, peers.size());
+		int position = LimitShare.findNodePosition(REPLICA, new NodeId("node-" + node), peers, PLACE).orElseThrow();
+		return LimitShare.of(perSecond, position, peers.size());
 	}
 
-	/** Guards against a limit that a replica gets more or less of than all of. */
+	/** Guards against shares that add up to more or less than the limit. */
 	@ParameterizedTest
 	@CsvSource({ "0.5, 1", "0.5, 4", "1, 31", "1.8, 4", "1.8, 340", "50, 4", "50, 340" })
 	void sharesOfAllNodesAddUpToTheLimit(double perSecond, int nodes) {
--- a/core/src/test/java/org/gullsaddle/serve/RetryAfterSchedulerTests.java
+++ b/core/src/test/java/org/gullsaddle/serve/RetryAfterSchedulerTests.java
@@ -23,17 +23,17 @@
 
 	private static final RemainingTime LEFT = new RemainingTime(12_000, 4000);
 
-	/** Who returns later is late. */
+	/** The latest return from which the objective can be met, in milliseconds. */
 	private static final long USEFUL = 1334;
 
-	/** How many requests all replicas together end, in a second. */
+	/** How many requests end on all replicas together in a second. */
 	private static final int ENDS = 200;
 
 	private final Random random = new Random(7);
 
 	private final List<RetryAfterScheduler> nodes = new ArrayList<>();
 
-	/** All that were told when to return. */
+	/** All retry-after times that were given. */
 	private final List<Told> told = new ArrayList<>();
 
 	private int refusals;
@@ -53,8 +53,8 @@
 	}
 
 	/**
-	 * Lets callers of three ranks come at some times what replicas end, most of them in
-	 * the middle rank. What is beyond that is refused.
+	 * Sends requests of three ranks, most of them of the middle one, at a multiple of the
+	 * rate at which replicas end them. The excess is refused.
 	 */
 	private void load(long from, long until, double times, double ends) {
 		double coming = 0;
@@ -131,8 +131,8 @@
 	}
 
 	/**
-	 * Load: 0.9 of what replicas end for 20 s, 2.6 times of it for 6 s, most of it of one
-	 * kind, then 0.9 again.
+	 * Load: 0.9 of the capacity for 20 s, 2.6 times the capacity for 6 s, most of it of
+	 * one rank, then 0.9 again.
 	 */
 	@Nested
 	class AfterABurst {
@@ -144,7 +144,7 @@
 			load(26_000, 36_000, 0.9, 1);
 		}
 
-		/** Guards against callers that were refused together and return together. */
+		/** Guards against callers that are refused together and return together. */
 		@ParameterizedTest
 		@ValueSource(ints = { 4, 22, 340 })
 		void noMoreThanEndInASecondAreToldToReturnInOne(int count) {
@@ -152,7 +152,7 @@
 			assertThat(mostInASecond()).isBetween(1L, (long) ENDS);
 		}
 
-		/** Guards against less urgent callers that take the place of urgent ones. */
+		/** Guards against less urgent callers that return before urgent ones. */
 		@ParameterizedTest
 		@ValueSource(ints = { 4, 22, 340 })
 		void moreUrgentRanksReturnSooner(int count) {
@@ -162,8 +162,8 @@
 		}
 
 		/**
-		 * Guards against times that callers do not heed, or that make answers late, and
-		 * too soon ones.
+		 * Guards against times that are too long to be heeded or to meet the objective,
+		 * and against too short ones.
 		 */
 		@ParameterizedTest
 		@ValueSource(ints = { 4, 22, 340 })
@@ -173,7 +173,7 @@
 				.allMatch((each) -> each.millis >= SOONEST && each.millis <= USEFUL);
 		}
 
-		/** Guards against a node that goes on to send callers away once there is room. */
+		/** Guards against a node that still gives long times once there is capacity. */
 		@Test
 		void whatIsRefusedLaterReturnsAsSoonAsBefore() {
 			burst(4);
@@ -184,7 +184,7 @@
 	}
 
 	/**
-	 * Load: 0.9, and a refused caller that returns at once, three times.
+	 * Load: 0.9, and a refused caller that returns at once three times.
 	 */
 	@Nested
 	class WhenACallerPresses {
@@ -202,7 +202,7 @@
 			return this.node.schedule(now, refused(2, "a", content), SOONEST, LEFT);
 		}
 
-		/** Guards against callers that gain by coming before their time. */
+		/** Guards against callers that gain by returning too early. */
 		@Test
 		void itIsNotServedSoonerForIt() {
 			open();
@@ -221,7 +221,7 @@
 			return next(20_010, "other").retryAfterMillis();
 		}
 
-		/** Guards against callers that lose their places to those that press. */
+		/** Guards against callers that are delayed by those that return too early. */
 		@Test
 		void othersAreNotDelayedByIt() {
 			assertThat(afterPressing(3)).isCloseTo(afterPressing(0), within(SOONEST));
@@ -230,12 +230,12 @@
 	}
 
 	/**
-	 * Load: 0.9, and replicas end nothing for 20 s, as all of them were lost.
+	 * Load: 0.9; for 20 s no request ends, because all replicas were lost.
 	 */
 	@Nested
 	class WhenNothingEnds {
 
-		/** Guards against callers that are told to return to a fleet that stands. */
+		/** Guards against callers that return early to a fleet that completes nothing. */
 		@Test
 		void callersReturnLateAndAreToldWithoutHope() {
 			nodes(4);
--- a/core/src/test/java/org/gullsaddle/serve/RetryPolicyTests.java
+++ b/core/src/test/java/org/gullsaddle/serve/RetryPolicyTests.java
@@ -25,32 +25,32 @@
 	}
 
 	/**
-	 * An order's connection breaks after it was sent. Sent again, a shop would get a
-	 * second pallet of butter; refused as not run, its caller would send it again.
+	 * The connection breaks after a request that may not be repeated was sent. A retry
+	 * could run it twice; so would its caller if told that it did not run.
 	 */
 	@Test
 	void requestThatMayNotBeRepeatedIsNeverTriedAgainOnceItMayHaveRun() {
-		RetryPolicy rule = rule(RouteKind.ONCE, false, 3);
-		rule.onAttemptEnded(new AttemptEnd.Broken("reset"));
-		assertThat(rule.canRetry(5000)).isFalse();
-		assertThat(rule.verdict()).isEqualTo(Verdict.MAY_HAVE_RUN);
+		RetryPolicy policy = rule(RouteKind.ONCE, false, 3);
+		policy.onAttemptEnded(new AttemptEnd.Broken("reset"));
+		assertThat(policy.canRetry(5000)).isFalse();
+		assertThat(policy.verdict()).isEqualTo(Verdict.MAY_HAVE_RUN);
 	}
 
 	@Test
 	void requestThatNoReplicaRanIsTriedElsewhereWhateverItsKind() {
-		RetryPolicy rule = rule(RouteKind.ONCE, false, 1);
-		rule.onAttemptEnded(new AttemptEnd.NotRun(false, "refused with 503"));
-		assertThat(rule.canRetry(5000)).isTrue();
-		assertThat(rule.verdict()).isEqualTo(Verdict.NOT_RUN);
+		RetryPolicy policy = rule(RouteKind.ONCE, false, 1);
+		policy.onAttemptEnded(new AttemptEnd.NotRun(false, "refused with 503"));
+		assertThat(policy.canRetry(5000)).isTrue();
+		assertThat(policy.verdict()).isEqualTo(Verdict.NOT_RUN);
 	}
 
 	@Test
 	void idempotentRequestRunsOnAsManyReplicasAsItsRouteAllows() {
-		RetryPolicy rule = rule(RouteKind.IDEMPOTENT, false, 2);
-		rule.onAttemptEnded(new AttemptEnd.Answered(500));
-		assertThat(rule.canRetry(5000)).isTrue();
-		rule.onAttemptEnded(new AttemptEnd.Answered(500));
-		assertThat(rule.canRetry(5000)).isFalse();
+		RetryPolicy policy = rule(RouteKind.IDEMPOTENT, false, 2);
+		policy.onAttemptEnded(new AttemptEnd.Answered(500));
+		assertThat(policy.canRetry(5000)).isTrue();
+		policy.onAttemptEnded(new AttemptEnd.Answered(500));
+		assertThat(policy.canRetry(5000)).isFalse();
 	}
 
 	@Test
@@ -65,37 +65,40 @@
 
 	@Test
 	void answerIsNotDroppedWhenNoAttemptIsLeftToReplaceIt() {
-		RetryPolicy rule = rule(RouteKind.STREAM, true, 2);
-		assertThat(rule.canDropAnswer(5000)).isTrue();
-		rule.onAttemptEnded(new AttemptEnd.Broken("reset"));
-		assertThat(rule.canDropAnswer(5000)).isFalse();
+		RetryPolicy policy = rule(RouteKind.STREAM, true, 2);
+		assertThat(policy.canDropAnswer(5000)).isTrue();
+		policy.onAttemptEnded(new AttemptEnd.Broken("reset"));
+		assertThat(policy.canDropAnswer(5000)).isFalse();
 	}
 
 	@Test
 	void refusalsByReplicasAreNotFollowedForEver() {
-		RetryPolicy rule = rule(RouteKind.IDEMPOTENT, false, 2);
+		RetryPolicy policy = rule(RouteKind.IDEMPOTENT, false, 2);
 		for (int i = 0; i < 3; i++) {
-			rule.onAttemptEnded(new AttemptEnd.NotRun(false, "refused with 503"));
+			policy.onAttemptEnded(new AttemptEnd.NotRun(false, "refused with 503"));
 		}
-		assertThat(rule.canRetry(5000)).isFalse();
+		assertThat(policy.canRetry(5000)).isFalse();
 	}
 
-	/** Guards against an answer that is given up when the next refusal would end it. */
+	/**
+	 * Guards against an attempt that is given up although a single further refusal would
+	 * end the request.
+	 */
 	@Test
 	void answerIsNotMovedOnceSeveralReplicasHaveRefused() {
-		RetryPolicy rule = rule(RouteKind.STREAM, true, 3);
-		rule.onAttemptEnded(new AttemptEnd.NotRun(false, "refused with 503"));
-		assertThat(rule.canMoveAttempt(5000)).isTrue();
-		rule.onAttemptEnded(new AttemptEnd.NotRun(false, "refused with 503"));
-		assertThat(rule.canMoveAttempt(5000)).isFalse();
+		RetryPolicy policy = rule(RouteKind.STREAM, true, 3);
+		policy.onAttemptEnded(new AttemptEnd.NotRun(false, "refused with 503"));
+		assertThat(policy.canMoveAttempt(5000)).isTrue();
+		policy.onAttemptEnded(new AttemptEnd.NotRun(false, "refused with 503"));
+		assertThat(policy.canMoveAttempt(5000)).isFalse();
 	}
 
 	@Test
 	void answerIsNotMovedWhenItsRouteAllowsNoMoreAttempts() {
-		RetryPolicy rule = rule(RouteKind.STREAM, true, 2);
-		assertThat(rule.canMoveAttempt(5000)).isTrue();
-		rule.onAttemptEnded(new AttemptEnd.Broken("reset"));
-		assertThat(rule.canMoveAttempt(5000)).isFalse();
+		RetryPolicy policy = rule(RouteKind.STREAM, true, 2);
+		assertThat(policy.canMoveAttempt(5000)).isTrue();
+		policy.onAttemptEnded(new AttemptEnd.Broken("reset"));
+		assertThat(policy.canMoveAttempt(5000)).isFalse();
 	}
 
 }
--- a/core/src/test/java/org/gullsaddle/serve/RolloutClockTests.java
+++ b/core/src/test/java/org/gullsaddle/serve/RolloutClockTests.java
@@ -4,7 +4,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-/** Nodes agree on how long ago a roll-out began, whenever they learned of it. */
+/** Nodes agree on the elapsed time of a roll-out, whenever they learned of it. */
 class RolloutClockTests {
 
 	private static final long UNIX_MILLIS_AT_ZERO = 1_700_000_000_000L;
@@ -16,18 +16,18 @@
 		return new RolloutClock(asked, now);
 	}
 
-	/** Guards against steps of the share that nodes take at different times. */
+	/** Guards against nodes that change the share at different times. */
 	@Test
 	void nodesThatLearnOfTheOrderAtDifferentTimesAgree() {
-		RolloutClock soon = learnedAt(0, 1010);
+		RolloutClock early = learnedAt(0, 1010);
 		RolloutClock late = learnedAt(900, 2500);
-		soon.onReplicaStarted(2510, UNIX_MILLIS_AT_ZERO + 2510, STARTED_AT);
+		early.onReplicaStarted(2510, UNIX_MILLIS_AT_ZERO + 2510, STARTED_AT);
 		late.onReplicaStarted(2500, UNIX_MILLIS_AT_ZERO + 2500, STARTED_AT);
-		assertThat(soon.elapsedMillis(10_000)).isEqualTo(8700);
+		assertThat(early.elapsedMillis(10_000)).isEqualTo(8700);
 		assertThat(late.elapsedMillis(10_000)).isEqualTo(8700);
 	}
 
-	/** Guards against replicas of which each node hears in another order. */
+	/** Guards against nodes that learn of the replicas in different orders. */
 	@Test
 	void earliestReplicaStartCountsInAnyOrderOfArrival() {
 		RolloutClock time = learnedAt(0, 1010);
@@ -37,7 +37,7 @@
 		assertThat(time.elapsedMillis(10_000)).isEqualTo(8700);
 	}
 
-	/** Guards against a node that starts in a roll-out and takes it for a new one. */
+	/** Guards against a node that starts during a roll-out and takes it for a new one. */
 	@Test
 	void nodeThatStartsLateCountsFromTheFirstReplicasStart() {
 		RolloutClock time = learnedAt(-10_000, 9000);
@@ -45,7 +45,7 @@
 		assertThat(time.elapsedMillis(10_000)).isEqualTo(8700);
 	}
 
-	/** Guards against a time of day that jumped. */
+	/** Guards against a time of day that jumped before it was read. */
 	@Test
 	void startOutsideThePossibleIntervalIsIgnored() {
 		RolloutClock time = learnedAt(0, 1010);
--- a/core/src/test/java/org/gullsaddle/serve/RolloutModel.java
+++ b/core/src/test/java/org/gullsaddle/serve/RolloutModel.java
@@ -18,8 +18,8 @@
 import org.gullsaddle.fleet.ServiceName;
 
 /**
- * A roll-out at several nodes on a virtual clock. Any node gets any request. Each request
- * has a session of its own, or sessions live on and come to all nodes.
+ * Simulates a roll-out on several nodes with a virtual clock. Any node gets any request.
+ * Each request has a session of its own, or sessions live on and reach all nodes.
  */
 final class RolloutModel {
 
@@ -49,29 +49,29 @@
 
 	private static final long FIRST_TOKEN_MILLIS = 20;
 
-	/** How far apart a node's notes are, as a part of the roll-out's time. */
+	/** The time between a node's notes, as a ratio of the roll-out's duration. */
 	private static final double NOTE_INTERVAL_RATIO = 0.06;
 
 	private static final long UPDATE_MILLIS = 200;
 
-	/** How long what one node writes takes to the others at most. */
+	/** The longest time until the peers read what a node writes. */
 	private static final long MAX_PROPAGATION_MILLIS = 1600;
 
-	/** The same as a part of a short roll-out's time. */
+	/** The same in a short roll-out, as a ratio of its duration. */
 	private static final double MAX_PROPAGATION_RATIO = 0.07;
 
-	/** The same while the share rises, as nodes ask oftener for news then. */
+	/** The same during the ramp-up, when nodes poll more often. */
 	private static final long URGENT_PROPAGATION_MILLIS = 700;
 
-	/** New evidence that a node tells at once, and how far such notes are apart. */
+	/** The new evidence that a node reports at once, and the time between such notes. */
 	private static final double URGENT_EVIDENCE = 1;
 
 	private static final long URGENT_NOTE_MILLIS = 400;
 
-	/** Requests of each kind in a step, by all nodes together. */
+	/** The requests of each route in a step, on all nodes together. */
 	private static final double REQUESTS_PER_STEP = 0.3;
 
-	/** One request in so many begins another session in place of a live one. */
+	/** One in so many requests replaces a live session by a new one. */
 	private static final int REQUESTS_PER_NEW_SESSION = 8;
 
 	private final Fault fault;
@@ -92,7 +92,7 @@
 
 	private final PriorityQueue<Event> events = new PriorityQueue<>(Comparator.comparingLong(Event::at));
 
-	/** The sessions that live, by route; empty if each request has one of its own. */
+	/** The live sessions by route; empty if each request has a session of its own. */
 	private final Map<Route, List<Session>> sessions = new HashMap<>();
 
 	private double requestsPerStep = REQUESTS_PER_STEP;
@@ -111,7 +111,9 @@
 
 	private int isolatedNode = -1;
 
-	/** The least evidence that each node has told since, and when it told last. */
+	/**
+	 * The least evidence of each node since its last note, and when it sent that note.
+	 */
 	private final Map<Integer, Double> minReportedEvidence = new HashMap<>();
 
 	private final Map<Integer, Long> reportedAt = new HashMap<>();
@@ -132,8 +134,8 @@
 	}
 
 	/**
-	 * Makes a node that learns of the order.
-	 * @param asked when it asked for news before, {@link #NEVER} if it just started
+	 * Creates a node that learns of the order.
+	 * @param asked when it polled last, {@link #NEVER} if it has just started
 	 */
 	private Rollout createNode(long asked, long now) {
 		Rollout node = new Rollout(asked, now, new RolloutOrder(SERVICE, TARGET, this.durationMillis), ORDER_REVISION,
@@ -152,7 +154,7 @@
 	}
 
 	/**
-	 * Has a node hear nothing from the others.
+	 * Cuts a node off from its peers.
 	 */
 	RolloutModel isolatedNode(int node) {
 		this.isolatedNode = node;
@@ -160,9 +162,9 @@
 	}
 
 	/**
-	 * Has sessions live on.
+	 * Makes sessions live on.
 	 * @param live how many at a time on each route
-	 * @param shared whether each of them asks both routes
+	 * @param shared whether each of them uses both routes
 	 */
 	RolloutModel withSessions(int live, boolean shared) {
 		List<Session> all = createSessions(live);
@@ -184,7 +186,7 @@
 	}
 
 	/**
-	 * Has each node learn of the order when it next asks for news.
+	 * Makes each node learn of the order at its next poll.
 	 */
 	RolloutModel learnOrderAtDifferentTimes() {
 		for (int i = 0; i < this.nodes.size(); i++) {
@@ -195,8 +197,8 @@
 	}
 
 	/**
-	 * Has a node start anew.
-	 * @param part when, as a part of the roll-out's time
+	 * Restarts a node.
+	 * @param part when, as a ratio of the roll-out's duration
 	 */
 	RolloutModel restart(int node, double part) {
 		long at = Math.round(part * this.durationMillis);
@@ -214,10 +216,10 @@
 	}
 
 	/**
-	 * Has more requests come for a time.
-	 * @param times how many times as many
-	 * @param from when, as a part of the roll-out's time
-	 * @param to until when
+	 * Adds a burst of requests.
+	 * @param times the factor on the request rate
+	 * @param from its start, as a ratio of the roll-out's duration
+	 * @param to its end, as a ratio of the roll-out's duration
 	 */
 	RolloutModel burst(double times, double from, double to) {
 		this.events.add(new Event(Math.round(from * this.durationMillis),
@@ -326,7 +328,7 @@
 	}
 
 	/**
-	 * Returns how long news take now.
+	 * Returns how long a note takes to reach the peers now.
 	 */
 	private long propagationMillis() {
 		boolean grows = this.nodes.stream().anyMatch(Rollout::isRampingUp);
@@ -371,8 +373,8 @@
 	}
 
 	/**
-	 * Returns how many requests ran on the old release after one in their session had run
-	 * on the new one, though that is good and was not taken back.
+	 * Returns how many requests ran on the old release after one of their session had run
+	 * on the new one, although that is good and was not rolled back.
 	 */
 	int movedBackCount() {
 		return this.movedBackCount;
--- a/core/src/test/java/org/gullsaddle/serve/RolloutModelTests.java
+++ b/core/src/test/java/org/gullsaddle/serve/RolloutModelTests.java
@@ -9,8 +9,9 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Roll-outs of several nodes on a virtual clock: what reaches a release that fails under
- * load, on one route, late or from the start, and whether a good one ends in time.
+ * Simulated roll-outs on several nodes: how many requests reach a release that fails
+ * under load, on one route, late or from the start, and whether a good release is
+ * completed in time.
  */
 class RolloutModelTests {
 
@@ -18,7 +19,7 @@
 
 	private static final double ALLOWED_SLACK = 30;
 
-	/** Guards against a bad release that reaches more requests than its allowance. */
+	/** Guards against a bad release that gets more requests than its allowance. */
 	@ParameterizedTest
 	@CsvSource({ "START, 24000, 1", "START, 10000, 4", "START, 24000, 20", "UNDER_LOAD, 24000, 1",
 			"UNDER_LOAD, 24000, 4", "UNDER_LOAD, 24000, 20", "ONE_ROUTE, 24000, 1", "ONE_ROUTE, 24000, 4",
@@ -46,8 +47,7 @@
 	}
 
 	/**
-	 * Guards against an allowance that is spent by sessions which were let in before a
-	 * burst.
+	 * Guards against an allowance exceeded by sessions that were admitted before a burst.
 	 */
 	@ParameterizedTest
 	@CsvSource({ "START, 24000, 4", "UNDER_LOAD, 24000, 1", "UNDER_LOAD, 24000, 20", "ONE_ROUTE, 16000, 20",
@@ -62,7 +62,7 @@
 		}
 	}
 
-	/** Guards against a good release that is not completed in its time. */
+	/** Guards against a good release that is not completed in time. */
 	@ParameterizedTest
 	@CsvSource({ "24000, 1", "24000, 4", "24000, 20", "16000, 4", "10000, 4", "10000, 20" })
 	void goodReleaseIsCompletedInTime(long duration, int nodes) {
@@ -73,7 +73,7 @@
 		}
 	}
 
-	/** Guards against a node without the store that lets a bad release grow. */
+	/** Guards against a ramp-up of a bad release at a node without the store. */
 	@ParameterizedTest
 	@CsvSource({ "START, 24000", "UNDER_LOAD, 24000", "ONE_ROUTE, 10000" })
 	void nodeThatHearsNothingKeepsToItsPartOfTheAllowance(RolloutModel.Fault badness, long duration) {
--- a/core/src/test/java/org/gullsaddle/serve/RolloutTests.java
+++ b/core/src/test/java/org/gullsaddle/serve/RolloutTests.java
@@ -40,7 +40,7 @@
 		return new Replica(new ReplicaId(id), SERVICE, new Address("10.0.0.1", 80), "a", release, 8, false, 1);
 	}
 
-	/** When the next request is sent: none overlaps another one. */
+	/** When the next request is sent; requests do not overlap. */
 	private long sentAt;
 
 	private void answer(String release, String kind, boolean failed, long firstMillis) {
@@ -58,7 +58,7 @@
 	}
 
 	/**
-	 * Lets the release answer well under load, and tells that the answers were sent.
+	 * Makes the release answer well under load, so that it is proved.
 	 */
 	private void prove(long now) {
 		this.rollout.onStateRead(RolloutState.RUNNING, "v2", 11);
@@ -70,7 +70,7 @@
 	}
 
 	/**
-	 * Looks at the roll-out as often as a node does until a time.
+	 * Updates the roll-out every 200 ms, as a node does.
 	 */
 	private void updateUntil(long from, long until) {
 		for (long now = from; now <= until; now += 200) {
@@ -114,7 +114,7 @@
 	}
 
 	/**
-	 * Guards against a state that is read late, by another call, and undoes a newer one.
+	 * Guards against a slow read of an old state that overwrites a newer one.
 	 */
 	@Test
 	void olderStateAfterANewerOneChangesNothing() {
@@ -125,8 +125,8 @@
 	}
 
 	/**
-	 * A node is killed in the second half and starts again. By its own count the order is
-	 * new, and it would send sessions back to the old release.
+	 * A node restarts in the second half. It would take the order for a new one and send
+	 * sessions back to the old release.
 	 */
 	@Test
 	void restartedNodeContinuesAtThePeersElapsedTime() {
@@ -140,7 +140,7 @@
 	}
 
 	/**
-	 * The same once the release was proved: all sessions are on it at the other nodes.
+	 * The same after the proof, when all sessions are on the new release at the peers.
 	 */
 	@Test
 	void nodeRestartedAfterTheProofHasTheSameShare() {
@@ -161,7 +161,7 @@
 			assertThat(isOnTarget(DURATION * 4 / 5, false)).isEqualTo(1000);
 		}
 
-		/** Guards against a share that rises by the clock, whatever was learned. */
+		/** Guards against a share that rises with time alone, without a proof. */
 		@Test
 		void itGetsNoMoreThanItsAllowanceUntilItIsProved() {
 			int sent = 0;
@@ -178,7 +178,7 @@
 					(int) (RolloutLimits.DEFAULT.share() * DURATION / 10 + RolloutLimits.DEFAULT.extraRequests()));
 		}
 
-		/** Guards against a release that turns bad late, and has all requests early. */
+		/** Guards against a release that gets all requests early and turns bad late. */
 		@Test
 		void itsShareDoesNotRiseInTheFirstHalfHoweverSoonItIsProved() {
 			prove(DURATION * 32 / 100);
@@ -186,7 +186,7 @@
 			assertThat(RolloutTests.this.rollout.progress(DURATION / 2).share()).isZero();
 		}
 
-		/** Guards against a share that rises at a node which cannot hear the others. */
+		/** Guards against a ramp-up at a node that is cut off from its peers. */
 		@Test
 		void shareDoesNotRiseOnOutdatedPeerState() {
 			prove(DURATION * 6 / 10);
@@ -196,7 +196,7 @@
 			assertThat(RolloutTests.this.rollout.progress(DURATION * 4 / 5).share()).isEqualTo(1);
 		}
 
-		/** Guards against nodes that let the share rise at different times. */
+		/** Guards against nodes that raise the share at different times. */
 		@Test
 		void itsShareRisesWhenAnyNodeProvedIt() {
 			RolloutTests.this.rollout.onStateRead(RolloutState.RUNNING, "v2", 11);
@@ -207,8 +207,8 @@
 		}
 
 		/**
-		 * A session's request runs on the old release when the roll-out begins; the next
-		 * one, at another node, went to the new release.
+		 * Guards against a session whose request runs on the old release when the
+		 * roll-out begins and whose next one, on another node, runs on the new release.
 		 */
 		@Test
 		void noSessionChangesItsReleaseInTheFirstHalf() {
@@ -242,7 +242,7 @@
 		}
 
 		/**
-		 * All old replicas crash early in a roll-out; the new ones are sound.
+		 * All old replicas crash early in a roll-out; the new ones work.
 		 */
 		@Test
 		void isUsedWhenNoOldReplicaIsLeft() {
@@ -281,9 +281,9 @@
 		}
 
 		/**
-		 * Some requests go to a large model, whose first token takes ten times as long on
-		 * either release. Against the mean of all answers each of them looked slow, and
-		 * the good release was taken back after some ten of them.
+		 * The first token of a large model takes ten times as long on either release.
+		 * Compared with the mean of all answers, each of its answers looked slow, and a
+		 * good release was rolled back after some ten of them.
 		 */
 		@Test
 		void largeModelsAnswersAreComparedWithItsOwn() {
@@ -299,8 +299,8 @@
 		}
 
 		/**
-		 * A quarter of the stock reads fail on the old release too, for the service's own
-		 * reasons. The new one does no worse, and is completed.
+		 * A quarter of the reads fail on either release. The new one is no worse and must
+		 * not be rolled back.
 		 */
 		@Test
 		void failuresThatTheOldReleaseHasTooDoNotCount() {
@@ -329,8 +329,8 @@
 	class OfABadRelease {
 
 		/**
-		 * Half of the new release's answers are failures. Each node sees a few only; what
-		 * they tell each other is enough to stop it before a dozen callers are hurt.
+		 * Half of the new release's answers fail. Each node sees only a few of them;
+		 * pooled, they are enough for a roll-back before a dozen requests have failed.
 		 */
 		@Test
 		void evidenceOfSeveralNodesIsPooled() {
@@ -348,8 +348,8 @@
 		}
 
 		/**
-		 * All old replicas are gone, and the new release is bad: a request is refused,
-		 * not sent to it.
+		 * All old replicas are gone and the new release is bad: requests are refused
+		 * instead of sent to it.
 		 */
 		@Test
 		void isNotUsedWhenNoOldReplicaIsLeft() {
@@ -359,7 +359,7 @@
 
 		/**
 		 * The new release fails half of one kind of request and answers the others well.
-		 * Taken together, its answers looked sound.
+		 * Judged together, its answers looked good.
 		 */
 		@Test
 		void failuresOfOneKindAreNotHiddenByTheOthers() {
@@ -374,8 +374,8 @@
 		}
 
 		/**
-		 * Guards against taking back a good release because many short requests waited
-		 * together at one of its replicas behind a single long prompt.
+		 * Guards against the roll-back of a good release because many short requests
+		 * waited at one of its replicas behind a single long prompt.
 		 */
 		@Test
 		void slowAnswersThatOneReplicaGivesAtOnceCountOnce() {
@@ -405,7 +405,7 @@
 	}
 
 	/**
-	 * Many nodes, each with a small part of the traffic, tell each other what they saw.
+	 * Many nodes, each with a small part of the traffic, exchange notes.
 	 */
 	@Nested
 	class SeenByManyNodes {
@@ -420,22 +420,24 @@
 
 		private static final long STEP_MILLIS = 100;
 
-		/** What a node sends to the new release in a step at first. */
+		/**
+		 * The requests that a node sends to the new release in a step of the first half.
+		 */
 		private static final double CANARY_REQUESTS_PER_STEP = 0.02;
 
-		/** The same once all traffic goes there. */
+		/** The same with all traffic on the new release. */
 		private static final double FULL_REQUESTS_PER_STEP = 0.25;
 
-		/** What any release fails. */
+		/** The ratio of requests that any release fails. */
 		private static final double TOLERATED_FAILURE_RATIO = 0.04;
 
 		/**
-		 * Plays a roll-out until any node condemns the release or its time is over.
-		 * @param badRate what it fails on the bad routes
-		 * @param badRoutes how many routes are bad
+		 * Simulates a roll-out until any node finds the release bad or its time is over.
+		 * @param badRate the ratio of requests that fail on the bad routes
+		 * @param badRoutes the number of bad routes
 		 * @param badFrom when they turn bad
-		 * @return how many answers failed on them until then, or empty if it was not
-		 * condemned
+		 * @return the number of failures on them until then, or empty if the release was
+		 * not found bad
 		 */
 		private OptionalInt failedAnswersUntilFoundBad(int nodes, double badRate, int badRoutes, long badFrom,
 				int seed) {
@@ -478,8 +480,8 @@
 		}
 
 		/**
-		 * Guards against a good release that is taken back as some nodes have just seen
-		 * the few failures that any release has.
+		 * Guards against the roll-back of a good release because some nodes have just
+		 * seen the few failures that any release has.
 		 */
 		@ParameterizedTest
 		@ValueSource(ints = { 4, 20, 31, 100 })
@@ -509,7 +511,7 @@
 		}
 
 		/**
-		 * Guards against good answers of long ago that hide that a release turned bad.
+		 * Guards against old good answers that hide that a release turned bad.
 		 */
 		@ParameterizedTest
 		@ValueSource(ints = { 4, 20, 31 })
@@ -528,7 +530,7 @@
 		}
 
 		/**
-		 * Guards against a node's old sum that is taken for what it saw after a restart.
+		 * Guards against a node's old sums being subtracted from those after its restart.
 		 */
 		@Test
 		void sumsOfARestartedNodeStartAtZero() {
--- a/core/src/test/java/org/gullsaddle/serve/RolloutWriteScheduleTests.java
+++ b/core/src/test/java/org/gullsaddle/serve/RolloutWriteScheduleTests.java
@@ -20,8 +20,8 @@
 	private static final RolloutOrder ORDER = new RolloutOrder(new ServiceName("engines"), "v2", 24_000);
 
 	/**
-	 * Guards against twenty nodes that write one state against each other, each several
-	 * times, before they read that it stands.
+	 * Guards against twenty nodes that compete to write one state, each several times,
+	 * before they read it from the store.
 	 */
 	@Test
 	void fewOfManyNodesWriteAStateThatIsDueOnAllAtOnce() {
--- a/core/src/test/java/org/gullsaddle/serve/SharedLimitFuzzTests.java
+++ b/core/src/test/java/org/gullsaddle/serve/SharedLimitFuzzTests.java
@@ -20,9 +20,9 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Many nodes that always have requests for one replica, which names a limit. Requests,
- * answers and notes take their time, some requests wait for a connection, nodes start
- * again, and their clocks are apart.
+ * Many nodes always have requests for one replica with a rate limit. Requests, answers
+ * and notes are delayed, some requests wait for a connection, nodes restart, and their
+ * clocks differ.
  */
 class SharedLimitFuzzTests {
 
@@ -30,14 +30,14 @@
 
 	private static final long NAMED_MILLIS = 1000;
 
-	/** How long nodes have until the limit binds. */
+	/** How long nodes have until the limit is enforced. */
 	private static final long CONTACT_MILLIS = 4000;
 
 	private static final long SPAN_MILLIS = 4000;
 
 	private static final long END_MILLIS = 31_000;
 
-	/** How long nodes have to hear that the limit has ended. */
+	/** How long nodes have to learn that the limit has ended. */
 	private static final long FREE_MILLIS = 15_000;
 
 	/** The time in which all nodes join, one after the other. */
@@ -48,7 +48,7 @@
 		return 1.5 * perSecond * SPAN_MILLIS / 1000 + 5;
 	}
 
-	/** Guards against nodes that together send more than a replica in need takes. */
+	/** Guards against nodes that together exceed a replica's limit. */
 	@ParameterizedTest
 	@CsvSource({ "1, 0.5", "1, 50", "4, 0", "4, 0.5", "4, 1", "4, 1.8", "4, 50", "31, 0.5", "31, 1.8", "31, 50",
 			"340, 0", "340, 0.5", "340, 1", "340, 1.8", "340, 50" })
@@ -60,7 +60,7 @@
 		}
 	}
 
-	/** Guards against shares that go wrong when the limit is another in each answer. */
+	/** Guards against wrong shares when the limit differs in each answer. */
 	@ParameterizedTest
 	@CsvSource({ "4, 1, 3", "31, 0.5, 2", "340, 1, 5" })
 	void nodesTogetherKeepToALimitThatChanges(int nodes, double lowest, double highest) {
@@ -71,7 +71,7 @@
 		}
 	}
 
-	/** Guards against a replica in need that stands idle. */
+	/** Guards against a limited replica that is left idle. */
 	@ParameterizedTest
 	@CsvSource({ "1, 1.8", "4, 1", "4, 1.8", "4, 50", "31, 1.8", "31, 50", "340, 1.8", "340, 50" })
 	void replicaGetsTwoThirdsOfItsLimitAtLeast(int nodes, double perSecond) {
@@ -83,7 +83,7 @@
 		}
 	}
 
-	/** Guards against nodes that never hear that a replica is as before. */
+	/** Guards against nodes that never learn that the limit has ended. */
 	@ParameterizedTest
 	@CsvSource({ "1, 0", "4, 1.8", "31, 0.5", "340, 0.5", "340, 1.8" })
 	void allNodesSendAsBeforeSoonAfterTheLimitHasEnded(int nodes, double perSecond) {
@@ -95,7 +95,7 @@
 		}
 	}
 
-	/** Guards against shares that overlap while nodes do not know all others yet. */
+	/** Guards against shares that overlap while nodes do not know all peers yet. */
 	@ParameterizedTest
 	@CsvSource({ "4, 0.5", "31, 1", "31, 1.8", "100, 1.8", "100, 50" })
 	void nodesThatJoinOneAfterTheOtherKeepToTheLimit(int nodes, double perSecond) {
@@ -107,7 +107,7 @@
 		}
 	}
 
-	/** Guards against a store that drowns in notes when a limit is named. */
+	/** Guards against a store that is overloaded with notes on a new limit. */
 	@ParameterizedTest
 	@CsvSource({ "4, 1.8", "340, 1.8", "340, 50" })
 	void fewNotesAreWrittenOfALimit(int nodes, double perSecond) {
@@ -120,7 +120,7 @@
 	}
 
 	/**
-	 * The nodes and their replica.
+	 * The simulated nodes and their replica.
 	 */
 	private static final class World {
 
@@ -133,10 +133,10 @@
 
 		private static final long TOLD_MILLIS = 500;
 
-		/** How long notes take at least, and half of how long they take at most. */
+		/** The shortest time that notes take, which is half of the longest. */
 		private static final long READ_MILLIS = 750;
 
-		/** How long a node waits until the others know it. */
+		/** How long a node waits until its peers know it. */
 		private static final long SETTLE_MILLIS = 2000;
 
 		private final Random random;
@@ -149,14 +149,14 @@
 
 		private final PriorityQueue<Event> events = new PriorityQueue<>(Comparator.comparingLong(Event::at));
 
-		/** When requests came from nodes that had been told. */
+		/** When requests arrived from nodes that knew the limit. */
 		private final List<Long> arrivals = new ArrayList<>();
 
 		private long namedUntil = Long.MAX_VALUE;
 
 		private int notes;
 
-		/** What a node reads of the replica as it starts. */
+		/** The note on the replica that a node reads when it starts. */
 		private Optional<LimitNote> lastNote = Optional.empty();
 
 		private double lowest;
@@ -175,7 +175,7 @@
 		}
 
 		/**
-		 * Has nodes start one after the other.
+		 * Makes the nodes start one after the other.
 		 */
 		void join(long millis) {
 			for (int i = 0; i < this.nodes.size(); i++) {
@@ -243,7 +243,7 @@
 		}
 
 		/**
-		 * Returns how many nodes still take the replica as limited.
+		 * Returns how many nodes still apply a limit to the replica.
 		 */
 		long bound() {
 			return this.nodes.stream().filter((node) -> node.book.limit(REPLICA).isPresent()).count();
@@ -327,7 +327,8 @@
 				if (World.this.random.nextInt(20_000) == 0) {
 					start();
 				}
-				// Without a limit it sends less, as the replica is one of many.
+				// Without a limit, the node sends less, because the replica is one of
+				// many.
 				boolean wants = this.book.limit(REPLICA).isPresent() || World.this.random.nextInt(200) == 0;
 				if (wants && this.book.canSend(clock(), REPLICA)) {
 					SendPermission admission = this.book.admit(clock(), REPLICA);
--- a/core/src/test/java/org/gullsaddle/serve/TeamBurstDetectorTests.java
+++ b/core/src/test/java/org/gullsaddle/serve/TeamBurstDetectorTests.java
@@ -18,7 +18,7 @@
 	private final TeamBurstDetector shares = new TeamBurstDetector();
 
 	/**
-	 * Lets the large team send three of five requests, the others one each.
+	 * The large team sends three of five requests, the other teams one each.
 	 */
 	private void usualMinute() {
 		for (long now = 0; now < 60_000; now += 500) {
@@ -52,8 +52,9 @@
 	}
 
 	/**
-	 * A small team sends ten times its usual for some seconds. Callers of the others wait
-	 * behind its requests in the engines' queues, though they sent no more than ever.
+	 * A small team sends ten times its usual requests for some seconds. Callers of other
+	 * teams would wait behind them in the engines' queues although their traffic is
+	 * unchanged.
 	 */
 	@Nested
 	class WhenOneTeamSendsManyTimesItsUsual {
--- a/core/src/test/java/org/gullsaddle/serve/WorkSharesTests.java
+++ b/core/src/test/java/org/gullsaddle/serve/WorkSharesTests.java
@@ -25,7 +25,7 @@
 
 	private static final List<TeamId> TEAMS = List.of(LARGE, SMALL, THIRD, FOURTH);
 
-	/** How much work engines get done in 10 ms. */
+	/** The work that engines complete in 10 ms. */
 	private static final double DONE = 100;
 
 	private final WorkShares shares = new WorkShares();
@@ -36,13 +36,13 @@
 
 	private double free;
 
-	/** How much work of each team was sent, and how much of it within its share. */
+	/** The work that each team requested, and how much of it was within its share. */
 	private final Map<TeamId, Double> asked = new HashMap<>();
 
 	private final Map<TeamId, Double> within = new HashMap<>();
 
 	/**
-	 * Lets teams ask for parts of what engines get done, in requests of some work.
+	 * Makes teams request parts of the engines' capacity, in requests of equal work.
 	 */
 	private void load(long from, long until, Map<TeamId, Double> parts, double work) {
 		this.asked.clear();
@@ -82,7 +82,7 @@
 		return new HashMap<>(Map.of(LARGE, 0.4, SMALL, 0.1, THIRD, 0.2, FOURTH, 0.2));
 	}
 
-	/** Guards against a large team that waits though there is room for all. */
+	/** Guards against a large team that waits although there is capacity for all. */
 	@Test
 	void noTeamIsOverWhereThereIsRoomForAll() {
 		load(0, 20_000, usual(), 40);
@@ -97,7 +97,8 @@
 	}
 
 	/**
-	 * Load: 0.9 by requests, but one team's have ten times the work of the others'.
+	 * Load: 0.9 by requests, but one team's requests have ten times the work of
+	 * another's.
 	 */
 	@Test
 	void workCountsNotRequests() {
@@ -114,8 +115,9 @@
 	}
 
 	/**
-	 * Load: 0.9 in three ranks of one request a second, then one team more at twice what
-	 * another has in its rank. Guards against shares that only a busy node keeps.
+	 * Load: 0.9 in three ranks of one request a second, then another team at twice the
+	 * load of the one in its rank. Guards against shares that are only enforced on a busy
+	 * node.
 	 */
 	@Test
 	void sharesHoldWhereEachRankHasFewRequests() {
@@ -136,7 +138,7 @@
 		assertThat(over).isPositive();
 	}
 
-	/** Guards against shares that are taken from what a more urgent rank needs. */
+	/** Guards against shares that are taken from the capacity of a more urgent rank. */
 	@Test
 	void moreUrgentRankGoesBeforeShares() {
 		load(0, 20_000, usual(), 40);
@@ -151,7 +153,7 @@
 	}
 
 	/**
-	 * Load: 0.9 of what engines do, then one team at six times its usual for 11 s.
+	 * Load: 0.9 of the capacity, then one team at six times its usual work for 11 s.
 	 */
 	@Nested
 	class WhenOneTeamAsksForSixTimesItsUsual {
@@ -171,13 +173,13 @@
 			assertThat(withinPart(FOURTH)).isEqualTo(1);
 		}
 
-		/** Guards against a burst that takes more than what others leave. */
+		/** Guards against a burst that takes more than other teams leave. */
 		@Test
 		void whatTheyLeaveIsSharedByTheOthers() {
 			burst(40);
-			double room = DONE * 11_000 / 10;
-			assertThat(WorkSharesTests.this.within.get(THIRD) / room).isBetween(0.25, 0.5);
-			assertThat(WorkSharesTests.this.within.get(LARGE) / room).isBetween(0.25, 0.41);
+			double capacity = DONE * 11_000 / 10;
+			assertThat(WorkSharesTests.this.within.get(THIRD) / capacity).isBetween(0.25, 0.5);
+			assertThat(WorkSharesTests.this.within.get(LARGE) / capacity).isBetween(0.25, 0.41);
 		}
 
 		@Test
@@ -188,7 +190,7 @@
 			assertThat(TEAMS).noneMatch((team) -> WorkSharesTests.this.shares.isOverShare(45_000, team, 0));
 		}
 
-		/** Guards against a team of long prompts that waits for their length. */
+		/** Guards against a team that waits because its prompts are long. */
 		@Test
 		void largeRequestsOfATeamWithinItsShareAreNotDemoted() {
 			burst(40);
