--- a/core/src/test/java/org/gullsaddle/serve/BackpressureTableTests.java
+++ b/core/src/test/java/org/gullsaddle/serve/BackpressureTableTests.java
@@ -30,7 +30,7 @@
 
 	private Optional<List<Peer>> peers = Optional.of(List.of(new Peer(SELF, "a")));
 
-	private final BackpressureTable book = new BackpressureTable(SELF, new Place("a", Map.of("a", "north")),
+	private final BackpressureTable table = new BackpressureTable(SELF, new Place("a", Map.of("a", "north")),
 			() -> this.peers, new Random(1));
 
 	private static Replica replica(long startedAt) {
@@ -48,8 +48,8 @@
 	private int sentInAMinute() {
 		int sent = 0;
 		for (long now = 0; now < MINUTE_MILLIS; now += 10) {
-			if (this.book.canSend(now, this.replica)) {
-				assertThat(this.book.admit(now, this.replica)).isNotEqualTo(SendPermission.DENIED);
+			if (this.table.canSend(now, this.replica)) {
+				assertThat(this.table.admit(now, this.replica)).isNotEqualTo(SendPermission.DENIED);
 				sent++;
 			}
 		}
@@ -57,32 +57,32 @@
 	}
 
 	@Nested
-	class WhereAReplicaNamesALimit {
+	class WithARateLimit {
 
 		@Test
-		void itIsGivenAsMuchAsItNamesAndATurnNowAndThen() {
-			BackpressureTableTests.this.book.onAnswer(0, BackpressureTableTests.this.replica, limit(1.8));
+		void replicaGetsItsLimitAndOccasionalProbes() {
+			BackpressureTableTests.this.table.onAnswer(0, BackpressureTableTests.this.replica, limit(1.8));
 			assertThat(sentInAMinute()).isBetween(100, 115);
 		}
 
 		/** Guards against a replica with a limit of 0 that is never probed again. */
 		@Test
-		void oneThatTakesNothingGetsARequestNowAndThen() {
-			BackpressureTableTests.this.book.onAnswer(0, BackpressureTableTests.this.replica, limit(0));
+		void replicaWithALimitOfZeroIsProbed() {
+			BackpressureTableTests.this.table.onAnswer(0, BackpressureTableTests.this.replica, limit(0));
 			assertThat(sentInAMinute()).isBetween(5, 7);
 		}
 
 		/** Guards against nodes that start together and each use the whole limit. */
 		@Test
-		void nodeThatTheOthersMayNotKnowHasOnlyItsTurns() {
+		void nodeThatPeersMayNotKnowOnlyProbes() {
 			BackpressureTableTests.this.peers = Optional.empty();
-			BackpressureTableTests.this.book.onAnswer(0, BackpressureTableTests.this.replica, limit(50));
+			BackpressureTableTests.this.table.onAnswer(0, BackpressureTableTests.this.replica, limit(50));
 			assertThat(sentInAMinute()).isLessThanOrEqualTo(1);
 		}
 
 		@Test
-		void itsNextLimitReplacesTheOneBefore() {
-			BackpressureTable book = BackpressureTableTests.this.book;
+		void newLimitReplacesTheOldOne() {
+			BackpressureTable book = BackpressureTableTests.this.table;
 			assertThat(book.onAnswer(0, BackpressureTableTests.this.replica, limit(5))).isTrue();
 			assertThat(book.onAnswer(0, BackpressureTableTests.this.replica, limit(5))).isFalse();
 			assertThat(book.onAnswer(0, BackpressureTableTests.this.replica, limit(0.5))).isTrue();
@@ -91,8 +91,8 @@
 
 		/** Guards against an invalid value that removes a limit. */
 		@Test
-		void oneThatCannotBeReadChangesNothing() {
-			BackpressureTable book = BackpressureTableTests.this.book;
+		void invalidLimitChangesNothing() {
+			BackpressureTable book = BackpressureTableTests.this.table;
 			book.onAnswer(0, BackpressureTableTests.this.replica, limit(5));
 			assertThat(book.onAnswer(0, BackpressureTableTests.this.replica,
 					Backpressure.ofLimit(new RateLimit.Invalid())))
@@ -101,8 +101,8 @@
 		}
 
 		@Test
-		void answerWithoutOneLiftsIt() {
-			BackpressureTable book = BackpressureTableTests.this.book;
+		void answerWithoutALimitRemovesIt() {
+			BackpressureTable book = BackpressureTableTests.this.table;
 			book.onAnswer(0, BackpressureTableTests.this.replica, limit(0));
 			assertThat(book.onAnswer(0, BackpressureTableTests.this.replica, Backpressure.NONE)).isTrue();
 			assertThat(book.admit(0, BackpressureTableTests.this.replica)).isEqualTo(SendPermission.UNLIMITED);
@@ -113,22 +113,22 @@
 		 * Guards against a new process that is bound by the limit of the one before it.
 		 */
 		@Test
-		void anotherProcessUnderItsIdIsFree() {
-			BackpressureTableTests.this.book.onAnswer(0, BackpressureTableTests.this.replica, limit(0));
-			assertThat(BackpressureTableTests.this.book.canSend(0, replica(2))).isTrue();
+		void itDoesNotApplyToANewProcessWithTheSameId() {
+			BackpressureTableTests.this.table.onAnswer(0, BackpressureTableTests.this.replica, limit(0));
+			assertThat(BackpressureTableTests.this.table.canSend(0, replica(2))).isTrue();
 		}
 
 		@Test
-		void oneThatIsGoneIsForgotten() {
-			BackpressureTableTests.this.book.onAnswer(0, BackpressureTableTests.this.replica, limit(0));
-			BackpressureTableTests.this.book.retain(Set.of());
-			assertThat(BackpressureTableTests.this.book.countLimited()).isZero();
+		void removedReplicaIsForgotten() {
+			BackpressureTableTests.this.table.onAnswer(0, BackpressureTableTests.this.replica, limit(0));
+			BackpressureTableTests.this.table.retain(Set.of());
+			assertThat(BackpressureTableTests.this.table.countLimited()).isZero();
 		}
 
 		@Test
-		void itIsNotAskedForItsLoad() {
-			BackpressureTableTests.this.book.onAnswer(0, BackpressureTableTests.this.replica, limit(100));
-			assertThat(BackpressureTableTests.this.book.canAskForLoad(0, BackpressureTableTests.this.replica))
+		void replicaIsNotAskedForItsLoad() {
+			BackpressureTableTests.this.table.onAnswer(0, BackpressureTableTests.this.replica, limit(100));
+			assertThat(BackpressureTableTests.this.table.canAskForLoad(0, BackpressureTableTests.this.replica))
 				.isFalse();
 		}
 
@@ -139,8 +139,8 @@
 
 		/** Guards against requests that wait for a connection and bypass a new limit. */
 		@Test
-		void limitNamedMeanwhileHoldsForIt() {
-			BackpressureTable book = BackpressureTableTests.this.book;
+		void limitReceivedMeanwhileAppliesToIt() {
+			BackpressureTable book = BackpressureTableTests.this.table;
 			SendPermission before = book.admit(0, BackpressureTableTests.this.replica);
 			book.onAnswer(0, BackpressureTableTests.this.replica, limit(0));
 			long turn = book.nextRetryAfterMillis(0, ENGINES, List.of(BackpressureTableTests.this.replica));
@@ -148,8 +148,8 @@
 		}
 
 		@Test
-		void partOfTheLimitIsCountedOnce() {
-			BackpressureTable book = BackpressureTableTests.this.book;
+		void requestIsCountedAgainstTheLimitOnce() {
+			BackpressureTable book = BackpressureTableTests.this.table;
 			book.onAnswer(0, BackpressureTableTests.this.replica, limit(0.5));
 			long next = book.nextRetryAfterMillis(0, ENGINES, List.of(BackpressureTableTests.this.replica));
 			SendPermission admission = book.admit(next, BackpressureTableTests.this.replica);
@@ -164,8 +164,8 @@
 
 		/** Guards against callers that all get the same retry-after time. */
 		@Test
-		void callersAreToldTimesAsFarApartAsTheRequestsThatMayBeSent() {
-			BackpressureTable book = BackpressureTableTests.this.book;
+		void retryAfterTimesAreSpacedByTheLimit() {
+			BackpressureTable book = BackpressureTableTests.this.table;
 			book.onAnswer(0, BackpressureTableTests.this.replica, limit(2));
 			long first = book.nextRetryAfterMillis(0, ENGINES, List.of(BackpressureTableTests.this.replica));
 			assertThat(book.nextRetryAfterMillis(0, ENGINES, List.of(BackpressureTableTests.this.replica)))
@@ -175,8 +175,8 @@
 		}
 
 		@Test
-		void noCallerIsSentAwayForLong() {
-			BackpressureTable book = BackpressureTableTests.this.book;
+		void retryAfterTimeIsTenSecondsAtMost() {
+			BackpressureTable book = BackpressureTableTests.this.table;
 			book.onAnswer(0, BackpressureTableTests.this.replica, limit(0.01));
 			for (int i = 0; i < 100; i++) {
 				assertThat(book.nextRetryAfterMillis(0, ENGINES, List.of(BackpressureTableTests.this.replica)))
@@ -187,28 +187,28 @@
 	}
 
 	@Nested
-	class WhereAReplicaAsksForRest {
+	class InABackOff {
 
-		private static Backpressure rest(long millis) {
+		private static Backpressure backOff(long millis) {
 			return new Backpressure(new RateLimit.Unlimited(), millis);
 		}
 
-		private boolean takes(long now) {
-			return BackpressureTableTests.this.book.canSend(now, BackpressureTableTests.this.replica);
+		private boolean canSend(long now) {
+			return BackpressureTableTests.this.table.canSend(now, BackpressureTableTests.this.replica);
 		}
 
-		private void heard(long now, Backpressure asked) {
-			BackpressureTableTests.this.book.onAnswer(now, BackpressureTableTests.this.replica, asked);
+		private void onAnswer(long now, Backpressure asked) {
+			BackpressureTableTests.this.table.onAnswer(now, BackpressureTableTests.this.replica, asked);
 		}
 
 		@Test
-		void itGetsNothingUntilThatTimeIsOver() {
-			heard(0, rest(3000));
-			assertThat(takes(2999)).isFalse();
-			assertThat(BackpressureTableTests.this.book.canAskForLoad(2999, BackpressureTableTests.this.replica))
+		void replicaGetsNothingUntilItEnds() {
+			onAnswer(0, backOff(3000));
+			assertThat(canSend(2999)).isFalse();
+			assertThat(BackpressureTableTests.this.table.canAskForLoad(2999, BackpressureTableTests.this.replica))
 				.isFalse();
-			assertThat(takes(3000)).isTrue();
-			assertThat(BackpressureTableTests.this.book.canAskForLoad(3000, BackpressureTableTests.this.replica))
+			assertThat(canSend(3000)).isTrue();
+			assertThat(BackpressureTableTests.this.table.canAskForLoad(3000, BackpressureTableTests.this.replica))
 				.isTrue();
 		}
 
@@ -216,45 +216,45 @@
 		 * Guards against a back-off that is cut short by an answer to an earlier request.
 		 */
 		@Test
-		void neitherAShorterRestNorAnAnswerWithoutOneEndsIt() {
-			heard(0, rest(3000));
-			heard(100, rest(200));
-			heard(200, Backpressure.NONE);
-			assertThat(takes(2999)).isFalse();
+		void neitherAShorterBackOffNorAnAnswerWithoutOneEndsIt() {
+			onAnswer(0, backOff(3000));
+			onAnswer(100, backOff(200));
+			onAnswer(200, Backpressure.NONE);
+			assertThat(canSend(2999)).isFalse();
 		}
 
 		/** Guards against a replica that is excluded for days by one wrong answer. */
 		@Test
-		void noOneRestLastsLongerThanFiveMinutes() {
-			heard(0, rest(Long.MAX_VALUE));
-			assertThat(takes(299_999)).isFalse();
-			assertThat(takes(300_000)).isTrue();
+		void itLastsFiveMinutesAtMost() {
+			onAnswer(0, backOff(Long.MAX_VALUE));
+			assertThat(canSend(299_999)).isFalse();
+			assertThat(canSend(300_000)).isTrue();
 		}
 
 		/** Guards against requests that wait for a connection and ignore the back-off. */
 		@Test
 		void requestThatWaitsForAConnectionIsNotSent() {
-			BackpressureTable book = BackpressureTableTests.this.book;
+			BackpressureTable book = BackpressureTableTests.this.table;
 			SendPermission free = book.admit(0, BackpressureTableTests.this.replica);
-			heard(10, new Backpressure(new RateLimit.Limited(50), 0));
+			onAnswer(10, new Backpressure(new RateLimit.Limited(50), 0));
 			SendPermission counted = book.admit(1000, BackpressureTableTests.this.replica);
-			heard(1010, new Backpressure(new RateLimit.Limited(50), 3000));
+			onAnswer(1010, new Backpressure(new RateLimit.Limited(50), 3000));
 			assertThat(counted).isEqualTo(SendPermission.COUNTED);
 			assertThat(book.canStillSend(1020, BackpressureTableTests.this.replica, free)).isFalse();
 			assertThat(book.canStillSend(1020, BackpressureTableTests.this.replica, counted)).isFalse();
 		}
 
 		@Test
-		void anotherProcessUnderItsIdNeedsNone() {
-			heard(0, rest(3000));
-			assertThat(BackpressureTableTests.this.book.canSend(1, replica(2))).isTrue();
+		void itDoesNotApplyToANewProcessWithTheSameId() {
+			onAnswer(0, backOff(3000));
+			assertThat(BackpressureTableTests.this.table.canSend(1, replica(2))).isTrue();
 		}
 
 		/** Guards against a retry-after time that is longer than the back-off. */
 		@Test
-		void callersAreToldToComeBackWhenItIsOver() {
-			heard(0, rest(3000));
-			assertThat(BackpressureTableTests.this.book.nextRetryAfterMillis(1000, ENGINES,
+		void retryAfterTimeIsItsEnd() {
+			onAnswer(0, backOff(3000));
+			assertThat(BackpressureTableTests.this.table.nextRetryAfterMillis(1000, ENGINES,
 					List.of(BackpressureTableTests.this.replica)))
 				.isEqualTo(2000);
 		}
--- a/core/src/test/java/org/gullsaddle/serve/DeadlineCheckTests.java
+++ b/core/src/test/java/org/gullsaddle/serve/DeadlineCheckTests.java
@@ -15,11 +15,11 @@
 
 	private static final ServiceName SERVICE = new ServiceName("engines");
 
-	private static final long LEFT = 2000;
+	private static final long REMAINING_MILLIS = 2000;
 
-	private static final Choice LOST = choice(40, 9000, 1500);
+	private static final Choice TOO_LATE = choice(40, 9000, 1500);
 
-	private final DeadlineCheck hopeless = new DeadlineCheck();
+	private final DeadlineCheck check = new DeadlineCheck();
 
 	private static Choice choice(double requests, double expected, double deviation) {
 		Replica replica = new Replica(new ReplicaId("r"), SERVICE, new Address("10.0.0.1", 80), "a", "v1", 64, false,
@@ -30,47 +30,47 @@
 
 	private void answers(int count) {
 		for (int i = 0; i < count; i++) {
-			this.hopeless.recordAnswerStarted(0, SERVICE);
+			this.check.recordAnswerStarted(0, SERVICE);
 		}
 	}
 
 	/** Asks twice, because the first request in an interval is always let through. */
-	private boolean refuses(List<Choice> choices) {
-		return this.hopeless.shouldRefuse(0, SERVICE, choices, LEFT)
-				|| this.hopeless.shouldRefuse(1, SERVICE, choices, LEFT);
+	private boolean shouldRefuse(List<Choice> choices) {
+		return this.check.shouldRefuse(0, SERVICE, choices, REMAINING_MILLIS)
+				|| this.check.shouldRefuse(1, SERVICE, choices, REMAINING_MILLIS);
 	}
 
 	@Test
-	void whatWouldBeginNowhereInItsTimeIsRefused() {
+	void requestThatIsTooLateOnAllReplicasIsRefused() {
 		answers(100);
-		assertThat(refuses(List.of(LOST, LOST))).isTrue();
+		assertThat(shouldRefuse(List.of(TOO_LATE, TOO_LATE))).isTrue();
 	}
 
 	/** Guards against refusals by a node that has just started. */
 	@Test
 	void nodeThatHasSeenFewAnswersRefusesNothing() {
 		answers(10);
-		assertThat(refuses(List.of(LOST))).isFalse();
+		assertThat(shouldRefuse(List.of(TOO_LATE))).isFalse();
 	}
 
 	/** Guards against refusals of requests that another region could still run. */
 	@Test
-	void oneReplicaAnywhereThatMayBeginIsEnough() {
+	void requestThatMayStartOnOneReplicaIsNotRefused() {
 		answers(100);
-		assertThat(refuses(List.of(LOST, choice(40, 3000, 1500)))).isFalse();
+		assertThat(shouldRefuse(List.of(TOO_LATE, choice(40, 3000, 1500)))).isFalse();
 	}
 
 	/** Guards against refusals of long prompts where the replica is idle. */
 	@Test
-	void replicaWithNothingToDoIsAlwaysTried() {
+	void idleReplicaIsAlwaysTried() {
 		answers(100);
-		assertThat(refuses(List.of(choice(0, 9000, 1500)))).isFalse();
+		assertThat(shouldRefuse(List.of(choice(0, 9000, 1500)))).isFalse();
 	}
 
 	@Test
-	void missedObjectiveIsNoReason() {
+	void missedObjectiveIsNoReasonToRefuse() {
 		answers(100);
-		assertThat(refuses(List.of(choice(40, 1900, 100)))).isFalse();
+		assertThat(shouldRefuse(List.of(choice(40, 1900, 100)))).isFalse();
 	}
 
 	/**
@@ -78,21 +78,21 @@
 	 * capacity.
 	 */
 	@Test
-	void oneIsTriedFromTimeToTime() {
+	void oneRequestIsTriedEvery500Millis() {
 		answers(100);
 		int tried = 0;
 		for (long now = 0; now < 5000; now += 10) {
-			tried += this.hopeless.shouldRefuse(now, SERVICE, List.of(LOST), LEFT) ? 0 : 1;
+			tried += this.check.shouldRefuse(now, SERVICE, List.of(TOO_LATE), REMAINING_MILLIS) ? 0 : 1;
 		}
 		assertThat(tried).isEqualTo(10);
 	}
 
 	/** Guards against decisions on outdated delays after a failure. */
 	@Test
-	void itIsForgottenWhereNothingAnswers() {
+	void nothingIsRefusedOnceAnswersAreTenSecondsOld() {
 		answers(100);
-		assertThat(this.hopeless.shouldRefuse(11_000, SERVICE, List.of(LOST), LEFT)).isFalse();
-		assertThat(this.hopeless.shouldRefuse(11_001, SERVICE, List.of(LOST), LEFT)).isFalse();
+		assertThat(this.check.shouldRefuse(11_000, SERVICE, List.of(TOO_LATE), REMAINING_MILLIS)).isFalse();
+		assertThat(this.check.shouldRefuse(11_001, SERVICE, List.of(TOO_LATE), REMAINING_MILLIS)).isFalse();
 	}
 
 }
--- a/core/src/test/java/org/gullsaddle/serve/LimitShareTests.java
+++ b/core/src/test/java/org/gullsaddle/serve/LimitShareTests.java
@@ -53,7 +53,7 @@
 	}
 
 	@Test
-	void nodesNearTheReplicaHaveItsShares() {
+	void nodesNearestToTheReplicaHaveTheShares() {
 		List<Peer> peers = peers(12);
 		for (int i = 0; i < 12; i++) {
 			boolean sameDataCenter = i % 3 == 1;
@@ -62,12 +62,12 @@
 	}
 
 	@Test
-	void nodeThatTheOthersDoNotKnowHasNoRank() {
+	void nodeThatIsNotAmongThePeersHasNoPosition() {
 		assertThat(LimitShare.findNodePosition(REPLICA, new NodeId("node-4"), peers(4), PLACE)).isEmpty();
 	}
 
 	@Test
-	void noNodeHasAShareOfNothing() {
+	void noNodeHasAShareOfALimitOfZero() {
 		assertThat(share(0, 0, peers(4)).perSecond()).isZero();
 	}
 
--- a/core/src/test/java/org/gullsaddle/serve/RetryAfterSchedulerTests.java
+++ b/core/src/test/java/org/gullsaddle/serve/RetryAfterSchedulerTests.java
@@ -19,22 +19,22 @@
 
 	private static final ServiceName SERVICE = new ServiceName("engines");
 
-	private static final long SOONEST = 250;
+	private static final long EARLIEST_MILLIS = 250;
 
-	private static final RemainingTime LEFT = new RemainingTime(12_000, 4000);
+	private static final RemainingTime REMAINING = new RemainingTime(12_000, 4000);
 
 	/** The latest return from which the objective can be met, in milliseconds. */
-	private static final long USEFUL = 1334;
+	private static final long USEFUL_MILLIS = 1334;
 
 	/** How many requests end on all replicas together in a second. */
-	private static final int ENDS = 200;
+	private static final int ENDS_PER_SECOND = 200;
 
 	private final Random random = new Random(7);
 
 	private final List<RetryAfterScheduler> nodes = new ArrayList<>();
 
 	/** All retry-after times that were given. */
-	private final List<Told> told = new ArrayList<>();
+	private final List<Given> given = new ArrayList<>();
 
 	private int refusals;
 
@@ -60,8 +60,8 @@
 		double coming = 0;
 		double ending = 0;
 		for (long now = from; now < until; now += 10) {
-			coming += times * ENDS / 100;
-			ending = Math.min(ending + ends * ENDS / 100, 20);
+			coming += times * ENDS_PER_SECOND / 100;
+			ending = Math.min(ending + ends * ENDS_PER_SECOND / 100, 20);
 			for (; coming >= 1; coming--) {
 				RetryAfterScheduler node = node();
 				double draw = this.random.nextDouble() * times;
@@ -71,20 +71,24 @@
 				ending -= ran ? 1 : 0;
 				node.onRequestClosed(now, SERVICE, rank, ran);
 				if (!ran) {
-					refuse(now, node, refused(rank, "t" + this.random.nextInt(5), "c" + this.refusals++), LEFT);
+					refuse(now, node, refused(rank, "t" + this.random.nextInt(5), "c" + this.refusals++), REMAINING);
 				}
 			}
 		}
 	}
 
 	private RetryAfter refuse(long now, RetryAfterScheduler node, RefusedRequest refused, RemainingTime left) {
-		RetryAfter time = node.schedule(now, refused, SOONEST + this.random.nextLong(SOONEST), left);
-		this.told.add(new Told(now, time.retryAfterMillis(), refused.rank(), time.capacityExpected()));
+		RetryAfter time = node.schedule(now, refused, EARLIEST_MILLIS + this.random.nextLong(EARLIEST_MILLIS), left);
+		this.given.add(new Given(now, time.retryAfterMillis(), refused.rank(), time.capacityExpected()));
 		return time;
 	}
 
-	private long mostInASecond() {
-		List<Long> times = this.told.stream().filter(Told::hope).map((each) -> each.at + each.millis).sorted().toList();
+	private long maxReturnsInASecond() {
+		List<Long> times = this.given.stream()
+			.filter(Given::capacityExpected)
+			.map((each) -> each.at + each.millis)
+			.sorted()
+			.toList();
 		return times.stream()
 			.mapToLong((from) -> times.stream().filter((each) -> each >= from && each < from + 1000).count())
 			.max()
@@ -92,26 +96,27 @@
 	}
 
 	private double meanMillis(int rank) {
-		return this.told.stream()
+		return this.given.stream()
 			.filter((each) -> each.rank == rank)
-			.mapToLong(Told::millis)
+			.mapToLong(Given::millis)
 			.average()
 			.orElse(Double.NaN);
 	}
 
 	@Test
-	void nodeThatHasSeenNoEndsTellsTheSoonest() {
+	void nodeThatHasSeenNoEndsGivesTheEarliestTime() {
 		nodes(1);
-		assertThat(this.nodes.get(0).schedule(0, refused(0, "a", "c"), 300, LEFT)).isEqualTo(new RetryAfter(300, true));
+		assertThat(this.nodes.get(0).schedule(0, refused(0, "a", "c"), 300, REMAINING))
+			.isEqualTo(new RetryAfter(300, true));
 	}
 
 	@Test
-	void callersThatAreLateAnywayReturnInAThirdOfTheirTime() {
+	void callersPastTheObjectiveReturnWithinAThirdOfTheirRemainingTime() {
 		nodes(1);
 		load(0, 20_000, 0.9, 1);
 		load(20_000, 40_000, 0.9, 0);
 		RetryAfter time = refuse(40_000, node(), refused(1, "a", "c"), new RemainingTime(9000, -1));
-		assertThat(time.retryAfterMillis()).isBetween(USEFUL, 3000L);
+		assertThat(time.retryAfterMillis()).isBetween(USEFUL_MILLIS, 3000L);
 	}
 
 	/**
@@ -124,9 +129,9 @@
 		RetryAfterScheduler node = node();
 		long large = 0;
 		for (int i = 0; i < 18; i++) {
-			large = node.schedule(20_000, refused(2, "large", "l" + i), SOONEST, LEFT).retryAfterMillis();
+			large = node.schedule(20_000, refused(2, "large", "l" + i), EARLIEST_MILLIS, REMAINING).retryAfterMillis();
 		}
-		long small = node.schedule(20_000, refused(2, "small", "s"), SOONEST, LEFT).retryAfterMillis();
+		long small = node.schedule(20_000, refused(2, "small", "s"), EARLIEST_MILLIS, REMAINING).retryAfterMillis();
 		assertThat(small).isLessThan(large / 2);
 	}
 
@@ -147,9 +152,9 @@
 		/** Guards against callers that are refused together and return together. */
 		@ParameterizedTest
 		@ValueSource(ints = { 4, 22, 340 })
-		void noMoreThanEndInASecondAreToldToReturnInOne(int count) {
+		void noMoreCallersReturnInASecondThanRequestsEnd(int count) {
 			burst(count);
-			assertThat(mostInASecond()).isBetween(1L, (long) ENDS);
+			assertThat(maxReturnsInASecond()).isBetween(1L, (long) ENDS_PER_SECOND);
 		}
 
 		/** Guards against less urgent callers that return before urgent ones. */
@@ -169,16 +174,16 @@
 		@ValueSource(ints = { 4, 22, 340 })
 		void timesAreNeverTooSoonOrTooLate(int count) {
 			burst(count);
-			assertThat(RetryAfterSchedulerTests.this.told)
-				.allMatch((each) -> each.millis >= SOONEST && each.millis <= USEFUL);
+			assertThat(RetryAfterSchedulerTests.this.given)
+				.allMatch((each) -> each.millis >= EARLIEST_MILLIS && each.millis <= USEFUL_MILLIS);
 		}
 
 		/** Guards against a node that still gives long times once there is capacity. */
 		@Test
-		void whatIsRefusedLaterReturnsAsSoonAsBefore() {
+		void laterCallersReturnAsSoonAsBefore() {
 			burst(4);
-			RetryAfter time = refuse(36_000, node(), refused(1, "a", "late"), LEFT);
-			assertThat(time.retryAfterMillis()).isLessThan(3 * SOONEST);
+			RetryAfter time = refuse(36_000, node(), refused(1, "a", "late"), REMAINING);
+			assertThat(time.retryAfterMillis()).isLessThan(3 * EARLIEST_MILLIS);
 		}
 
 	}
@@ -187,7 +192,7 @@
 	 * Load: 0.9, and a refused caller that returns at once three times.
 	 */
 	@Nested
-	class WhenACallerPresses {
+	class WhenACallerReturnsTooEarly {
 
 		private RetryAfterScheduler node;
 
@@ -199,12 +204,12 @@
 		}
 
 		private RetryAfter next(long now, String content) {
-			return this.node.schedule(now, refused(2, "a", content), SOONEST, LEFT);
+			return this.node.schedule(now, refused(2, "a", content), EARLIEST_MILLIS, REMAINING);
 		}
 
 		/** Guards against callers that gain by returning too early. */
 		@Test
-		void itIsNotServedSoonerForIt() {
+		void itKeepsItsTime() {
 			open();
 			next(20_000, "other");
 			long at = 20_000 + next(20_000, "pressing").retryAfterMillis();
@@ -213,7 +218,7 @@
 			}
 		}
 
-		private long afterPressing(int times) {
+		private long retryAfterOfAnotherCaller(int times) {
 			open();
 			for (int i = 0; i <= times; i++) {
 				next(20_000, "pressing");
@@ -223,8 +228,8 @@
 
 		/** Guards against callers that are delayed by those that return too early. */
 		@Test
-		void othersAreNotDelayedByIt() {
-			assertThat(afterPressing(3)).isCloseTo(afterPressing(0), within(SOONEST));
+		void otherCallersAreNotDelayed() {
+			assertThat(retryAfterOfAnotherCaller(3)).isCloseTo(retryAfterOfAnotherCaller(0), within(EARLIEST_MILLIS));
 		}
 
 	}
@@ -237,30 +242,30 @@
 
 		/** Guards against callers that return early to a fleet that completes nothing. */
 		@Test
-		void callersReturnLateAndAreToldWithoutHope() {
+		void callersReturnLateAndNoCapacityIsExpected() {
 			nodes(4);
 			load(0, 20_000, 0.9, 1);
 			load(20_000, 40_000, 0.9, 0);
-			RetryAfter time = refuse(40_000, node(), refused(1, "a", "c"), LEFT);
+			RetryAfter time = refuse(40_000, node(), refused(1, "a", "c"), REMAINING);
 			assertThat(time.capacityExpected()).isFalse();
-			assertThat(time.retryAfterMillis()).isBetween(USEFUL / 2, USEFUL);
+			assertThat(time.retryAfterMillis()).isBetween(USEFUL_MILLIS / 2, USEFUL_MILLIS);
 		}
 
 		/** Guards against a rate that stays at zero once replicas are back. */
 		@Test
-		void theyReturnSoonAgainOnceRequestsEnd() {
+		void callersReturnSoonAgainOnceRequestsEnd() {
 			nodes(4);
 			load(0, 20_000, 0.9, 1);
 			load(20_000, 40_000, 0.9, 0);
 			load(40_000, 50_000, 0.9, 1);
-			RetryAfter time = refuse(50_000, node(), refused(1, "a", "c"), LEFT);
+			RetryAfter time = refuse(50_000, node(), refused(1, "a", "c"), REMAINING);
 			assertThat(time.capacityExpected()).isTrue();
-			assertThat(time.retryAfterMillis()).isLessThan(3 * SOONEST);
+			assertThat(time.retryAfterMillis()).isLessThan(3 * EARLIEST_MILLIS);
 		}
 
 	}
 
-	private record Told(long at, long millis, int rank, boolean hope) {
+	private record Given(long at, long millis, int rank, boolean capacityExpected) {
 	}
 
 }
--- a/core/src/test/java/org/gullsaddle/serve/RetryPolicyTests.java
+++ b/core/src/test/java/org/gullsaddle/serve/RetryPolicyTests.java
@@ -14,7 +14,7 @@
 
 class RetryPolicyTests {
 
-	private static RetryPolicy rule(RouteKind kind, boolean resumable, int attempts) {
+	private static RetryPolicy policy(RouteKind kind, boolean resumable, int attempts) {
 		return new RetryPolicy(Route.named("r")
 			.at("shop.example", "/r/")
 			.kind(kind, resumable)
@@ -29,16 +29,16 @@
 	 * could run it twice; so would its caller if told that it did not run.
 	 */
 	@Test
-	void requestThatMayNotBeRepeatedIsNeverTriedAgainOnceItMayHaveRun() {
-		RetryPolicy policy = rule(RouteKind.ONCE, false, 3);
+	void nonRepeatableRequestIsNotRetriedOnceItMayHaveRun() {
+		RetryPolicy policy = policy(RouteKind.ONCE, false, 3);
 		policy.onAttemptEnded(new AttemptEnd.Broken("reset"));
 		assertThat(policy.canRetry(5000)).isFalse();
 		assertThat(policy.verdict()).isEqualTo(Verdict.MAY_HAVE_RUN);
 	}
 
 	@Test
-	void requestThatNoReplicaRanIsTriedElsewhereWhateverItsKind() {
-		RetryPolicy policy = rule(RouteKind.ONCE, false, 1);
+	void requestThatDidNotRunIsRetriedWhateverItsKind() {
+		RetryPolicy policy = policy(RouteKind.ONCE, false, 1);
 		policy.onAttemptEnded(new AttemptEnd.NotRun(false, "refused with 503"));
 		assertThat(policy.canRetry(5000)).isTrue();
 		assertThat(policy.verdict()).isEqualTo(Verdict.NOT_RUN);
@@ -46,7 +46,7 @@
 
 	@Test
 	void idempotentRequestRunsOnAsManyReplicasAsItsRouteAllows() {
-		RetryPolicy policy = rule(RouteKind.IDEMPOTENT, false, 2);
+		RetryPolicy policy = policy(RouteKind.IDEMPOTENT, false, 2);
 		policy.onAttemptEnded(new AttemptEnd.Answered(500));
 		assertThat(policy.canRetry(5000)).isTrue();
 		policy.onAttemptEnded(new AttemptEnd.Answered(500));
@@ -55,25 +55,25 @@
 
 	@Test
 	void streamIsRepeatedOnlyIfItCanBeResumed() {
-		RetryPolicy plain = rule(RouteKind.STREAM, false, 3);
+		RetryPolicy plain = policy(RouteKind.STREAM, false, 3);
 		plain.onAttemptEnded(new AttemptEnd.Broken("reset"));
 		assertThat(plain.canRetry(5000)).isFalse();
-		RetryPolicy resumable = rule(RouteKind.STREAM, true, 3);
+		RetryPolicy resumable = policy(RouteKind.STREAM, true, 3);
 		resumable.onAttemptEnded(new AttemptEnd.Broken("reset"));
 		assertThat(resumable.canRetry(5000)).isTrue();
 	}
 
 	@Test
 	void answerIsNotDroppedWhenNoAttemptIsLeftToReplaceIt() {
-		RetryPolicy policy = rule(RouteKind.STREAM, true, 2);
+		RetryPolicy policy = policy(RouteKind.STREAM, true, 2);
 		assertThat(policy.canDropAnswer(5000)).isTrue();
 		policy.onAttemptEnded(new AttemptEnd.Broken("reset"));
 		assertThat(policy.canDropAnswer(5000)).isFalse();
 	}
 
 	@Test
-	void refusalsByReplicasAreNotFollowedForEver() {
-		RetryPolicy policy = rule(RouteKind.IDEMPOTENT, false, 2);
+	void requestIsNotRetriedAfterThreeRefusals() {
+		RetryPolicy policy = policy(RouteKind.IDEMPOTENT, false, 2);
 		for (int i = 0; i < 3; i++) {
 			policy.onAttemptEnded(new AttemptEnd.NotRun(false, "refused with 503"));
 		}
@@ -86,7 +86,7 @@
 	 */
 	@Test
 	void answerIsNotMovedOnceSeveralReplicasHaveRefused() {
-		RetryPolicy policy = rule(RouteKind.STREAM, true, 3);
+		RetryPolicy policy = policy(RouteKind.STREAM, true, 3);
 		policy.onAttemptEnded(new AttemptEnd.NotRun(false, "refused with 503"));
 		assertThat(policy.canMoveAttempt(5000)).isTrue();
 		policy.onAttemptEnded(new AttemptEnd.NotRun(false, "refused with 503"));
@@ -95,7 +95,7 @@
 
 	@Test
 	void answerIsNotMovedWhenItsRouteAllowsNoMoreAttempts() {
-		RetryPolicy policy = rule(RouteKind.STREAM, true, 2);
+		RetryPolicy policy = policy(RouteKind.STREAM, true, 2);
 		assertThat(policy.canMoveAttempt(5000)).isTrue();
 		policy.onAttemptEnded(new AttemptEnd.Broken("reset"));
 		assertThat(policy.canMoveAttempt(5000)).isFalse();
--- a/core/src/test/java/org/gullsaddle/serve/SharedLimitFuzzTests.java
+++ b/core/src/test/java/org/gullsaddle/serve/SharedLimitFuzzTests.java
@@ -28,23 +28,23 @@
 
 	private static final int SEEDS = 4;
 
-	private static final long NAMED_MILLIS = 1000;
+	private static final long LIMIT_START_MILLIS = 1000;
 
 	/** How long nodes have until the limit is enforced. */
-	private static final long CONTACT_MILLIS = 4000;
+	private static final long ENFORCEMENT_DELAY_MILLIS = 4000;
 
 	private static final long SPAN_MILLIS = 4000;
 
 	private static final long END_MILLIS = 31_000;
 
 	/** How long nodes have to learn that the limit has ended. */
-	private static final long FREE_MILLIS = 15_000;
+	private static final long RECOVERY_MILLIS = 15_000;
 
 	/** The time in which all nodes join, one after the other. */
 	private static final long JOINING_MILLIS = 25_000;
 
 	/** One and a half times the limit, and five requests. */
-	private static double allowed(double perSecond) {
+	private static double maxArrivals(double perSecond) {
 		return 1.5 * perSecond * SPAN_MILLIS / 1000 + 5;
 	}
 
@@ -54,9 +54,9 @@
 			"340, 0", "340, 0.5", "340, 1", "340, 1.8", "340, 50" })
 	void nodesTogetherKeepToTheLimit(int nodes, double perSecond) {
 		for (int seed = 0; seed < SEEDS; seed++) {
-			World world = new World(nodes, seed);
-			world.play(perSecond, perSecond);
-			assertThat(world.most()).as("seed " + seed).isLessThanOrEqualTo((long) allowed(perSecond));
+			Simulation world = new Simulation(nodes, seed);
+			world.run(perSecond, perSecond);
+			assertThat(world.maxArrivalsInSpan()).as("seed " + seed).isLessThanOrEqualTo((long) maxArrivals(perSecond));
 		}
 	}
 
@@ -65,9 +65,9 @@
 	@CsvSource({ "4, 1, 3", "31, 0.5, 2", "340, 1, 5" })
 	void nodesTogetherKeepToALimitThatChanges(int nodes, double lowest, double highest) {
 		for (int seed = 0; seed < SEEDS; seed++) {
-			World world = new World(nodes, seed);
-			world.play(lowest, highest);
-			assertThat(world.most()).as("seed " + seed).isLessThanOrEqualTo((long) allowed(highest));
+			Simulation world = new Simulation(nodes, seed);
+			world.run(lowest, highest);
+			assertThat(world.maxArrivalsInSpan()).as("seed " + seed).isLessThanOrEqualTo((long) maxArrivals(highest));
 		}
 	}
 
@@ -76,10 +76,10 @@
 	@CsvSource({ "1, 1.8", "4, 1", "4, 1.8", "4, 50", "31, 1.8", "31, 50", "340, 1.8", "340, 50" })
 	void replicaGetsTwoThirdsOfItsLimitAtLeast(int nodes, double perSecond) {
 		for (int seed = 0; seed < SEEDS; seed++) {
-			World world = new World(nodes, seed);
-			world.play(perSecond, perSecond);
-			double seconds = (END_MILLIS - NAMED_MILLIS - CONTACT_MILLIS) / 1000.0;
-			assertThat(world.counted()).as("seed " + seed).isGreaterThan((int) (perSecond * seconds * 2 / 3));
+			Simulation world = new Simulation(nodes, seed);
+			world.run(perSecond, perSecond);
+			double seconds = (END_MILLIS - LIMIT_START_MILLIS - ENFORCEMENT_DELAY_MILLIS) / 1000.0;
+			assertThat(world.arrivalCount()).as("seed " + seed).isGreaterThan((int) (perSecond * seconds * 2 / 3));
 		}
 	}
 
@@ -88,10 +88,10 @@
 	@CsvSource({ "1, 0", "4, 1.8", "31, 0.5", "340, 0.5", "340, 1.8" })
 	void allNodesSendAsBeforeSoonAfterTheLimitHasEnded(int nodes, double perSecond) {
 		for (int seed = 0; seed < SEEDS; seed++) {
-			World world = new World(nodes, seed);
-			world.namedUntil = END_MILLIS - FREE_MILLIS;
-			world.play(perSecond, perSecond);
-			assertThat(world.bound()).as("seed " + seed).isZero();
+			Simulation world = new Simulation(nodes, seed);
+			world.limitedUntil = END_MILLIS - RECOVERY_MILLIS;
+			world.run(perSecond, perSecond);
+			assertThat(world.limitedNodes()).as("seed " + seed).isZero();
 		}
 	}
 
@@ -100,10 +100,10 @@
 	@CsvSource({ "4, 0.5", "31, 1", "31, 1.8", "100, 1.8", "100, 50" })
 	void nodesThatJoinOneAfterTheOtherKeepToTheLimit(int nodes, double perSecond) {
 		for (int seed = 0; seed < SEEDS; seed++) {
-			World world = new World(nodes, seed);
-			world.join(JOINING_MILLIS);
-			world.play(perSecond, perSecond);
-			assertThat(world.most()).as("seed " + seed).isLessThanOrEqualTo((long) allowed(perSecond));
+			Simulation world = new Simulation(nodes, seed);
+			world.startOneAfterAnother(JOINING_MILLIS);
+			world.run(perSecond, perSecond);
+			assertThat(world.maxArrivalsInSpan()).as("seed " + seed).isLessThanOrEqualTo((long) maxArrivals(perSecond));
 		}
 	}
 
@@ -112,9 +112,9 @@
 	@CsvSource({ "4, 1.8", "340, 1.8", "340, 50" })
 	void fewNotesAreWrittenOfALimit(int nodes, double perSecond) {
 		for (int seed = 0; seed < SEEDS; seed++) {
-			World world = new World(nodes, seed);
-			world.namedUntil = END_MILLIS - FREE_MILLIS;
-			world.play(perSecond, perSecond);
+			Simulation world = new Simulation(nodes, seed);
+			world.limitedUntil = END_MILLIS - RECOVERY_MILLIS;
+			world.run(perSecond, perSecond);
 			assertThat(world.notes).as("seed " + seed).isLessThanOrEqualTo(nodes / 4);
 		}
 	}
@@ -122,7 +122,7 @@
 	/**
 	 * The simulated nodes and their replica.
 	 */
-	private static final class World {
+	private static final class Simulation {
 
 		private static final Place PLACE = new Place("a", Map.of("a", "north", "b", "north", "c", "south"));
 
@@ -131,10 +131,10 @@
 
 		private static final long TICK_MILLIS = 10;
 
-		private static final long TOLD_MILLIS = 500;
+		private static final long REACTION_MILLIS = 500;
 
 		/** The shortest time that notes take, which is half of the longest. */
-		private static final long READ_MILLIS = 750;
+		private static final long MIN_PROPAGATION_MILLIS = 750;
 
 		/** How long a node waits until its peers know it. */
 		private static final long SETTLE_MILLIS = 2000;
@@ -145,14 +145,14 @@
 
 		private final List<Peer> peers = new ArrayList<>();
 
-		private List<Peer> known = List.of();
+		private List<Peer> knownPeers = List.of();
 
 		private final PriorityQueue<Event> events = new PriorityQueue<>(Comparator.comparingLong(Event::at));
 
 		/** When requests arrived from nodes that knew the limit. */
 		private final List<Long> arrivals = new ArrayList<>();
 
-		private long namedUntil = Long.MAX_VALUE;
+		private long limitedUntil = Long.MAX_VALUE;
 
 		private int notes;
 
@@ -165,7 +165,7 @@
 
 		private long now;
 
-		World(int count, int seed) {
+		Simulation(int count, int seed) {
 			this.random = new Random(seed);
 			for (int i = 0; i < count; i++) {
 				Peer peer = new Peer(new NodeId("node-" + seed + '-' + i), List.of("a", "b", "c").get(i % 3));
@@ -177,7 +177,7 @@
 		/**
 		 * Makes the nodes start one after the other.
 		 */
-		void join(long millis) {
+		void startOneAfterAnother(long millis) {
 			for (int i = 0; i < this.nodes.size(); i++) {
 				this.nodes.get(i).startsAt = i * millis / this.nodes.size();
 			}
@@ -186,21 +186,22 @@
 		/**
 		 * Returns the nodes that a node knows: itself, and those whose notes it has read.
 		 */
-		private Optional<List<Peer>> knownTo(Node node) {
+		private Optional<List<Peer>> peersKnownTo(Node node) {
 			if (this.now < node.startsAt + SETTLE_MILLIS) {
 				return Optional.empty();
 			}
-			int count = this.known.size();
-			while (count < this.nodes.size() && this.nodes.get(count).startsAt + 2 * READ_MILLIS <= this.now) {
+			int count = this.knownPeers.size();
+			while (count < this.nodes.size()
+					&& this.nodes.get(count).startsAt + 2 * MIN_PROPAGATION_MILLIS <= this.now) {
 				count++;
 			}
-			if (this.known.size() != count) {
-				this.known = List.copyOf(this.peers.subList(0, count));
+			if (this.knownPeers.size() != count) {
+				this.knownPeers = List.copyOf(this.peers.subList(0, count));
 			}
-			return Optional.of(this.known);
+			return Optional.of(this.knownPeers);
 		}
 
-		void play(double lowestLimit, double highestLimit) {
+		void run(double lowestLimit, double highestLimit) {
 			this.lowest = lowestLimit;
 			this.highest = highestLimit;
 			for (this.now = 0; this.now < END_MILLIS; this.now += TICK_MILLIS) {
@@ -211,26 +212,26 @@
 			}
 		}
 
-		private void in(long millis, Runnable action) {
+		private void schedule(long millis, Runnable action) {
 			this.events.add(new Event(this.now + Math.max(TICK_MILLIS, millis), action));
 		}
 
 		private Backpressure answer() {
-			if (this.now < NAMED_MILLIS || this.now >= this.namedUntil) {
+			if (this.now < LIMIT_START_MILLIS || this.now >= this.limitedUntil) {
 				return Backpressure.NONE;
 			}
 			double perSecond = this.lowest + (this.highest - this.lowest) * this.random.nextDouble();
 			return Backpressure.ofLimit(new RateLimit.Limited(perSecond));
 		}
 
-		private void arrived(Node from) {
-			boolean binds = this.now >= NAMED_MILLIS + CONTACT_MILLIS && this.now < this.namedUntil;
-			if (binds && this.now >= from.toldAt + TOLD_MILLIS) {
+		private void onArrival(Node from) {
+			boolean binds = this.now >= LIMIT_START_MILLIS + ENFORCEMENT_DELAY_MILLIS && this.now < this.limitedUntil;
+			if (binds && this.now >= from.limitKnownAt + REACTION_MILLIS) {
 				this.arrivals.add(this.now);
 			}
 		}
 
-		long most() {
+		long maxArrivalsInSpan() {
 			long most = 0;
 			int first = 0;
 			for (int last = 0; last < this.arrivals.size(); last++) {
@@ -245,19 +246,20 @@
 		/**
 		 * Returns how many nodes still apply a limit to the replica.
 		 */
-		long bound() {
-			return this.nodes.stream().filter((node) -> node.book.limit(REPLICA).isPresent()).count();
+		long limitedNodes() {
+			return this.nodes.stream().filter((node) -> node.table.limit(REPLICA).isPresent()).count();
 		}
 
 		private void write(LimitNote note) {
 			this.notes++;
 			this.lastNote = Optional.of(note);
 			for (Node node : this.nodes) {
-				in(READ_MILLIS + this.random.nextLong(READ_MILLIS), () -> node.learned(note));
+				schedule(MIN_PROPAGATION_MILLIS + this.random.nextLong(MIN_PROPAGATION_MILLIS),
+						() -> node.onNote(note));
 			}
 		}
 
-		int counted() {
+		int arrivalCount() {
 			return this.arrivals.size();
 		}
 
@@ -272,17 +274,17 @@
 
 			private final NodeId id;
 
-			private final long clockOffset = World.this.random.nextLong(1_000_000);
+			private final long clockOffset = Simulation.this.random.nextLong(1_000_000);
 
-			private BackpressureTable book;
+			private BackpressureTable table;
 
-			private LimitNoteExchange news;
+			private LimitNoteExchange exchange;
 
-			private boolean due;
+			private boolean writeDue;
 
-			private long toldAt = NEVER;
+			private long limitKnownAt = NEVER;
 
-			private int life;
+			private int incarnation;
 
 			private long startsAt = -LONG_AGO_MILLIS;
 
@@ -292,78 +294,78 @@
 			}
 
 			private void start() {
-				this.life++;
-				this.toldAt = NEVER;
-				this.book = new BackpressureTable(this.id, PLACE, () -> knownTo(this), World.this.random);
-				this.news = new LimitNoteExchange(this.book, World.this.random);
-				World.this.lastNote.ifPresent(this::learned);
+				this.incarnation++;
+				this.limitKnownAt = NEVER;
+				this.table = new BackpressureTable(this.id, PLACE, () -> peersKnownTo(this), Simulation.this.random);
+				this.exchange = new LimitNoteExchange(this.table, Simulation.this.random);
+				Simulation.this.lastNote.ifPresent(this::onNote);
 			}
 
-			private void tell(int ownLife) {
-				this.due = false;
-				if (ownLife == this.life) {
-					this.news.findNoteToWrite(REPLICA.id()).ifPresent(World.this::write);
+			private void writeNote(int ownLife) {
+				this.writeDue = false;
+				if (ownLife == this.incarnation) {
+					this.exchange.findNoteToWrite(REPLICA.id()).ifPresent(Simulation.this::write);
 				}
 			}
 
-			void learned(LimitNote note) {
-				int ownLife = this.life;
-				this.news.onNote(clock(), REPLICA.id(), note, Optional.of(REPLICA))
-					.ifPresent((millis) -> in(millis, () -> {
-						if (ownLife == this.life) {
-							this.news.onReplicaListed(clock(), REPLICA);
+			void onNote(LimitNote note) {
+				int ownLife = this.incarnation;
+				this.exchange.onNote(clock(), REPLICA.id(), note, Optional.of(REPLICA))
+					.ifPresent((millis) -> schedule(millis, () -> {
+						if (ownLife == this.incarnation) {
+							this.exchange.onReplicaListed(clock(), REPLICA);
 						}
 					}));
 			}
 
 			private long clock() {
-				return World.this.now + this.clockOffset;
+				return Simulation.this.now + this.clockOffset;
 			}
 
 			void tick() {
-				if (World.this.now < this.startsAt) {
+				if (Simulation.this.now < this.startsAt) {
 					return;
 				}
-				if (World.this.random.nextInt(20_000) == 0) {
+				if (Simulation.this.random.nextInt(20_000) == 0) {
 					start();
 				}
 				// Without a limit, the node sends less, because the replica is one of
 				// many.
-				boolean wants = this.book.limit(REPLICA).isPresent() || World.this.random.nextInt(200) == 0;
-				if (wants && this.book.canSend(clock(), REPLICA)) {
-					SendPermission admission = this.book.admit(clock(), REPLICA);
-					int ownLife = this.life;
-					long connects = (World.this.random.nextInt(5) == 0) ? World.this.random.nextLong(500) : 0;
-					in(connects, () -> connected(admission, ownLife));
+				boolean wants = this.table.limit(REPLICA).isPresent() || Simulation.this.random.nextInt(200) == 0;
+				if (wants && this.table.canSend(clock(), REPLICA)) {
+					SendPermission admission = this.table.admit(clock(), REPLICA);
+					int ownLife = this.incarnation;
+					long connects = (Simulation.this.random.nextInt(5) == 0) ? Simulation.this.random.nextLong(500) : 0;
+					schedule(connects, () -> onConnected(admission, ownLife));
 				}
 			}
 
-			private void connected(SendPermission admission, int ownLife) {
-				if (ownLife == this.life && this.book.canStillSend(clock(), REPLICA, admission)) {
-					in(World.this.random.nextLong(40), () -> arrive(ownLife));
+			private void onConnected(SendPermission admission, int ownLife) {
+				if (ownLife == this.incarnation && this.table.canStillSend(clock(), REPLICA, admission)) {
+					schedule(Simulation.this.random.nextLong(40), () -> arrive(ownLife));
 				}
 			}
 
 			private void arrive(int ownLife) {
-				arrived(this);
-				in(World.this.random.nextLong(300), () -> {
+				onArrival(this);
+				schedule(Simulation.this.random.nextLong(300), () -> {
 					Backpressure answer = answer();
-					in(World.this.random.nextLong(40), () -> heard(answer, ownLife));
+					schedule(Simulation.this.random.nextLong(40), () -> onAnswer(answer, ownLife));
 				});
 			}
 
-			private void heard(Backpressure answer, int ownLife) {
-				if (ownLife != this.life) {
+			private void onAnswer(Backpressure answer, int ownLife) {
+				if (ownLife != this.incarnation) {
 					return;
 				}
-				this.news.onAnswer(clock(), REPLICA, answer).ifPresent((millis) -> {
-					if (!this.due) {
-						this.due = true;
-						in(millis, () -> tell(ownLife));
+				this.exchange.onAnswer(clock(), REPLICA, answer).ifPresent((millis) -> {
+					if (!this.writeDue) {
+						this.writeDue = true;
+						schedule(millis, () -> writeNote(ownLife));
 					}
 				});
-				if (answer.limit() instanceof RateLimit.Limited && this.toldAt == NEVER) {
-					this.toldAt = World.this.now;
+				if (answer.limit() instanceof RateLimit.Limited && this.limitKnownAt == NEVER) {
+					this.limitKnownAt = Simulation.this.now;
 				}
 			}
 
--- a/core/src/test/java/org/gullsaddle/serve/TeamBurstDetectorTests.java
+++ b/core/src/test/java/org/gullsaddle/serve/TeamBurstDetectorTests.java
@@ -15,38 +15,38 @@
 
 	private static final TeamId THIRD = new TeamId("third");
 
-	private final TeamBurstDetector shares = new TeamBurstDetector();
+	private final TeamBurstDetector detector = new TeamBurstDetector();
 
 	/**
 	 * The large team sends three of five requests, the other teams one each.
 	 */
 	private void usualMinute() {
 		for (long now = 0; now < 60_000; now += 500) {
-			this.shares.recordRequest(SMALL, now);
-			this.shares.recordRequest(THIRD, now);
+			this.detector.recordRequest(SMALL, now);
+			this.detector.recordRequest(THIRD, now);
 			for (int i = 0; i < 3; i++) {
-				this.shares.recordRequest(LARGE, now);
+				this.detector.recordRequest(LARGE, now);
 			}
 		}
 	}
 
 	@Nested
-	class OnAUsualDay {
+	class WithUsualTraffic {
 
 		@Test
-		void noTeamIsOverItsShareAlsoNotALargeOne() {
+		void noTeamIsBurstingNotEvenALargeOne() {
 			usualMinute();
-			assertThat(TeamBurstDetectorTests.this.shares.isBursting(LARGE, 60_000)).isFalse();
-			assertThat(TeamBurstDetectorTests.this.shares.isBursting(SMALL, 60_000)).isFalse();
+			assertThat(TeamBurstDetectorTests.this.detector.isBursting(LARGE, 60_000)).isFalse();
+			assertThat(TeamBurstDetectorTests.this.detector.isBursting(SMALL, 60_000)).isFalse();
 		}
 
 		@Test
 		void twoRequestsInARowAreNoBurst() {
-			TeamBurstDetectorTests.this.shares.recordRequest(LARGE, 0);
-			TeamBurstDetectorTests.this.shares.recordRequest(THIRD, 0);
-			TeamBurstDetectorTests.this.shares.recordRequest(SMALL, 10);
-			TeamBurstDetectorTests.this.shares.recordRequest(SMALL, 20);
-			assertThat(TeamBurstDetectorTests.this.shares.isBursting(SMALL, 20)).isFalse();
+			TeamBurstDetectorTests.this.detector.recordRequest(LARGE, 0);
+			TeamBurstDetectorTests.this.detector.recordRequest(THIRD, 0);
+			TeamBurstDetectorTests.this.detector.recordRequest(SMALL, 10);
+			TeamBurstDetectorTests.this.detector.recordRequest(SMALL, 20);
+			assertThat(TeamBurstDetectorTests.this.detector.isBursting(SMALL, 20)).isFalse();
 		}
 
 	}
@@ -62,29 +62,29 @@
 		private void burst() {
 			usualMinute();
 			for (long now = 60_000; now < 64_000; now += 50) {
-				TeamBurstDetectorTests.this.shares.recordRequest(SMALL, now);
+				TeamBurstDetectorTests.this.detector.recordRequest(SMALL, now);
 			}
 		}
 
 		@Test
-		void onlyItsRequestsWait() {
+		void onlyThatTeamIsBursting() {
 			burst();
-			assertThat(TeamBurstDetectorTests.this.shares.isBursting(SMALL, 64_000)).isTrue();
-			assertThat(TeamBurstDetectorTests.this.shares.isBursting(LARGE, 64_000)).isFalse();
-			assertThat(TeamBurstDetectorTests.this.shares.isBursting(THIRD, 64_000)).isFalse();
+			assertThat(TeamBurstDetectorTests.this.detector.isBursting(SMALL, 64_000)).isTrue();
+			assertThat(TeamBurstDetectorTests.this.detector.isBursting(LARGE, 64_000)).isFalse();
+			assertThat(TeamBurstDetectorTests.this.detector.isBursting(THIRD, 64_000)).isFalse();
 		}
 
 		@Test
-		void itIsForgottenSoonAfter() {
+		void burstIsForgottenTwelveSecondsLater() {
 			burst();
 			for (long now = 64_000; now < 76_000; now += 500) {
-				TeamBurstDetectorTests.this.shares.recordRequest(SMALL, now);
-				TeamBurstDetectorTests.this.shares.recordRequest(THIRD, now);
+				TeamBurstDetectorTests.this.detector.recordRequest(SMALL, now);
+				TeamBurstDetectorTests.this.detector.recordRequest(THIRD, now);
 				for (int i = 0; i < 3; i++) {
-					TeamBurstDetectorTests.this.shares.recordRequest(LARGE, now);
+					TeamBurstDetectorTests.this.detector.recordRequest(LARGE, now);
 				}
 			}
-			assertThat(TeamBurstDetectorTests.this.shares.isBursting(SMALL, 76_000)).isFalse();
+			assertThat(TeamBurstDetectorTests.this.detector.isBursting(SMALL, 76_000)).isFalse();
 		}
 
 	}
--- a/core/src/test/java/org/gullsaddle/serve/WorkSharesTests.java
+++ b/core/src/test/java/org/gullsaddle/serve/WorkSharesTests.java
@@ -26,56 +26,56 @@
 	private static final List<TeamId> TEAMS = List.of(LARGE, SMALL, THIRD, FOURTH);
 
 	/** The work that engines complete in 10 ms. */
-	private static final double DONE = 100;
+	private static final double COMPLETED_WORK = 100;
 
 	private final WorkShares shares = new WorkShares();
 
-	private final Map<TeamId, Double> due = new HashMap<>();
+	private final Map<TeamId, Double> dueWork = new HashMap<>();
 
 	private final Deque<Double> queue = new ArrayDeque<>();
 
-	private double free;
+	private double spareCapacity;
 
 	/** The work that each team requested, and how much of it was within its share. */
-	private final Map<TeamId, Double> asked = new HashMap<>();
+	private final Map<TeamId, Double> requestedWork = new HashMap<>();
 
-	private final Map<TeamId, Double> within = new HashMap<>();
+	private final Map<TeamId, Double> workWithinShare = new HashMap<>();
 
 	/**
 	 * Makes teams request parts of the engines' capacity, in requests of equal work.
 	 */
 	private void load(long from, long until, Map<TeamId, Double> parts, double work) {
-		this.asked.clear();
-		this.within.clear();
+		this.requestedWork.clear();
+		this.workWithinShare.clear();
 		for (long now = from; now < until; now += 10) {
 			for (TeamId team : TEAMS) {
-				this.due.merge(team, parts.getOrDefault(team, 0.0) * DONE, Double::sum);
-				while (this.due.get(team) >= work) {
-					this.due.merge(team, -work, Double::sum);
+				this.dueWork.merge(team, parts.getOrDefault(team, 0.0) * COMPLETED_WORK, Double::sum);
+				while (this.dueWork.get(team) >= work) {
+					this.dueWork.merge(team, -work, Double::sum);
 					send(now, team, 0, work);
 				}
 			}
-			done(now);
+			complete(now);
 		}
 	}
 
 	private void send(long now, TeamId team, int rank, double work) {
 		this.queue.add(work);
 		boolean over = this.shares.recordSent(now, team, rank, work);
-		this.asked.merge(team, work, Double::sum);
-		this.within.merge(team, over ? 0 : work, Double::sum);
+		this.requestedWork.merge(team, work, Double::sum);
+		this.workWithinShare.merge(team, over ? 0 : work, Double::sum);
 	}
 
-	private void done(long now) {
-		this.free = Math.min(this.free + DONE, 50 * DONE);
-		while (!this.queue.isEmpty() && this.free >= this.queue.peek()) {
-			this.free -= this.queue.peek();
+	private void complete(long now) {
+		this.spareCapacity = Math.min(this.spareCapacity + COMPLETED_WORK, 50 * COMPLETED_WORK);
+		while (!this.queue.isEmpty() && this.spareCapacity >= this.queue.peek()) {
+			this.spareCapacity -= this.queue.peek();
 			this.shares.recordEnded(now, this.queue.poll());
 		}
 	}
 
-	private double withinPart(TeamId team) {
-		return this.within.get(team) / this.asked.get(team);
+	private double ratioWithinShare(TeamId team) {
+		return this.workWithinShare.get(team) / this.requestedWork.get(team);
 	}
 
 	private static Map<TeamId, Double> usual() {
@@ -84,13 +84,13 @@
 
 	/** Guards against a large team that waits although there is capacity for all. */
 	@Test
-	void noTeamIsOverWhereThereIsRoomForAll() {
+	void noTeamExceedsItsShareWhileThereIsCapacityForAll() {
 		load(0, 20_000, usual(), 40);
-		assertThat(TEAMS).allMatch((team) -> withinPart(team) == 1);
+		assertThat(TEAMS).allMatch((team) -> ratioWithinShare(team) == 1);
 	}
 
 	@Test
-	void aNodeThatHasJustStartedDemotesNobody() {
+	void nodeThatHasJustStartedDemotesNobody() {
 		for (int i = 0; i < 50; i++) {
 			assertThat(this.shares.recordSent(i, LARGE, 0, 40)).isFalse();
 		}
@@ -101,14 +101,14 @@
 	 * another's.
 	 */
 	@Test
-	void workCountsNotRequests() {
+	void sharesCountWorkNotRequests() {
 		load(0, 20_000, usual(), 40);
 		int large = 0;
 		int small = 0;
 		for (long now = 20_000; now < 26_000; now += 10) {
 			large += this.shares.recordSent(now, LARGE, 0, 150) ? 1 : 0;
 			small += this.shares.recordSent(now, SMALL, 0, 15) ? 1 : 0;
-			this.shares.recordEnded(now, DONE);
+			this.shares.recordEnded(now, COMPLETED_WORK);
 		}
 		assertThat(large).isPositive();
 		assertThat(small).isZero();
@@ -133,20 +133,20 @@
 				over += this.shares.recordSent(now, THIRD, 1, 3000) ? 1 : 0;
 				this.queue.add(3000.0);
 			}
-			done(now);
+			complete(now);
 		}
 		assertThat(over).isPositive();
 	}
 
 	/** Guards against shares that are taken from the capacity of a more urgent rank. */
 	@Test
-	void moreUrgentRankGoesBeforeShares() {
+	void moreUrgentRankHasPrecedence() {
 		load(0, 20_000, usual(), 40);
 		for (long now = 20_000; now < 26_000; now += 10) {
 			send(now, LARGE, 0, 80);
 			send(now, SMALL, 1, 40);
 			send(now, THIRD, 1, 40);
-			done(now);
+			complete(now);
 		}
 		assertThat(this.shares.isOverShare(26_000, LARGE, 0)).isFalse();
 		assertThat(this.shares.isOverShare(26_000, THIRD, 1) || this.shares.isOverShare(26_000, SMALL, 1)).isTrue();
@@ -169,21 +169,21 @@
 		@Test
 		void teamsThatAskForLittleGetAllTheyAskFor() {
 			burst(40);
-			assertThat(withinPart(SMALL)).isEqualTo(1);
-			assertThat(withinPart(FOURTH)).isEqualTo(1);
+			assertThat(ratioWithinShare(SMALL)).isEqualTo(1);
+			assertThat(ratioWithinShare(FOURTH)).isEqualTo(1);
 		}
 
 		/** Guards against a burst that takes more than other teams leave. */
 		@Test
-		void whatTheyLeaveIsSharedByTheOthers() {
+		void capacityTheyLeaveIsSharedByTheOthers() {
 			burst(40);
-			double capacity = DONE * 11_000 / 10;
-			assertThat(WorkSharesTests.this.within.get(THIRD) / capacity).isBetween(0.25, 0.5);
-			assertThat(WorkSharesTests.this.within.get(LARGE) / capacity).isBetween(0.25, 0.41);
+			double capacity = COMPLETED_WORK * 11_000 / 10;
+			assertThat(WorkSharesTests.this.workWithinShare.get(THIRD) / capacity).isBetween(0.25, 0.5);
+			assertThat(WorkSharesTests.this.workWithinShare.get(LARGE) / capacity).isBetween(0.25, 0.41);
 		}
 
 		@Test
-		void itIsOverWhileItHasItsShareAndNoLongerAfter() {
+		void teamExceedsItsShareOnlyDuringTheBurst() {
 			burst(40);
 			assertThat(WorkSharesTests.this.shares.isOverShare(31_000, SMALL, 0)).isFalse();
 			load(31_000, 45_000, usual(), 40);
