--- a/core/src/main/java/org/gullsaddle/serve/BackpressureBook.java
+++ b/core/src/main/java/org/gullsaddle/serve/BackpressureBook.java
@@ -32,7 +32,7 @@
 
 	private final NodeId self;
 
-	private final Place place;
+	private final NodeLocation place;
 
 	private final Supplier<Optional<List<Peer>>> peers;
 
@@ -52,7 +52,8 @@
 	 * @param peers tells all nodes, or empty while others may not know this one
 	 * @param random draws when this node has its turns
 	 */
-	public BackpressureBook(NodeId self, Place place, Supplier<Optional<List<Peer>>> peers, RandomGenerator random) {
+	public BackpressureBook(NodeId self, NodeLocation place, Supplier<Optional<List<Peer>>> peers,
+			RandomGenerator random) {
 		this.self = self;
 		this.place = place;
 		this.peers = peers;
--- a/core/src/main/java/org/gullsaddle/serve/Candidate.java
+++ b/core/src/main/java/org/gullsaddle/serve/Candidate.java
@@ -17,5 +17,5 @@
  * @param meanRequests how many requests all replicas have on average
  */
 public record Candidate(Replica replica, Task task, EngineLoad load, Delay delay, double readMillis, Pace pace,
-		Reach reach, double failureShare, boolean atHome, double meanRequests) {
+		Distance reach, double failureShare, boolean atHome, double meanRequests) {
 }
--- a/core/src/main/java/org/gullsaddle/serve/Reach.java
+++ b/core/src/main/java/org/gullsaddle/serve/Distance.java
@@ -3,15 +3,15 @@
 /**
  * How far away a replica is.
  */
-public enum Reach {
+public enum Distance {
 
 	/** In the same data center. */
-	DATA_CENTER,
+	SAME_DATA_CENTER,
 
 	/** In another data center of the region. */
-	REGION,
+	SAME_REGION,
 
 	/** In another region. */
-	FAR
+	OTHER_REGION
 
 }
--- a/core/src/main/java/org/gullsaddle/serve/Homes.java
+++ b/core/src/main/java/org/gullsaddle/serve/Homes.java
@@ -50,7 +50,7 @@
 	/** The time until half of the work done is forgotten, in milliseconds. */
 	private static final double HALF_MILLIS = 5000;
 
-	private final Place place;
+	private final NodeLocation place;
 
 	private double small = FIRST_SMALL * FIRST_WORK;
 
@@ -60,7 +60,7 @@
 
 	private boolean apart;
 
-	Homes(Place place) {
+	Homes(NodeLocation place) {
 		this.place = place;
 	}
 
@@ -103,7 +103,7 @@
 			return Set.of();
 		}
 		Map<String, List<Replica>> byRegion = usable.stream()
-			.collect(Collectors.groupingBy((replica) -> this.place.region(replica.dataCenter())));
+			.collect(Collectors.groupingBy((replica) -> this.place.regionOf(replica.dataCenter())));
 		Set<ReplicaId> away = new HashSet<>();
 		for (List<Replica> near : byRegion.values()) {
 			List<Replica> ordered = new ArrayList<>(near);
--- a/core/src/main/java/org/gullsaddle/serve/LimitShare.java
+++ b/core/src/main/java/org/gullsaddle/serve/LimitShare.java
@@ -44,7 +44,7 @@
 	 * @param place says which data centers are near each other
 	 * @return their number, or empty if the node is not among them
 	 */
-	static OptionalInt rank(Replica replica, NodeId self, List<Peer> peers, Place place) {
+	static OptionalInt rank(Replica replica, NodeId self, List<Peer> peers, NodeLocation place) {
 		Optional<Peer> own = peers.stream().filter((peer) -> peer.node().equals(self)).findFirst();
 		if (own.isEmpty()) {
 			return OptionalInt.empty();
@@ -77,8 +77,8 @@
 		return Math.min(nodes, (long) Math.floor(NODES_SECONDS * perSecond) + MORE_NODES);
 	}
 
-	private static Comparator<Peer> nearest(Replica replica, Place place) {
-		return Comparator.comparing((Peer peer) -> place.reach(peer.dataCenter(), replica.dataCenter()))
+	private static Comparator<Peer> nearest(Replica replica, NodeLocation place) {
+		return Comparator.comparing((Peer peer) -> place.distance(peer.dataCenter(), replica.dataCenter()))
 			.thenComparing((peer) -> Spread.unit(peer.node() + "/" + replica.id()))
 			.thenComparing(Peer::node);
 	}
--- a/core/src/main/java/org/gullsaddle/serve/LimitedReplica.java
+++ b/core/src/main/java/org/gullsaddle/serve/LimitedReplica.java
@@ -31,7 +31,7 @@
 
 	private final NodeId self;
 
-	private final Place place;
+	private final NodeLocation place;
 
 	/** Where in the order of turns this node begins, from 0 to 1. */
 	private final double phase;
@@ -50,7 +50,7 @@
 
 	private long lastTurn = Long.MIN_VALUE;
 
-	LimitedReplica(long now, Replica replica, NodeId self, Place place, RandomGenerator random) {
+	LimitedReplica(long now, Replica replica, NodeId self, NodeLocation place, RandomGenerator random) {
 		this.replica = replica;
 		this.self = self;
 		this.place = place;
--- a/core/src/main/java/org/gullsaddle/serve/Loss.java
+++ b/core/src/main/java/org/gullsaddle/serve/Loss.java
@@ -74,9 +74,9 @@
 		@Override
 		public double of(Candidate candidate) {
 			return switch (candidate.reach()) {
-				case DATA_CENTER -> 0;
-				case REGION -> OTHER_DATA_CENTER;
-				case FAR -> OTHER_REGION;
+				case SAME_DATA_CENTER -> 0;
+				case SAME_REGION -> OTHER_DATA_CENTER;
+				case OTHER_REGION -> OTHER_REGION;
 			};
 		}
 
--- a/core/src/main/java/org/gullsaddle/serve/Place.java
+++ b/core/src/main/java/org/gullsaddle/serve/NodeLocation.java
@@ -8,9 +8,9 @@
  * @param dataCenter its data center
  * @param regions the region of each data center
  */
-public record Place(String dataCenter, Map<String, String> regions) {
+public record NodeLocation(String dataCenter, Map<String, String> regions) {
 
-	public Place {
+	public NodeLocation {
 		regions = Map.copyOf(regions);
 	}
 
@@ -19,8 +19,8 @@
 	 * @param other the data center
 	 * @return its distance
 	 */
-	public Reach reach(String other) {
-		return reach(this.dataCenter, other);
+	public Distance distance(String other) {
+		return distance(this.dataCenter, other);
 	}
 
 	/**
@@ -29,12 +29,13 @@
 	 * @param other the other
 	 * @return the distance
 	 */
-	public Reach reach(String one, String other) {
+	public Distance distance(String one, String other) {
 		if (other.equals(one)) {
-			return Reach.DATA_CENTER;
+			return Distance.SAME_DATA_CENTER;
 		}
 		String region = this.regions.get(one);
-		return (region != null && region.equals(this.regions.get(other))) ? Reach.REGION : Reach.FAR;
+		return (region != null && region.equals(this.regions.get(other))) ? Distance.SAME_REGION
+				: Distance.OTHER_REGION;
 	}
 
 	/**
@@ -42,7 +43,7 @@
 	 * @param other the data center
 	 * @return the region, or the data center itself if its region is not known
 	 */
-	public String region(String other) {
+	public String regionOf(String other) {
 		return this.regions.getOrDefault(other, other);
 	}
 
@@ -51,8 +52,8 @@
 	 * @param other the data center
 	 * @return true if both have the same region
 	 */
-	public boolean sameRegion(String other) {
-		return reach(other) != Reach.FAR;
+	public boolean sharesRegionWith(String other) {
+		return distance(other) != Distance.OTHER_REGION;
 	}
 
 }
--- a/core/src/main/java/org/gullsaddle/serve/Others.java
+++ b/core/src/main/java/org/gullsaddle/serve/Others.java
@@ -38,8 +38,8 @@
 	record Usual(double requests, double unread) {
 
 		static Usual of(long now, List<ReplicaState> states) {
-			return new Usual(ReportedLoad.mean(now, states.stream().map(ReplicaState::others).toList()),
-					ReportedLoad.mean(now, states.stream().map(ReplicaState::othersUnread).toList()));
+			return new Usual(ReportedLoad.mean(now, states.stream().map(ReplicaState::peerRequests).toList()),
+					ReportedLoad.mean(now, states.stream().map(ReplicaState::peerUnreadRequests).toList()));
 		}
 
 	}
--- a/core/src/main/java/org/gullsaddle/serve/ReplicaRules.java
+++ b/core/src/main/java/org/gullsaddle/serve/ReplicaEligibility.java
@@ -21,13 +21,13 @@
  * the rate that they ask for. Cold ones come last, and only as many requests go there as
  * they bear. What crashes replicas may go to none. Confined to one thread.
  */
-public final class ReplicaRules {
+public final class ReplicaEligibility {
 
 	private final ReplicaDirectory directory;
 
-	private final Place place;
+	private final NodeLocation location;
 
-	private final ColdPace pace;
+	private final ColdPace coldLimiter;
 
 	private final BackpressureBook backpressure;
 
@@ -41,11 +41,11 @@
 	 * @param backpressure what it may send to replicas that ask for fewer requests
 	 * @param crashes what is refused as it crashes replicas
 	 */
-	public ReplicaRules(ReplicaDirectory directory, Place place, ColdPace pace, BackpressureBook backpressure,
-			CrashBook crashes) {
+	public ReplicaEligibility(ReplicaDirectory directory, NodeLocation place, ColdPace pace,
+			BackpressureBook backpressure, CrashBook crashes) {
 		this.directory = directory;
-		this.place = place;
-		this.pace = pace;
+		this.location = place;
+		this.coldLimiter = pace;
 		this.backpressure = backpressure;
 		this.crashes = crashes;
 	}
@@ -55,7 +55,7 @@
 	 * @param wanted what the request asks of replicas
 	 * @return true if one of its traits is refused
 	 */
-	public boolean refuses(Wanted wanted) {
+	public boolean isBlocked(Requirements wanted) {
 		return this.crashes.refuses(wanted.traits());
 	}
 
@@ -67,12 +67,12 @@
 	 * @param tried replicas that it was sent to already
 	 * @return their ids
 	 */
-	public Set<ReplicaId> leftOut(long now, Wanted wanted, Set<ReplicaId> tried) {
+	public Set<ReplicaId> excludedReplicas(long now, Requirements wanted, Set<ReplicaId> tried) {
 		if (!this.backpressure.any(now)) {
 			return tried;
 		}
 		Set<ReplicaId> all = new HashSet<>(tried);
-		open(now, wanted).stream()
+		openReplicas(now, wanted).stream()
 			.filter((replica) -> !this.backpressure.takes(now, replica))
 			.forEach((replica) -> all.add(replica.id()));
 		return all;
@@ -83,20 +83,20 @@
 	 * among all of them, so those that are left out for a moment are among them too.
 	 * @param now the time in milliseconds
 	 * @param wanted what the request asks of them
-	 * @param leftOut replicas that it may not be sent to, see {@link #leftOut}
+	 * @param leftOut replicas that it may not be sent to, see {@link #excludedReplicas}
 	 * @return the replicas
 	 */
-	public List<Replica> usable(long now, Wanted wanted, Set<ReplicaId> leftOut) {
-		List<Replica> open = open(now, wanted);
-		List<Replica> warm = open.stream().filter((replica) -> !cold(now, wanted, replica)).toList();
-		List<Replica> allowed = ofRelease(now, wanted, warm, leftOut);
-		if (!allLeftOut(allowed, leftOut)) {
+	public List<Replica> eligibleReplicas(long now, Requirements wanted, Set<ReplicaId> leftOut) {
+		List<Replica> open = openReplicas(now, wanted);
+		List<Replica> warm = open.stream().filter((replica) -> !isCold(now, wanted, replica)).toList();
+		List<Replica> allowed = filterByRelease(now, wanted, warm, leftOut);
+		if (!areAllExcluded(allowed, leftOut)) {
 			return allowed;
 		}
 		List<Replica> bearing = open.stream()
-			.filter((replica) -> !cold(now, wanted, replica) || room(now, wanted, replica))
+			.filter((replica) -> !isCold(now, wanted, replica) || hasColdCapacity(now, wanted, replica))
 			.toList();
-		return ofRelease(now, wanted, bearing, leftOut);
+		return filterByRelease(now, wanted, bearing, leftOut);
 	}
 
 	/**
@@ -105,28 +105,30 @@
 	 * @param wanted what the request asked of them
 	 * @return the reason
 	 */
-	public NoReplica whyNone(long now, Wanted wanted) {
-		if (refuses(wanted)) {
+	public NoReplica noReplicaReason(long now, Requirements wanted) {
+		if (isBlocked(wanted)) {
 			return NoReplica.CRASHES;
 		}
-		List<Replica> open = open(now, wanted);
+		List<Replica> open = openReplicas(now, wanted);
 		if (!open.isEmpty()) {
-			return whyNoneOf(now, wanted, open);
+			return noReplicaReasonAmong(now, wanted, open);
 		}
-		if (this.directory.evacuated().stream().anyMatch((each) -> wanted.limit().allows(this.place.region(each)))) {
+		if (this.directory.evacuated()
+			.stream()
+			.anyMatch((each) -> wanted.regionLimit().allows(this.location.regionOf(each)))) {
 			return NoReplica.EVACUATED;
 		}
 		boolean elsewhere = !this.directory.usable(now, wanted.service(), (dataCenter) -> true).isEmpty();
 		return elsewhere ? NoReplica.OTHER_REGION : NoReplica.NONE;
 	}
 
-	private NoReplica whyNoneOf(long now, Wanted wanted, List<Replica> open) {
-		if (open.stream().allMatch((replica) -> cold(now, wanted, replica))) {
+	private NoReplica noReplicaReasonAmong(long now, Requirements wanted, List<Replica> open) {
+		if (open.stream().allMatch((replica) -> isCold(now, wanted, replica))) {
 			return NoReplica.COLD;
 		}
-		Set<ReplicaId> leftOut = leftOut(now, wanted, Set.of());
-		List<Replica> allowed = ofRelease(now, wanted, open, leftOut);
-		if (!allLeftOut(allowed, leftOut)) {
+		Set<ReplicaId> leftOut = excludedReplicas(now, wanted, Set.of());
+		List<Replica> allowed = filterByRelease(now, wanted, open, leftOut);
+		if (!areAllExcluded(allowed, leftOut)) {
 			return NoReplica.TRIED;
 		}
 		boolean resting = allowed.stream().allMatch((replica) -> this.backpressure.restMillis(now, replica) > 0);
@@ -140,11 +142,11 @@
 	 * @param wanted what the request asked of them
 	 * @return the time from now, in milliseconds
 	 */
-	public long backMillis(long now, Wanted wanted) {
-		if (refuses(wanted)) {
+	public long retryAfterMillis(long now, Requirements wanted) {
+		if (isBlocked(wanted)) {
 			return this.crashes.backMillis(now, wanted.traits());
 		}
-		return this.backpressure.backMillis(now, wanted.service(), open(now, wanted));
+		return this.backpressure.backMillis(now, wanted.service(), openReplicas(now, wanted));
 	}
 
 	/**
@@ -153,9 +155,9 @@
 	 * @param wanted what it asked of replicas
 	 * @param replica where it was sent
 	 */
-	public void sent(long now, Wanted wanted, Replica replica) {
-		if (cold(now, wanted, replica)) {
-			this.pace.sent(now, replica);
+	public void onSent(long now, Requirements wanted, Replica replica) {
+		if (isCold(now, wanted, replica)) {
+			this.coldLimiter.sent(now, replica);
 		}
 	}
 
@@ -166,7 +168,7 @@
 	 * @param replica the replica
 	 * @return true if it is cold, and bears less than a warm one
 	 */
-	public boolean cold(long now, Wanted wanted, Replica replica) {
+	public boolean isCold(long now, Requirements wanted, Replica replica) {
 		return wanted.coldStart().limited() && this.directory.coldMillis(now, replica.id()) > 0;
 	}
 
@@ -176,21 +178,21 @@
 	 * @param wanted what the request asks of them
 	 * @return true if one is cold, and bears less than a warm one
 	 */
-	public boolean anyCold(long now, Wanted wanted) {
-		return open(now, wanted).stream().anyMatch((replica) -> cold(now, wanted, replica));
+	public boolean hasColdReplica(long now, Requirements wanted) {
+		return openReplicas(now, wanted).stream().anyMatch((replica) -> isCold(now, wanted, replica));
 	}
 
-	private boolean room(long now, Wanted wanted, Replica replica) {
-		return wanted.nodes().isPresent()
-				&& this.pace.room(now, replica, wanted.coldStart().perSecond(), wanted.nodes().get());
+	private boolean hasColdCapacity(long now, Requirements wanted, Replica replica) {
+		return wanted.nodeCount().isPresent()
+				&& this.coldLimiter.room(now, replica, wanted.coldStart().perSecond(), wanted.nodeCount().get());
 	}
 
-	private List<Replica> open(long now, Wanted wanted) {
-		if (refuses(wanted)) {
+	private List<Replica> openReplicas(long now, Requirements wanted) {
+		if (isBlocked(wanted)) {
 			return List.of();
 		}
 		return this.directory.usable(now, wanted.service(),
-				(dataCenter) -> wanted.limit().allows(this.place.region(dataCenter)));
+				(dataCenter) -> wanted.regionLimit().allows(this.location.regionOf(dataCenter)));
 	}
 
 	/**
@@ -198,22 +200,22 @@
 	 * whose replicas ask for fewer goes there, unless it belongs to a session. More
 	 * requests for a new one would expose more callers to it.
 	 */
-	private List<Replica> ofRelease(long now, Wanted wanted, List<Replica> able, Set<ReplicaId> leftOut) {
+	private List<Replica> filterByRelease(long now, Requirements wanted, List<Replica> able, Set<ReplicaId> leftOut) {
 		if (wanted.rollout().isEmpty()) {
 			return able;
 		}
 		List<Replica> allowed = wanted.rollout()
 			.get()
-			.allowed(now, able, wanted.key(), leftOut, wanted.nodes().orElse(0));
+			.allowed(now, able, wanted.releaseKey(), leftOut, wanted.nodeCount().orElse(0));
 		boolean asked = allowed.stream().anyMatch((replica) -> !this.backpressure.takes(now, replica));
-		if (!asked || !allLeftOut(allowed, leftOut) || wanted.key().session()) {
+		if (!asked || !areAllExcluded(allowed, leftOut) || wanted.releaseKey().session()) {
 			return allowed;
 		}
 		List<Replica> former = wanted.rollout().get().former(able);
 		return former.isEmpty() ? allowed : former;
 	}
 
-	private static boolean allLeftOut(List<Replica> replicas, Set<ReplicaId> leftOut) {
+	private static boolean areAllExcluded(List<Replica> replicas, Set<ReplicaId> leftOut) {
 		return leftOut.containsAll(replicas.stream().map(Replica::id).toList());
 	}
 
@@ -228,8 +230,8 @@
 	 * @param key what it keeps its release by
 	 * @param traits what it has in common with others, as far as it is refused for it
 	 */
-	public record Wanted(ServiceName service, RegionLimit limit, ColdStart coldStart, Optional<Integer> nodes,
-			Optional<Rollout> rollout, ReleaseKey key, Collection<Trait> traits) {
+	public record Requirements(ServiceName service, RegionLimit regionLimit, ColdStart coldStart,
+			Optional<Integer> nodeCount, Optional<Rollout> rollout, ReleaseKey releaseKey, Collection<Trait> traits) {
 	}
 
 	/**
--- a/core/src/main/java/org/gullsaddle/serve/ReplicaPaces.java
+++ b/core/src/main/java/org/gullsaddle/serve/ReplicaPaces.java
@@ -16,12 +16,12 @@
 
 	void told(long now, ReplicaState state, int percent) {
 		PeerPace peers = this.services.computeIfAbsent(state.replica().service(), (service) -> new PeerPace());
-		state.pace().told(now, percent, peers);
+		state.slowdown().told(now, percent, peers);
 	}
 
 	Pace at(long now, ReplicaState state, double millis) {
 		PeerPace peers = this.services.get(state.replica().service());
-		return (peers != null) ? state.pace().at(now, millis, peers) : Pace.USUAL;
+		return (peers != null) ? state.slowdown().at(now, millis, peers) : Pace.USUAL;
 	}
 
 	/**
@@ -31,7 +31,7 @@
 	void took(ReplicaState state, Choice choice, double millis, boolean begun) {
 		PeerPace peers = this.services.get(state.replica().service());
 		if (peers != null && (begun || millis > choice.delay().expectedMillis())) {
-			state.pace().took(choice, millis, peers);
+			state.slowdown().took(choice, millis, peers);
 		}
 	}
 
--- a/core/src/main/java/org/gullsaddle/serve/ReplicaPicker.java
+++ b/core/src/main/java/org/gullsaddle/serve/ReplicaSelector.java
@@ -17,44 +17,44 @@
  * Picks the replica that a request goes to: the one where least of its worth is likely
  * lost, see {@link Loss}. Confined to one thread.
  */
-public final class ReplicaPicker {
+public final class ReplicaSelector {
 
 	/**
 	 * How much longer than expected a replica may take to read before it counts as
 	 * unresponsive.
 	 */
-	private static final double READ_MARGIN = 2;
+	private static final double MAX_READ_RATIO = 2;
 
 	/** The part of an engine's memory that is left for kept parts. */
-	private static final double KEPT_SHARE = 0.5;
+	private static final double CACHE_RATIO = 0.5;
 
 	/** How many replicas are asked for their load before one gets a request. */
-	private static final int MOST_ASKED = 3;
+	private static final int MAX_QUERIED_REPLICAS = 3;
 
 	/**
 	 * How old what a replica told may be, in its answers too, for it not to be asked, in
 	 * milliseconds: about as long as a queue stays as it is. Each question is paid for,
 	 * and a node that sees many answers of each replica knows enough.
 	 */
-	private static final long FRESH_MILLIS = 1500;
+	private static final long MAX_REPORT_AGE_MILLIS = 1500;
 
 	/** How fast the usual work of a request is learned. */
-	private static final double USUAL_SMOOTHING = 0.05;
+	private static final double WORK_SMOOTHING = 0.05;
 
 	private final Map<ReplicaId, ReplicaState> states = new HashMap<>();
 
 	/**
 	 * How much each model usually has to read of a prompt, in tokens of the smallest.
 	 */
-	private final Map<String, Double> usualWork = new HashMap<>();
+	private final Map<String, Double> meanWork = new HashMap<>();
 
-	private final Homes homes;
+	private final Homes partition;
 
-	private final DelayEstimator delays = new DelayEstimator();
+	private final DelayEstimator delayEstimator = new DelayEstimator();
 
-	private final ReplicaPaces paces = new ReplicaPaces();
+	private final ReplicaPaces slowdowns = new ReplicaPaces();
 
-	private final Place here;
+	private final NodeLocation location;
 
 	private final List<Loss> losses;
 
@@ -62,7 +62,7 @@
 	 * Makes a picker.
 	 * @param here where this node is
 	 */
-	public ReplicaPicker(Place here) {
+	public ReplicaSelector(NodeLocation here) {
 		this(here, Loss.ALL);
 	}
 
@@ -71,9 +71,9 @@
 	 * @param here where this node is
 	 * @param losses the losses
 	 */
-	public ReplicaPicker(Place here, List<Loss> losses) {
-		this.here = here;
-		this.homes = new Homes(here);
+	public ReplicaSelector(NodeLocation here, List<Loss> losses) {
+		this.location = here;
+		this.partition = new Homes(here);
 		this.losses = List.copyOf(losses);
 	}
 
@@ -81,8 +81,8 @@
 	 * Keeps models of different size on engines of their own from now on, as room is
 	 * short.
 	 */
-	public void keepSizesApart() {
-		this.homes.keepApart();
+	public void separateModelSizes() {
+		this.partition.keepApart();
 	}
 
 	/**
@@ -93,7 +93,7 @@
 	 * @param task what it is to do
 	 * @return the replica, or empty if none is left
 	 */
-	public Optional<Choice> pick(long now, List<Replica> usable, Set<ReplicaId> tried, Task task) {
+	public Optional<Choice> chooseReplica(long now, List<Replica> usable, Set<ReplicaId> tried, Task task) {
 		return choices(now, usable, tried, task).min(Comparator.comparingDouble(Choice::loss));
 	}
 
@@ -107,14 +107,14 @@
 	 * @param task what it is to do
 	 * @return the replicas, none if what is known is enough
 	 */
-	public List<Replica> toAsk(long now, List<Replica> usable, Set<ReplicaId> tried, Task task) {
-		if (task.pace() <= 1 && (task.plain() || !this.homes.keptApart())) {
+	public List<Replica> replicasToQuery(long now, List<Replica> usable, Set<ReplicaId> tried, Task task) {
+		if (task.pace() <= 1 && (task.plain() || !this.partition.keptApart())) {
 			return List.of();
 		}
-		return best(now, usable, tried, task, MOST_ASKED).stream()
+		return bestChoices(now, usable, tried, task, MAX_QUERIED_REPLICAS).stream()
 			.filter((choice) -> !choice.load().otherRegion())
 			.map(Choice::replica)
-			.filter((replica) -> !toldWithin(now, replica, FRESH_MILLIS))
+			.filter((replica) -> !hasReportWithin(now, replica, MAX_REPORT_AGE_MILLIS))
 			.toList();
 	}
 
@@ -127,51 +127,51 @@
 	 * @param most how many to return at most
 	 * @return the replicas, the best first
 	 */
-	public List<Choice> best(long now, List<Replica> usable, Set<ReplicaId> tried, Task task, int most) {
+	public List<Choice> bestChoices(long now, List<Replica> usable, Set<ReplicaId> tried, Task task, int most) {
 		return choices(now, usable, tried, task).sorted(Comparator.comparingDouble(Choice::loss)).limit(most).toList();
 	}
 
 	private Stream<Choice> choices(long now, List<Replica> usable, Set<ReplicaId> tried, Task task) {
 		List<ReplicaState> able = usable.stream()
 			.filter((replica) -> !tried.contains(replica.id()))
-			.map(this::state)
+			.map(this::stateOf)
 			.toList();
-		List<ReplicaState> sound = able.stream().filter((state) -> !state.ejected(now)).toList();
-		Set<ReplicaId> away = this.homes.away(usable, task);
+		List<ReplicaState> sound = able.stream().filter((state) -> !state.isEjected(now)).toList();
+		Set<ReplicaId> away = this.partition.away(usable, task);
 		Others others = Others.of(now, able, away);
 		double meanRequests = able.stream()
-			.mapToDouble((state) -> state.requests(now, others.at(state).requests()))
+			.mapToDouble((state) -> state.estimateRequests(now, others.at(state).requests()))
 			.average()
 			.orElse(0);
-		return eligible(able, sound, away).stream()
-			.map((state) -> candidate(now, state, task, others, meanRequests))
-			.map(this::choice);
+		return eligibleStates(able, sound, away).stream()
+			.map((state) -> createCandidate(now, state, task, others, meanRequests))
+			.map(this::createChoice);
 	}
 
 	/**
 	 * Returns the replicas to choose among: the sound ones, if there are any, and of
 	 * these the homes only where sizes are kept apart.
 	 */
-	private List<ReplicaState> eligible(List<ReplicaState> able, List<ReplicaState> sound, Set<ReplicaId> away) {
+	private List<ReplicaState> eligibleStates(List<ReplicaState> able, List<ReplicaState> sound, Set<ReplicaId> away) {
 		List<ReplicaState> usual = sound.isEmpty() ? able : sound;
-		if (!this.homes.keptApart()) {
+		if (!this.partition.keptApart()) {
 			return usual;
 		}
 		List<ReplicaState> home = usual.stream().filter((state) -> !away.contains(state.replica().id())).toList();
 		return home.isEmpty() ? usual : home;
 	}
 
-	private Candidate candidate(long now, ReplicaState state, Task task, Others others, double meanRequests) {
+	private Candidate createCandidate(long now, ReplicaState state, Task task, Others others, double meanRequests) {
 		Others.Usual usual = others.at(state);
 		Replica replica = state.replica();
-		Reach reach = this.here.reach(replica.dataCenter());
-		double requests = state.requests(now, usual.requests());
-		double before = task.plain() ? queued(replica, requests)
-				: state.backlog(now, usual.unread(), this.usualWork.getOrDefault(task.model(), 0.0));
-		EngineLoad load = new EngineLoad(unread(state, task), before, requests, reach == Reach.FAR);
-		DelayModel delays = this.delays.of(replica, task);
+		Distance reach = this.location.distance(replica.dataCenter());
+		double requests = state.estimateRequests(now, usual.requests());
+		double before = task.plain() ? estimateQueueRounds(replica, requests)
+				: state.estimateBacklogTokens(now, usual.unread(), this.meanWork.getOrDefault(task.model(), 0.0));
+		EngineLoad load = new EngineLoad(unreadTokens(state, task), before, requests, reach == Distance.OTHER_REGION);
+		DelayModel delays = this.delayEstimator.of(replica, task);
 		Delay first = delays.first(load);
-		Pace pace = this.paces.at(now, state, first.expectedMillis());
+		Pace pace = this.slowdowns.at(now, state, first.expectedMillis());
 		return new Candidate(replica, task, load, first.times(pace.factor()),
 				pace.factor() * delays.readMillis(load.unreadTokens()), pace, reach, state.failureShare(),
 				others.home(state), meanRequests);
@@ -180,12 +180,12 @@
 	/**
 	 * Returns how many times all slots must become free before one is for a new request.
 	 */
-	private static double queued(Replica replica, double requests) {
+	private static double estimateQueueRounds(Replica replica, double requests) {
 		int slots = Math.max(1, replica.slots());
 		return Math.max(0, requests - slots + 1) / slots;
 	}
 
-	private Choice choice(Candidate candidate) {
+	private Choice createChoice(Candidate candidate) {
 		double loss = 0;
 		for (Loss each : this.losses) {
 			loss += each.of(candidate);
@@ -200,12 +200,12 @@
 	 * @param choice where to
 	 * @param task what the replica is to do
 	 */
-	public void sent(long now, Choice choice, Task task) {
-		this.homes.sent(now, task, choice.unreadTokens());
-		long kept = Math.round(task.cacheTokens() * KEPT_SHARE);
+	public void onSent(long now, Choice choice, Task task) {
+		this.partition.sent(now, task, choice.unreadTokens());
+		long kept = Math.round(task.cacheTokens() * CACHE_RATIO);
 		double work = choice.unreadTokens() * task.pace();
-		state(choice.replica()).sent(task, work, kept);
-		this.usualWork.merge(task.model(), work, (usual, next) -> usual + USUAL_SMOOTHING * (next - usual));
+		stateOf(choice.replica()).onSent(task, work, kept);
+		this.meanWork.merge(task.model(), work, (usual, next) -> usual + WORK_SMOOTHING * (next - usual));
 	}
 
 	/**
@@ -213,8 +213,8 @@
 	 * @param choice where it was sent
 	 * @param task what the replica was to do
 	 */
-	public void promptRead(Choice choice, Task task) {
-		state(choice.replica()).read(choice.unreadTokens() * task.pace());
+	public void onPromptRead(Choice choice, Task task) {
+		stateOf(choice.replica()).onPromptRead(choice.unreadTokens() * task.pace());
 	}
 
 	/**
@@ -226,15 +226,15 @@
 	 * in milliseconds
 	 * @param begun whether it began
 	 */
-	public void began(Choice choice, Task task, long millis, boolean begun) {
+	public void recordFirstEventDelay(Choice choice, Task task, long millis, boolean begun) {
 		double usual = millis / choice.pace().factor();
 		if (begun) {
-			this.delays.of(choice.replica(), task).seen(choice.load(), usual);
+			this.delayEstimator.of(choice.replica(), task).seen(choice.load(), usual);
 		}
 		else {
-			this.delays.of(choice.replica(), task).notSeen(choice.load(), usual);
+			this.delayEstimator.of(choice.replica(), task).notSeen(choice.load(), usual);
 		}
-		this.paces.took(state(choice.replica()), choice, millis, begun);
+		this.slowdowns.took(stateOf(choice.replica()), choice, millis, begun);
 	}
 
 	/**
@@ -242,8 +242,8 @@
 	 * @param now the time in milliseconds
 	 * @param replica the replica
 	 */
-	public void heard(long now, Replica replica) {
-		state(replica).heard(now);
+	public void onBytes(long now, Replica replica) {
+		stateOf(replica).onBytes(now);
 	}
 
 	/**
@@ -257,8 +257,8 @@
 	 * @param patienceMillis how long a replica that has nothing to read may be silent
 	 * @return true if the request is better tried elsewhere
 	 */
-	public boolean unresponsive(long now, Choice choice, long since, boolean reading, long patienceMillis) {
-		return now - silentSince(choice, since) > patience(choice, reading, patienceMillis);
+	public boolean isUnresponsive(long now, Choice choice, long since, boolean reading, long patienceMillis) {
+		return now - silentSince(choice, since) > maxSilenceMillis(choice, reading, patienceMillis);
 	}
 
 	/**
@@ -268,7 +268,7 @@
 	 * @return the time in milliseconds
 	 */
 	public long silentSince(Choice choice, long since) {
-		return Math.max(since, state(choice.replica()).heardAt());
+		return Math.max(since, stateOf(choice.replica()).lastBytesAt());
 	}
 
 	/**
@@ -278,8 +278,8 @@
 	 * @param patienceMillis how long a replica that has nothing to read may be silent
 	 * @return the time in milliseconds
 	 */
-	public long patience(Choice choice, boolean reading, long patienceMillis) {
-		return patienceMillis + (reading ? Math.round(READ_MARGIN * choice.readMillis()) : 0);
+	public long maxSilenceMillis(Choice choice, boolean reading, long patienceMillis) {
+		return patienceMillis + (reading ? Math.round(MAX_READ_RATIO * choice.readMillis()) : 0);
 	}
 
 	/**
@@ -290,10 +290,10 @@
 	 * @param task what it is to do
 	 * @return the delay
 	 */
-	public Delay delayAt(long now, List<Replica> usable, Replica replica, Task task) {
-		List<ReplicaState> states = usable.stream().map(this::state).toList();
-		Others others = Others.of(now, states, this.homes.away(usable, task));
-		return candidate(now, state(replica), task, others, 0).delay();
+	public Delay estimateDelay(long now, List<Replica> usable, Replica replica, Task task) {
+		List<ReplicaState> states = usable.stream().map(this::stateOf).toList();
+		Others others = Others.of(now, states, this.partition.away(usable, task));
+		return createCandidate(now, stateOf(replica), task, others, 0).delay();
 	}
 
 	/**
@@ -302,27 +302,27 @@
 	 * @param choice where it was sent
 	 * @param end its end
 	 */
-	public void ended(long now, Choice choice, AttemptEnd end) {
-		ReplicaState state = state(choice.replica());
-		state.ended();
+	public void onAttemptEnded(long now, Choice choice, AttemptEnd end) {
+		ReplicaState state = stateOf(choice.replica());
+		state.onEnded();
 		switch (end) {
 			case AttemptEnd.Answered answered -> {
 				if (answered.failure()) {
-					state.failed(now);
+					state.onFailure(now);
 				}
 				else {
-					state.succeeded();
+					state.onSuccess();
 				}
 			}
 			case AttemptEnd.NotRun notRun -> {
 				if (notRun.unreachable()) {
-					state.unreachable(now);
+					state.onUnreachable(now);
 				}
 			}
-			case AttemptEnd.Broken broken -> state.failed(now);
+			case AttemptEnd.Broken broken -> state.onFailure(now);
 			case AttemptEnd.Withdrawn withdrawn -> {
 			}
-			case AttemptEnd.Dropped dropped -> state.succeeded();
+			case AttemptEnd.Dropped dropped -> state.onSuccess();
 		}
 	}
 
@@ -332,8 +332,8 @@
 	 * @param replica the replica
 	 * @param report the load
 	 */
-	public void report(long now, Replica replica, LoadReport report) {
-		state(replica).report(now, report);
+	public void onLoadReport(long now, Replica replica, LoadReport report) {
+		stateOf(replica).onLoadReport(now, report);
 	}
 
 	/**
@@ -342,8 +342,8 @@
 	 * @param replica the replica
 	 * @param report its load
 	 */
-	public void report(long now, Replica replica, EngineReport report) {
-		state(replica).report(now, report);
+	public void onLoadReport(long now, Replica replica, EngineReport report) {
+		stateOf(replica).onLoadReport(now, report);
 	}
 
 	/**
@@ -352,16 +352,16 @@
 	 * @param replica the replica
 	 * @param percent how long work takes there now, 100 as usual
 	 */
-	public void pace(long now, Replica replica, int percent) {
-		this.paces.told(now, state(replica), percent);
+	public void onSlowdownReport(long now, Replica replica, int percent) {
+		this.slowdowns.told(now, stateOf(replica), percent);
 	}
 
 	/**
 	 * Returns how many replicas told a pace.
 	 * @return the number
 	 */
-	public int countPaces() {
-		return (int) this.states.values().stream().filter((state) -> state.pace().told()).count();
+	public int countReportedSlowdowns() {
+		return (int) this.states.values().stream().filter((state) -> state.slowdown().told()).count();
 	}
 
 	/**
@@ -370,12 +370,12 @@
 	 * @param replica the replica
 	 * @return true if what it told still holds
 	 */
-	public boolean toldLately(long now, Replica replica) {
-		return toldWithin(now, replica, FRESH_MILLIS);
+	public boolean hasRecentReport(long now, Replica replica) {
+		return hasReportWithin(now, replica, MAX_REPORT_AGE_MILLIS);
 	}
 
-	boolean toldWithin(long now, Replica replica, long millis) {
-		return state(replica).others().age(now) <= millis;
+	boolean hasReportWithin(long now, Replica replica, long millis) {
+		return stateOf(replica).peerRequests().age(now) <= millis;
 	}
 
 	/**
@@ -383,8 +383,8 @@
 	 * @param now the time in milliseconds
 	 * @param replica the replica
 	 */
-	public void unreachable(long now, Replica replica) {
-		state(replica).unreachable(now);
+	public void onUnreachable(long now, Replica replica) {
+		stateOf(replica).onUnreachable(now);
 	}
 
 	/**
@@ -392,8 +392,8 @@
 	 * @param now the time in milliseconds
 	 * @param replica the replica
 	 */
-	public void silent(long now, Replica replica) {
-		state(replica).failed(now);
+	public void onSilent(long now, Replica replica) {
+		stateOf(replica).onFailure(now);
 	}
 
 	/**
@@ -402,21 +402,21 @@
 	 */
 	public void retain(Set<ReplicaId> known) {
 		this.states.keySet().retainAll(known);
-		this.paces.retain(
+		this.slowdowns.retain(
 				this.states.values().stream().map((state) -> state.replica().service()).collect(Collectors.toSet()));
 	}
 
-	private static int unread(ReplicaState state, Task task) {
-		return Math.max(0, task.prompt().inputTokens() - state.kept(task));
+	private static int unreadTokens(ReplicaState state, Task task) {
+		return Math.max(0, task.prompt().inputTokens() - state.cachedTokens(task));
 	}
 
-	private ReplicaState state(Replica replica) {
+	private ReplicaState stateOf(Replica replica) {
 		ReplicaState state = this.states.get(replica.id());
 		if (state == null || !state.replica().sameProcess(replica)) {
 			state = new ReplicaState(replica);
 			this.states.put(replica.id(), state);
 		}
-		state.describe(replica);
+		state.update(replica);
 		return state;
 	}
 
--- a/core/src/main/java/org/gullsaddle/serve/ReplicaState.java
+++ b/core/src/main/java/org/gullsaddle/serve/ReplicaState.java
@@ -8,24 +8,24 @@
  */
 final class ReplicaState {
 
-	private static final double SMOOTHING = 0.1;
+	private static final double FAILURE_SMOOTHING = 0.1;
 
 	/** How long a first refused connection leaves a replica out, in milliseconds. */
-	private static final long UNREACHABLE_MILLIS = 700;
+	private static final long UNREACHABLE_EJECTION_MILLIS = 700;
 
 	/** The weight from which a count of unread requests is not replaced by a guess. */
-	private static final double STILL_TELLS = 0.5;
+	private static final double MIN_REPORT_WEIGHT = 0.5;
 
-	private final KeptParts parts = new KeptParts();
+	private final KeptParts promptCache = new KeptParts();
 
 	/** The requests of other nodes there, and how many of them are still to be read. */
-	private final ReportedLoad others = new ReportedLoad();
+	private final ReportedLoad peerRequests = new ReportedLoad();
 
-	private final ReportedLoad othersUnread = new ReportedLoad();
+	private final ReportedLoad peerUnreadRequests = new ReportedLoad();
 
 	private final Ejection ejection = new Ejection();
 
-	private final ReplicaPace pace = new ReplicaPace();
+	private final ReplicaPace slowdown = new ReplicaPace();
 
 	private Replica replica;
 
@@ -35,11 +35,11 @@
 	private int unreadRequests;
 
 	/** Their prompts, in tokens of the smallest model. */
-	private double unread;
+	private double unreadTokens;
 
 	private double failureShare;
 
-	private long heardAt = Long.MIN_VALUE;
+	private long lastBytesAt = Long.MIN_VALUE;
 
 	ReplicaState(Replica replica) {
 		this.replica = replica;
@@ -49,68 +49,68 @@
 		return this.replica;
 	}
 
-	void describe(Replica newReplica) {
+	void update(Replica newReplica) {
 		this.replica = newReplica;
 	}
 
-	void sent(Task task, double unread, long capacity) {
+	void onSent(Task task, double unread, long capacity) {
 		this.running++;
 		this.unreadRequests++;
-		this.unread += unread;
-		this.parts.read(task.model(), task.prompt().parts(), capacity);
+		this.unreadTokens += unread;
+		this.promptCache.read(task.model(), task.prompt().parts(), capacity);
 	}
 
 	/**
 	 * Notes that the replica has read a prompt, or need not any more.
 	 */
-	void read(double unread) {
+	void onPromptRead(double unread) {
 		this.unreadRequests = Math.max(0, this.unreadRequests - 1);
-		this.unread = Math.max(0, this.unread - unread);
+		this.unreadTokens = Math.max(0, this.unreadTokens - unread);
 	}
 
-	void ended() {
+	void onEnded() {
 		this.running = Math.max(0, this.running - 1);
 	}
 
-	void report(long now, LoadReport report) {
+	void onLoadReport(long now, LoadReport report) {
 		double count = report.running() + report.waiting() - this.running;
-		this.others.report(now, count);
-		if (this.othersUnread.weight(now) < STILL_TELLS) {
+		this.peerRequests.report(now, count);
+		if (this.peerUnreadRequests.weight(now) < MIN_REPORT_WEIGHT) {
 			// A plain report does not tell, so the others' are taken to be as this
 			// node's.
-			this.othersUnread.report(now, (this.running > 0) ? count * this.unreadRequests / this.running : 0);
+			this.peerUnreadRequests.report(now, (this.running > 0) ? count * this.unreadRequests / this.running : 0);
 		}
 	}
 
-	void report(long now, EngineReport report) {
-		this.others.report(now, report.requests() - this.running);
-		this.othersUnread.report(now, report.unread() - this.unreadRequests);
+	void onLoadReport(long now, EngineReport report) {
+		this.peerRequests.report(now, report.requests() - this.running);
+		this.peerUnreadRequests.report(now, report.unread() - this.unreadRequests);
 	}
 
-	void heard(long now) {
-		this.heardAt = now;
+	void onBytes(long now) {
+		this.lastBytesAt = now;
 	}
 
-	long heardAt() {
-		return this.heardAt;
+	long lastBytesAt() {
+		return this.lastBytesAt;
 	}
 
-	void succeeded() {
+	void onSuccess() {
 		this.ejection.succeeded();
-		this.failureShare -= SMOOTHING * this.failureShare;
+		this.failureShare -= FAILURE_SMOOTHING * this.failureShare;
 	}
 
-	void failed(long now) {
+	void onFailure(long now) {
 		this.ejection.failed(now);
-		this.failureShare += SMOOTHING * (1 - this.failureShare);
+		this.failureShare += FAILURE_SMOOTHING * (1 - this.failureShare);
 	}
 
-	void unreachable(long now) {
+	void onUnreachable(long now) {
 		this.ejection.failed(now);
-		this.ejection.eject(now, UNREACHABLE_MILLIS);
+		this.ejection.eject(now, UNREACHABLE_EJECTION_MILLIS);
 	}
 
-	boolean ejected(long now) {
+	boolean isEjected(long now) {
 		return this.ejection.ejected(now);
 	}
 
@@ -118,24 +118,24 @@
 		return this.failureShare;
 	}
 
-	ReplicaPace pace() {
-		return this.pace;
+	ReplicaPace slowdown() {
+		return this.slowdown;
 	}
 
-	ReportedLoad others() {
-		return this.others;
+	ReportedLoad peerRequests() {
+		return this.peerRequests;
 	}
 
-	ReportedLoad othersUnread() {
-		return this.othersUnread;
+	ReportedLoad peerUnreadRequests() {
+		return this.peerUnreadRequests;
 	}
 
 	/**
 	 * Returns how many requests are likely there.
 	 * @param usual how many other nodes have at a replica on the mean
 	 */
-	double requests(long now, double usual) {
-		return this.running + this.others.at(now, usual);
+	double estimateRequests(long now, double usual) {
+		return this.running + this.peerRequests.at(now, usual);
 	}
 
 	/**
@@ -144,12 +144,12 @@
 	 * @param usual how many unread requests of other nodes a replica has on the mean
 	 * @param tokens how much a request of this node has to be read, in such tokens
 	 */
-	double backlog(long now, double usual, double tokens) {
-		return this.unread + tokens * this.othersUnread.at(now, usual);
+	double estimateBacklogTokens(long now, double usual, double tokens) {
+		return this.unreadTokens + tokens * this.peerUnreadRequests.at(now, usual);
 	}
 
-	int kept(Task task) {
-		return this.parts.kept(task.model(), task.prompt().parts());
+	int cachedTokens(Task task) {
+		return this.promptCache.kept(task.model(), task.prompt().parts());
 	}
 
 }
--- a/core/src/test/java/org/gullsaddle/base/StoredDocumentTests.java
+++ b/core/src/test/java/org/gullsaddle/base/StoredDocumentTests.java
@@ -33,7 +33,7 @@
 import org.gullsaddle.route.CallOutcome;
 import org.gullsaddle.serve.AttemptEnd;
 import org.gullsaddle.serve.LimitNote;
-import org.gullsaddle.serve.ReplicaRules;
+import org.gullsaddle.serve.ReplicaEligibility;
 import org.gullsaddle.serve.RolloutNote;
 import org.gullsaddle.suspect.CrashNote;
 import org.gullsaddle.suspect.Trait;
@@ -174,7 +174,7 @@
 		assertThat(RefusalReason.values()).extracting(RefusalReason::status)
 			.containsExactly(401, 404, 400, 413, 400, 422, 409, 429, 503, 503, 503, 503, 503, 503, 504, 502, 422, 499);
 		assertThat(RolloutState.values()).extracting(Enum::name).containsExactly("RUNNING", "COMPLETED", "ROLLED_BACK");
-		assertThat(ReplicaRules.NoReplica.values()).extracting(Enum::name)
+		assertThat(ReplicaEligibility.NoReplica.values()).extracting(Enum::name)
 			.containsExactly("CRASHES", "NONE", "TRIED", "COLD", "LIMITED", "RESTING", "EVACUATED", "OTHER_REGION");
 		assertThat(new AttemptEnd.NotRun(true, "no connection"))
 			.hasToString("NotRun[unreachable=true, reason=no connection]");
--- a/core/src/test/java/org/gullsaddle/serve/BackpressureBookTests.java
+++ b/core/src/test/java/org/gullsaddle/serve/BackpressureBookTests.java
@@ -30,7 +30,7 @@
 
 	private Optional<List<Peer>> peers = Optional.of(List.of(new Peer(SELF, "a")));
 
-	private final BackpressureBook book = new BackpressureBook(SELF, new Place("a", Map.of("a", "north")),
+	private final BackpressureBook book = new BackpressureBook(SELF, new NodeLocation("a", Map.of("a", "north")),
 			() -> this.peers, new Random(1));
 
 	private static Replica replica(long startedAt) {
--- a/core/src/test/java/org/gullsaddle/serve/HomesTests.java
+++ b/core/src/test/java/org/gullsaddle/serve/HomesTests.java
@@ -21,7 +21,7 @@
 
 	private static final Task LARGE = task("large", 15, ModelScale.LARGE);
 
-	private final Homes homes = new Homes(new Place("a", Map.of("a", "north", "b", "north", "c", "south")));
+	private final Homes homes = new Homes(new NodeLocation("a", Map.of("a", "north", "b", "north", "c", "south")));
 
 	private static Task task(String model, double pace, ModelScale scale) {
 		Prompt prompt = new Prompt(1000, 10, OptionalInt.empty(), List.of(new PromptPart("p", 1000)));
--- a/core/src/test/java/org/gullsaddle/serve/LimitShareTests.java
+++ b/core/src/test/java/org/gullsaddle/serve/LimitShareTests.java
@@ -19,7 +19,7 @@
 
 class LimitShareTests {
 
-	private static final Place PLACE = new Place("a", Map.of("a", "north", "b", "north", "c", "south"));
+	private static final NodeLocation PLACE = new NodeLocation("a", Map.of("a", "north", "b", "north", "c", "south"));
 
 	private static final Replica REPLICA = new Replica(new ReplicaId("engine"), new ServiceName("engines"),
 			new Address("10.0.0.1", 80), "b", "v1", 8, false, 1);
--- a/core/src/test/java/org/gullsaddle/serve/LossTests.java
+++ b/core/src/test/java/org/gullsaddle/serve/LossTests.java
@@ -23,7 +23,7 @@
 
 	private double readMillis;
 
-	private Reach reach = Reach.DATA_CENTER;
+	private Distance reach = Distance.SAME_DATA_CENTER;
 
 	private double failureShare;
 
@@ -54,9 +54,9 @@
 	@Test
 	void farRegionCostsMoreThanTheNextDataCenter() {
 		assertThat(loss(new Loss.Distance())).isZero();
-		this.reach = Reach.REGION;
+		this.reach = Distance.SAME_REGION;
 		double next = loss(new Loss.Distance());
-		this.reach = Reach.FAR;
+		this.reach = Distance.OTHER_REGION;
 		assertThat(loss(new Loss.Distance())).isGreaterThan(next);
 	}
 
--- a/core/src/test/java/org/gullsaddle/serve/ReplicaRulesTests.java
+++ b/core/src/test/java/org/gullsaddle/serve/ReplicaEligibilityTests.java
@@ -23,13 +23,13 @@
 import org.gullsaddle.fleet.ReplicaId;
 import org.gullsaddle.fleet.RolloutOrder;
 import org.gullsaddle.fleet.ServiceName;
-import org.gullsaddle.serve.ReplicaRules.NoReplica;
-import org.gullsaddle.serve.ReplicaRules.Wanted;
+import org.gullsaddle.serve.ReplicaEligibility.NoReplica;
+import org.gullsaddle.serve.ReplicaEligibility.Requirements;
 import org.gullsaddle.suspect.CrashBook;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-class ReplicaRulesTests {
+class ReplicaEligibilityTests {
 
 	private static final NodeId NODE = new NodeId("node");
 
@@ -41,21 +41,21 @@
 
 	private final ReplicaDirectory directory = new ReplicaDirectory();
 
-	private final Place place = new Place("a", Map.of("a", "north", "b", "north", "c", "south"));
+	private final NodeLocation place = new NodeLocation("a", Map.of("a", "north", "b", "north", "c", "south"));
 
 	private final BackpressureBook book = new BackpressureBook(NODE, this.place,
 			() -> Optional.of(List.of(new Peer(NODE, "a"))), new Random(1));
 
-	private final ReplicaRules rules = new ReplicaRules(this.directory, this.place, new ColdPace("node"), this.book,
-			new CrashBook());
+	private final ReplicaEligibility rules = new ReplicaEligibility(this.directory, this.place, new ColdPace("node"),
+			this.book, new CrashBook());
 
 	private static Replica replica(String dataCenter, String release) {
 		return new Replica(new ReplicaId(dataCenter + '-' + release), ENGINES, new Address("10.0.0.1", 80), dataCenter,
 				release, 8, false, 1);
 	}
 
-	private static Wanted wanted(RegionLimit limit) {
-		return new Wanted(ENGINES, limit, COLD_START, Optional.of(1), Optional.empty(), KEY, List.of());
+	private static Requirements wanted(RegionLimit limit) {
+		return new Requirements(ENGINES, limit, COLD_START, Optional.of(1), Optional.empty(), KEY, List.of());
 	}
 
 	private static RegionLimit limit(String regions) {
@@ -66,8 +66,8 @@
 		return (text != null) ? Arrays.asList(text.split(" ")) : List.of();
 	}
 
-	private String usable(Wanted wanted) {
-		return this.rules.usable(0, wanted, Set.of())
+	private String usable(Requirements wanted) {
+		return this.rules.eligibleReplicas(0, wanted, Set.of())
 			.stream()
 			.map((replica) -> replica.id().value())
 			.collect(Collectors.joining(" "));
@@ -85,9 +85,9 @@
 	@Test
 	void onlyColdReplicasThatMayServeTheRequestCount() {
 		this.directory.cold(0, replica("c", "v1"), 1000);
-		assertThat(this.rules.anyCold(0, wanted(RegionLimit.ANYWHERE))).isTrue();
-		assertThat(this.rules.anyCold(0, wanted(limit("north")))).isFalse();
-		assertThat(this.rules.anyCold(2000, wanted(RegionLimit.ANYWHERE))).isFalse();
+		assertThat(this.rules.hasColdReplica(0, wanted(RegionLimit.ANYWHERE))).isTrue();
+		assertThat(this.rules.hasColdReplica(0, wanted(limit("north")))).isFalse();
+		assertThat(this.rules.hasColdReplica(2000, wanted(RegionLimit.ANYWHERE))).isFalse();
 	}
 
 	/** Guards against a way past one rule where another one binds too. */
@@ -107,12 +107,12 @@
 	class WhereThereIsNoReplica {
 
 		private NoReplica why(RegionLimit limit) {
-			return ReplicaRulesTests.this.rules.whyNone(0, wanted(limit));
+			return ReplicaEligibilityTests.this.rules.noReplicaReason(0, wanted(limit));
 		}
 
 		@Test
 		void anEvacuationIsTold() {
-			ReplicaRulesTests.this.directory.evacuate("c");
+			ReplicaEligibilityTests.this.directory.evacuate("c");
 			assertThat(why(limit("south"))).isEqualTo(NoReplica.EVACUATED);
 		}
 
@@ -124,13 +124,14 @@
 		@Test
 		void anEmptyRegistryIsTold() {
 			List.of("a", "b", "c")
-				.forEach((dataCenter) -> ReplicaRulesTests.this.directory.remove(0, replica(dataCenter, "v1").id()));
+				.forEach((dataCenter) -> ReplicaEligibilityTests.this.directory.remove(0,
+						replica(dataCenter, "v1").id()));
 			assertThat(why(RegionLimit.ANYWHERE)).isEqualTo(NoReplica.NONE);
 		}
 
 		@Test
 		void coldReplicasAreTold() {
-			ReplicaRulesTests.this.directory.cold(0, replica("c", "v1"), 1000);
+			ReplicaEligibilityTests.this.directory.cold(0, replica("c", "v1"), 1000);
 			assertThat(why(limit("south"))).isEqualTo(NoReplica.COLD);
 		}
 
@@ -139,20 +140,20 @@
 	@Nested
 	class WhereAllReplicasAreCold {
 
-		private final Wanted south = wanted(limit("south"));
+		private final Requirements south = wanted(limit("south"));
 
 		private final Replica cold = replica("c", "v1");
 
 		@BeforeEach
 		void coolDown() {
-			ReplicaRulesTests.this.directory.cold(0, this.cold, 1000);
+			ReplicaEligibilityTests.this.directory.cold(0, this.cold, 1000);
 		}
 
 		@Test
 		void theyGetNoMoreThanTheyBear() {
 			int sent = 0;
-			while (!ReplicaRulesTests.this.rules.usable(0, this.south, Set.of()).isEmpty()) {
-				ReplicaRulesTests.this.rules.sent(0, this.south, this.cold);
+			while (!ReplicaEligibilityTests.this.rules.eligibleReplicas(0, this.south, Set.of()).isEmpty()) {
+				ReplicaEligibilityTests.this.rules.onSent(0, this.south, this.cold);
 				sent++;
 			}
 			assertThat(sent).isBetween(1, 20);
@@ -161,21 +162,21 @@
 		/** Guards against nodes that all take the whole of what a replica bears. */
 		@Test
 		void theyGetNothingFromANodeThatTheOthersMayNotCount() {
-			Wanted uncounted = new Wanted(ENGINES, limit("south"), COLD_START, Optional.empty(), Optional.empty(), KEY,
-					List.of());
+			Requirements uncounted = new Requirements(ENGINES, limit("south"), COLD_START, Optional.empty(),
+					Optional.empty(), KEY, List.of());
 			assertThat(usable(uncounted)).isEmpty();
 		}
 
 		@Test
 		void theyAreUsedAsUsualIfTheyBearAsMuchAsWarmOnes() {
-			Wanted unlimited = new Wanted(ENGINES, limit("south"), ColdStart.NONE, Optional.empty(), Optional.empty(),
-					KEY, List.of());
+			Requirements unlimited = new Requirements(ENGINES, limit("south"), ColdStart.NONE, Optional.empty(),
+					Optional.empty(), KEY, List.of());
 			assertThat(usable(unlimited)).isEqualTo("c-v1");
 		}
 
 		@Test
 		void oneThatTurnsWarmIsUsed() {
-			assertThat(ReplicaRulesTests.this.rules.cold(1000, this.south, this.cold)).isFalse();
+			assertThat(ReplicaEligibilityTests.this.rules.isCold(1000, this.south, this.cold)).isFalse();
 		}
 
 	}
@@ -183,14 +184,14 @@
 	@Nested
 	class WhereReplicasAskForFewerRequests {
 
-		private final Wanted north = wanted(limit("north"));
+		private final Requirements north = wanted(limit("north"));
 
-		private Set<ReplicaId> leftOut(Wanted wanted) {
-			return ReplicaRulesTests.this.rules.leftOut(0, wanted, Set.of());
+		private Set<ReplicaId> leftOut(Requirements wanted) {
+			return ReplicaEligibilityTests.this.rules.excludedReplicas(0, wanted, Set.of());
 		}
 
 		private void rest(String dataCenter, String release) {
-			ReplicaRulesTests.this.book.heard(0, replica(dataCenter, release),
+			ReplicaEligibilityTests.this.book.heard(0, replica(dataCenter, release),
 					new Backpressure(new RateLimit.None(), 3000));
 		}
 
@@ -207,19 +208,20 @@
 		@Test
 		void theReasonIsToldIfAllDo() {
 			rest("a", "v1");
-			assertThat(ReplicaRulesTests.this.rules.whyNone(0, this.north)).isEqualTo(NoReplica.TRIED);
+			assertThat(ReplicaEligibilityTests.this.rules.noReplicaReason(0, this.north)).isEqualTo(NoReplica.TRIED);
 			rest("b", "v1");
-			assertThat(ReplicaRulesTests.this.rules.whyNone(0, this.north)).isEqualTo(NoReplica.RESTING);
-			ReplicaRulesTests.this.book.heard(3000, replica("a", "v1"), Backpressure.of(new RateLimit.Named(0)));
-			assertThat(ReplicaRulesTests.this.rules.whyNone(2000, this.north)).isEqualTo(NoReplica.RESTING);
+			assertThat(ReplicaEligibilityTests.this.rules.noReplicaReason(0, this.north)).isEqualTo(NoReplica.RESTING);
+			ReplicaEligibilityTests.this.book.heard(3000, replica("a", "v1"), Backpressure.of(new RateLimit.Named(0)));
+			assertThat(ReplicaEligibilityTests.this.rules.noReplicaReason(2000, this.north))
+				.isEqualTo(NoReplica.RESTING);
 		}
 
 		/** Guards against cold replicas that stand idle while all warm ones rest. */
 		@Test
 		void coldReplicasGetAFewRequestsIfAllWarmOnesDo() {
-			ReplicaRulesTests.this.directory.cold(0, replica("b", "v1"), 1000);
+			ReplicaEligibilityTests.this.directory.cold(0, replica("b", "v1"), 1000);
 			rest("a", "v1");
-			assertThat(ReplicaRulesTests.this.rules.usable(0, this.north, leftOut(this.north)))
+			assertThat(ReplicaEligibilityTests.this.rules.eligibleReplicas(0, this.north, leftOut(this.north)))
 				.contains(replica("b", "v1"));
 		}
 
@@ -229,26 +231,27 @@
 		@Test
 		void requestsOfTheOldReleaseNeverGoToTheNewOneForIt() {
 			List.of("a", "b", "c").forEach((dataCenter) -> {
-				ReplicaRulesTests.this.directory.put(replica(dataCenter, "v2"));
+				ReplicaEligibilityTests.this.directory.put(replica(dataCenter, "v2"));
 				rest(dataCenter, "v1");
 			});
 			Rollout justBegun = new Rollout(0, new RolloutOrder(ENGINES, "v2", 10_000), 1);
 			ReleaseKey session = new ReleaseKey("session", true);
-			Wanted wanted = new Wanted(ENGINES, RegionLimit.ANYWHERE, COLD_START, Optional.of(1),
+			Requirements wanted = new Requirements(ENGINES, RegionLimit.ANYWHERE, COLD_START, Optional.of(1),
 					Optional.of(justBegun), session, List.of());
 			Set<ReplicaId> leftOut = leftOut(wanted);
-			assertThat(ReplicaRulesTests.this.rules.usable(0, wanted, leftOut))
+			assertThat(ReplicaEligibilityTests.this.rules.eligibleReplicas(0, wanted, leftOut))
 				.allMatch((replica) -> leftOut.contains(replica.id()));
 		}
 
 		@Test
 		void requestsOfTheNewReleaseGoToTheOldOneForIt() {
-			ReplicaRulesTests.this.directory.put(replica("a", "v2"));
+			ReplicaEligibilityTests.this.directory.put(replica("a", "v2"));
 			rest("a", "v2");
 			Rollout done = new Rollout(-9900, new RolloutOrder(ENGINES, "v2", 10_000), 1);
-			Wanted wanted = new Wanted(ENGINES, RegionLimit.ANYWHERE, COLD_START, Optional.of(1), Optional.of(done),
-					KEY, List.of());
-			assertThat(ReplicaRulesTests.this.rules.usable(0, wanted, leftOut(wanted))).extracting(Replica::release)
+			Requirements wanted = new Requirements(ENGINES, RegionLimit.ANYWHERE, COLD_START, Optional.of(1),
+					Optional.of(done), KEY, List.of());
+			assertThat(ReplicaEligibilityTests.this.rules.eligibleReplicas(0, wanted, leftOut(wanted)))
+				.extracting(Replica::release)
 				.containsOnly("v1");
 		}
 
@@ -264,13 +267,13 @@
 		@Test
 		void requestsOfTheNewReleaseGoToTheOldOneWhileTheNewReplicasAreCold() {
 			Replica fresh = replica("a", "v2");
-			ReplicaRulesTests.this.directory.put(fresh);
-			ReplicaRulesTests.this.directory.cold(0, fresh, 1000);
+			ReplicaEligibilityTests.this.directory.put(fresh);
+			ReplicaEligibilityTests.this.directory.cold(0, fresh, 1000);
 			Rollout rollout = new Rollout(-9000, new RolloutOrder(ENGINES, "v2", 10_000), 1);
-			Wanted wanted = new Wanted(ENGINES, RegionLimit.ANYWHERE, COLD_START, Optional.of(1), Optional.of(rollout),
-					KEY, List.of());
+			Requirements wanted = new Requirements(ENGINES, RegionLimit.ANYWHERE, COLD_START, Optional.of(1),
+					Optional.of(rollout), KEY, List.of());
 			assertThat(usable(wanted)).isEqualTo("a-v1 b-v1 c-v1");
-			ReplicaRulesTests.this.directory.cold(0, fresh, 0);
+			ReplicaEligibilityTests.this.directory.cold(0, fresh, 0);
 			assertThat(usable(wanted)).isEqualTo("a-v2");
 		}
 
--- a/core/src/test/java/org/gullsaddle/serve/ReplicaPaceTests.java
+++ b/core/src/test/java/org/gullsaddle/serve/ReplicaPaceTests.java
@@ -27,7 +27,7 @@
 
 	private static final int USUAL = 100;
 
-	private final ReplicaPicker picker = new ReplicaPicker(new Place("a", Map.of("a", "north")));
+	private final ReplicaSelector picker = new ReplicaSelector(new NodeLocation("a", Map.of("a", "north")));
 
 	private final List<Replica> replicas = List.of(replica(0, 1), replica(1, 1), replica(2, 1));
 
@@ -42,7 +42,7 @@
 	}
 
 	private Choice choice(long now, Replica replica) {
-		return this.picker.pick(now, List.of(replica), Set.of(), task(10_000, "x")).orElseThrow();
+		return this.picker.chooseReplica(now, List.of(replica), Set.of(), task(10_000, "x")).orElseThrow();
 	}
 
 	private double factor(long now, int number) {
@@ -51,7 +51,7 @@
 
 	private void tell(long now, int... percents) {
 		for (int i = 0; i < percents.length; i++) {
-			this.picker.pace(now, this.replicas.get(i), percents[i]);
+			this.picker.onSlowdownReport(now, this.replicas.get(i), percents[i]);
 		}
 	}
 
@@ -63,8 +63,8 @@
 			long now = 1000L * i;
 			for (int j = 0; j < slower.length; j++) {
 				tell(now, USUAL, USUAL, USUAL);
-				this.picker.began(choice(now, this.replicas.get(j)), task(10_000, "x"), Math.round(500 * slower[j]),
-						true);
+				this.picker.recordFirstEventDelay(choice(now, this.replicas.get(j)), task(10_000, "x"),
+						Math.round(500 * slower[j]), true);
 			}
 		}
 	}
@@ -134,13 +134,13 @@
 		void delaysOfOneReplicaCountForAll() {
 			for (int i = 0; i < 20; i++) {
 				Choice slow = choice(i, ReplicaPaceTests.this.replicas.get(2));
-				ReplicaPaceTests.this.picker.began(slow, task(10_000, "x"), 3000, true);
+				ReplicaPaceTests.this.picker.recordFirstEventDelay(slow, task(10_000, "x"), 3000, true);
 			}
 			Choice other = choice(20, ReplicaPaceTests.this.replicas.get(0));
 			Choice slow = choice(20, ReplicaPaceTests.this.replicas.get(2));
 			assertThat(other.delay()).isEqualTo(slow.delay());
 			assertThat(slow.pace()).isEqualTo(Pace.USUAL);
-			assertThat(ReplicaPaceTests.this.picker.countPaces()).isZero();
+			assertThat(ReplicaPaceTests.this.picker.countReportedSlowdowns()).isZero();
 		}
 
 	}
@@ -203,15 +203,15 @@
 		}
 
 		private void end(Attempt attempt) {
-			ReplicaPicker picker = ReplicaPaceTests.this.picker;
+			ReplicaSelector picker = ReplicaPaceTests.this.picker;
 			int number = number(attempt.choice.replica());
 			double figure = slowed(number, attempt.end) * (this.figureHasSpeed ? speed(number) : 1);
 			if (this.toldFigure) {
-				picker.pace(attempt.end, attempt.choice.replica(), (int) Math.round(USUAL * figure));
+				picker.onSlowdownReport(attempt.end, attempt.choice.replica(), (int) Math.round(USUAL * figure));
 			}
-			picker.promptRead(attempt.choice, attempt.task);
-			picker.began(attempt.choice, attempt.task, attempt.millis(), true);
-			picker.ended(attempt.end, attempt.choice, new AttemptEnd.Answered(200));
+			picker.onPromptRead(attempt.choice, attempt.task);
+			picker.recordFirstEventDelay(attempt.choice, attempt.task, attempt.millis(), true);
+			picker.onAttemptEnded(attempt.end, attempt.choice, new AttemptEnd.Answered(200));
 		}
 
 		/**
@@ -219,7 +219,7 @@
 		 */
 		private double lost() {
 			Random random = new Random(1);
-			ReplicaPicker picker = ReplicaPaceTests.this.picker;
+			ReplicaSelector picker = ReplicaPaceTests.this.picker;
 			for (int i = 0; i < REPLICAS; i++) {
 				this.all.add(replica(i, 1));
 			}
@@ -235,8 +235,8 @@
 				Collections.shuffle(free, random);
 				Task task = task(4000 + random.nextInt(12_000), "x" + i);
 				double work = 0.1 * task.prompt().inputTokens() * (0.9 + 0.2 * random.nextDouble());
-				Choice choice = picker.pick(now, free.subList(0, FREE), Set.of(), task).orElseThrow();
-				picker.sent(now, choice, task);
+				Choice choice = picker.chooseReplica(now, free.subList(0, FREE), Set.of(), task).orElseThrow();
+				picker.onSent(now, choice, task);
 				long millis = takes(number(choice.replica()), now, work);
 				open.add(new Attempt(choice, task, now, now + millis));
 				taken += millis;
--- a/core/src/test/java/org/gullsaddle/serve/ReplicaPickerTests.java
+++ b/core/src/test/java/org/gullsaddle/serve/ReplicaSelectorTests.java
@@ -18,16 +18,16 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-class ReplicaPickerTests {
+class ReplicaSelectorTests {
 
 	private static final long CACHE = 400_000;
 
-	private final ReplicaPicker picker = new ReplicaPicker(
-			new Place("a", Map.of("a", "north", "b", "north", "c", "south")));
+	private final ReplicaSelector picker = new ReplicaSelector(
+			new NodeLocation("a", Map.of("a", "north", "b", "north", "c", "south")));
 
 	private final List<Replica> replicas = new ArrayList<>();
 
-	ReplicaPickerTests() {
+	ReplicaSelectorTests() {
 		for (int i = 0; i < 4; i++) {
 			this.replicas.add(replica("near-" + i, "a"));
 			this.replicas.add(replica("far-" + i, "c"));
@@ -47,12 +47,12 @@
 
 	private Choice send(Task task) {
 		Choice choice = pick(task);
-		this.picker.sent(0, choice, task);
+		this.picker.onSent(0, choice, task);
 		return choice;
 	}
 
 	private Choice pick(Task task) {
-		return this.picker.pick(0, this.replicas, Set.of(), task).orElseThrow();
+		return this.picker.chooseReplica(0, this.replicas, Set.of(), task).orElseThrow();
 	}
 
 	@Test
@@ -63,8 +63,8 @@
 	@Test
 	void promptGoesWhereItsSharedPartIsKept() {
 		Choice first = send(task("small", 1, "x"));
-		this.picker.promptRead(first, task("small", 1, "x"));
-		this.picker.ended(0, first, new AttemptEnd.Answered(200));
+		this.picker.onPromptRead(first, task("small", 1, "x"));
+		this.picker.onAttemptEnded(0, first, new AttemptEnd.Answered(200));
 		Choice second = pick(task("small", 1, "x"));
 		assertThat(second.replica()).isEqualTo(first.replica());
 		assertThat(second.unreadTokens()).isZero();
@@ -79,14 +79,14 @@
 		Choice first = send(task("small", 1, "x"));
 		Replica again = new Replica(first.replica().id(), first.replica().service(), first.replica().address(), "a",
 				"v1", 64, false, 2);
-		Choice second = this.picker.pick(0, List.of(again), Set.of(), task("small", 1, "x")).orElseThrow();
+		Choice second = this.picker.chooseReplica(0, List.of(again), Set.of(), task("small", 1, "x")).orElseThrow();
 		assertThat(second.unreadTokens()).isEqualTo(12_500);
 	}
 
 	@Test
 	void replicaThatCannotBeReachedIsLeftOutForAWhile() {
 		Choice first = send(task("small", 1, "x"));
-		this.picker.ended(0, first, new AttemptEnd.NotRun(true, "unreachable"));
+		this.picker.onAttemptEnded(0, first, new AttemptEnd.NotRun(true, "unreachable"));
 		assertThat(pick(task("small", 1, "x")).replica()).isNotEqualTo(first.replica());
 	}
 
@@ -96,10 +96,10 @@
 		Replica full = this.replicas.get(2);
 		Task task = task("small", 1, "x");
 		send(task);
-		this.picker.report(0, idle, new EngineReport(2, 0, 0));
-		this.picker.report(0, full, new EngineReport(64, 10, 40));
-		double soon = this.picker.delayAt(0, this.replicas, idle, task).expectedMillis();
-		assertThat(this.picker.delayAt(0, this.replicas, full, task).expectedMillis()).isGreaterThan(2 * soon);
+		this.picker.onLoadReport(0, idle, new EngineReport(2, 0, 0));
+		this.picker.onLoadReport(0, full, new EngineReport(64, 10, 40));
+		double soon = this.picker.estimateDelay(0, this.replicas, idle, task).expectedMillis();
+		assertThat(this.picker.estimateDelay(0, this.replicas, full, task).expectedMillis()).isGreaterThan(2 * soon);
 	}
 
 	/** Guards against a dark replica that draws requests as none can leave it. */
@@ -108,7 +108,7 @@
 		Replica dark = pick(task("small", 1, "x")).replica();
 		assertThat(pick(task("small", 1, "x")).replica()).isEqualTo(dark);
 		for (int i = 0; i < 3; i++) {
-			this.picker.silent(0, dark);
+			this.picker.onSilent(0, dark);
 		}
 		assertThat(pick(task("small", 1, "x")).replica()).isNotEqualTo(dark);
 	}
@@ -134,13 +134,14 @@
 		private final Task task = task("large", 15, "x");
 
 		private void tell(long now, String id, EngineReport report) {
-			ReplicaPickerTests.this.replicas.stream()
+			ReplicaSelectorTests.this.replicas.stream()
 				.filter((replica) -> replica.id().value().equals(id))
-				.forEach((replica) -> ReplicaPickerTests.this.picker.report(now, replica, report));
+				.forEach((replica) -> ReplicaSelectorTests.this.picker.onLoadReport(now, replica, report));
 		}
 
 		private EngineLoad load(long now, String id) {
-			return ReplicaPickerTests.this.picker.best(now, ReplicaPickerTests.this.replicas, Set.of(), this.task, 8)
+			return ReplicaSelectorTests.this.picker
+				.bestChoices(now, ReplicaSelectorTests.this.replicas, Set.of(), this.task, 8)
 				.stream()
 				.filter((choice) -> choice.replica().id().value().equals(id))
 				.findFirst()
@@ -153,7 +154,7 @@
 		 */
 		@Test
 		void replicaThatWasNeverMetIsNotTakenForIdle() {
-			ReplicaPickerTests.this.replicas.stream()
+			ReplicaSelectorTests.this.replicas.stream()
 				.map((replica) -> replica.id().value())
 				.filter((id) -> !id.equals("near-3"))
 				.forEach((id) -> tell(0, id, BUSY));
@@ -174,41 +175,42 @@
 		@Test
 		void promptGoesToTheReplicaThatSaysItIsFree() {
 			Choice first = send(this.task);
-			ReplicaPickerTests.this.picker.promptRead(first, this.task);
-			Replica free = ReplicaPickerTests.this.picker
-				.best(0, ReplicaPickerTests.this.replicas, Set.of(first.replica().id()), this.task, 1)
+			ReplicaSelectorTests.this.picker.onPromptRead(first, this.task);
+			Replica free = ReplicaSelectorTests.this.picker
+				.bestChoices(0, ReplicaSelectorTests.this.replicas, Set.of(first.replica().id()), this.task, 1)
 				.get(0)
 				.replica();
-			ReplicaPickerTests.this.replicas.forEach((replica) -> tell(0, replica.id().value(), BUSY));
+			ReplicaSelectorTests.this.replicas.forEach((replica) -> tell(0, replica.id().value(), BUSY));
 			tell(0, free.id().value(), new EngineReport(0, 0, 0));
 			assertThat(pick(this.task).replica()).isEqualTo(free);
 		}
 
 		@Test
 		void loadThatAnAnswerToldCountsAsToldLately() {
-			Replica replica = ReplicaPickerTests.this.replicas.get(0);
-			assertThat(ReplicaPickerTests.this.picker.toldWithin(0, replica, 500)).isFalse();
-			ReplicaPickerTests.this.picker.report(1000, replica, new LoadReport(3, 0, 64));
-			assertThat(ReplicaPickerTests.this.picker.toldWithin(1500, replica, 500)).isTrue();
-			assertThat(ReplicaPickerTests.this.picker.toldWithin(1501, replica, 500)).isFalse();
+			Replica replica = ReplicaSelectorTests.this.replicas.get(0);
+			assertThat(ReplicaSelectorTests.this.picker.hasReportWithin(0, replica, 500)).isFalse();
+			ReplicaSelectorTests.this.picker.onLoadReport(1000, replica, new LoadReport(3, 0, 64));
+			assertThat(ReplicaSelectorTests.this.picker.hasReportWithin(1500, replica, 500)).isTrue();
+			assertThat(ReplicaSelectorTests.this.picker.hasReportWithin(1501, replica, 500)).isFalse();
 		}
 
 		/** Guards against questions that are paid for and tell nothing new. */
 		@Test
 		void onlyReplicasOfTheRegionThatToldNothingLatelyAreAsked() {
-			List<Replica> asked = ReplicaPickerTests.this.picker.toAsk(0, ReplicaPickerTests.this.replicas, Set.of(),
-					this.task);
+			List<Replica> asked = ReplicaSelectorTests.this.picker.replicasToQuery(0,
+					ReplicaSelectorTests.this.replicas, Set.of(), this.task);
 			assertThat(asked).isNotEmpty()
 				.hasSizeLessThanOrEqualTo(3)
 				.allSatisfy((replica) -> assertThat(replica.dataCenter()).isEqualTo("a"));
 			tell(0, asked.get(0).id().value(), BUSY);
-			assertThat(ReplicaPickerTests.this.picker.toAsk(0, ReplicaPickerTests.this.replicas, Set.of(), this.task))
+			assertThat(ReplicaSelectorTests.this.picker.replicasToQuery(0, ReplicaSelectorTests.this.replicas, Set.of(),
+					this.task))
 				.doesNotContain(asked.get(0));
 		}
 
 		@Test
 		void nothingIsAskedForTheSmallestModel() {
-			assertThat(ReplicaPickerTests.this.picker.toAsk(0, ReplicaPickerTests.this.replicas, Set.of(),
+			assertThat(ReplicaSelectorTests.this.picker.replicasToQuery(0, ReplicaSelectorTests.this.replicas, Set.of(),
 					task("small", 1, "x")))
 				.isEmpty();
 		}
@@ -219,19 +221,19 @@
 		 */
 		@Test
 		void smallestModelsEnginesAreAskedWhereRoomIsShort() {
-			ReplicaPickerTests.this.picker.keepSizesApart();
-			assertThat(ReplicaPickerTests.this.picker.toAsk(0, ReplicaPickerTests.this.replicas, Set.of(),
+			ReplicaSelectorTests.this.picker.separateModelSizes();
+			assertThat(ReplicaSelectorTests.this.picker.replicasToQuery(0, ReplicaSelectorTests.this.replicas, Set.of(),
 					task("small", 1, "x")))
 				.isNotEmpty();
-			assertThat(
-					ReplicaPickerTests.this.picker.toAsk(0, ReplicaPickerTests.this.replicas, Set.of(), Task.call(500)))
+			assertThat(ReplicaSelectorTests.this.picker.replicasToQuery(0, ReplicaSelectorTests.this.replicas, Set.of(),
+					Task.call(500)))
 				.isEmpty();
 		}
 
 		@Test
 		void replicaThatDidNotAnswerIsLeftOutForAWhile() {
 			Choice first = pick(this.task);
-			ReplicaPickerTests.this.picker.unreachable(0, first.replica());
+			ReplicaSelectorTests.this.picker.onUnreachable(0, first.replica());
 			assertThat(pick(this.task).replica()).isNotEqualTo(first.replica());
 		}
 
@@ -255,10 +257,10 @@
 				Choice second = send(big);
 				small.add(first.replica().id());
 				large.add(second.replica().id());
-				ReplicaPickerTests.this.picker.promptRead(first, little);
-				ReplicaPickerTests.this.picker.promptRead(second, big);
-				ReplicaPickerTests.this.picker.ended(0, first, new AttemptEnd.Answered(200));
-				ReplicaPickerTests.this.picker.ended(0, second, new AttemptEnd.Answered(200));
+				ReplicaSelectorTests.this.picker.onPromptRead(first, little);
+				ReplicaSelectorTests.this.picker.onPromptRead(second, big);
+				ReplicaSelectorTests.this.picker.onAttemptEnded(0, first, new AttemptEnd.Answered(200));
+				ReplicaSelectorTests.this.picker.onAttemptEnded(0, second, new AttemptEnd.Answered(200));
 			}
 			assertThat(small).doesNotContainAnyElementsOf(large);
 		}
@@ -269,7 +271,7 @@
 		 */
 		@Test
 		void burstOfOneSizeStaysAtItsHomesWhereSizesAreKeptApart() {
-			ReplicaPickerTests.this.picker.keepSizesApart();
+			ReplicaSelectorTests.this.picker.separateModelSizes();
 			Set<ReplicaId> small = new HashSet<>();
 			for (int i = 0; i < 200; i++) {
 				small.add(send(task("small", 1, "x" + i)).replica().id());
@@ -282,11 +284,12 @@
 		 */
 		@Test
 		void otherHomesServeWhenThoseOfASizeAreAllTried() {
-			ReplicaPickerTests.this.picker.keepSizesApart();
+			ReplicaSelectorTests.this.picker.separateModelSizes();
 			Set<ReplicaId> tried = new HashSet<>();
 			Task little = task("small", 1, "x");
-			for (int i = 0; i < ReplicaPickerTests.this.replicas.size(); i++) {
-				Choice choice = ReplicaPickerTests.this.picker.pick(0, ReplicaPickerTests.this.replicas, tried, little)
+			for (int i = 0; i < ReplicaSelectorTests.this.replicas.size(); i++) {
+				Choice choice = ReplicaSelectorTests.this.picker
+					.chooseReplica(0, ReplicaSelectorTests.this.replicas, tried, little)
 					.orElseThrow();
 				assertThat(tried.add(choice.replica().id())).isTrue();
 			}
@@ -295,8 +298,10 @@
 		@Test
 		void onlyReplicaLeftRunsBoth() {
 			List<Replica> one = List.of(replica("near-0", "a"));
-			assertThat(ReplicaPickerTests.this.picker.pick(0, one, Set.of(), task("small", 1, "x"))).isPresent();
-			assertThat(ReplicaPickerTests.this.picker.pick(0, one, Set.of(), task("large", 15, "x"))).isPresent();
+			assertThat(ReplicaSelectorTests.this.picker.chooseReplica(0, one, Set.of(), task("small", 1, "x")))
+				.isPresent();
+			assertThat(ReplicaSelectorTests.this.picker.chooseReplica(0, one, Set.of(), task("large", 15, "x")))
+				.isPresent();
 		}
 
 	}
@@ -308,8 +313,8 @@
 		void itIsUnresponsiveOnlyIfItHadTimeToReadThePrompt() {
 			Choice choice = send(task("large", 15, "x"));
 			long reading = Math.round(2 * choice.readMillis());
-			assertThat(ReplicaPickerTests.this.picker.unresponsive(reading + 800, choice, 0, true, 800)).isFalse();
-			assertThat(ReplicaPickerTests.this.picker.unresponsive(reading + 801, choice, 0, true, 800)).isTrue();
+			assertThat(ReplicaSelectorTests.this.picker.isUnresponsive(reading + 800, choice, 0, true, 800)).isFalse();
+			assertThat(ReplicaSelectorTests.this.picker.isUnresponsive(reading + 801, choice, 0, true, 800)).isTrue();
 		}
 
 		/**
@@ -320,7 +325,7 @@
 		@Test
 		void oneThatHasBegunItsAnswerHasNoPromptToReadAnyMore() {
 			Choice choice = send(task("large", 15, "x"));
-			assertThat(ReplicaPickerTests.this.picker.unresponsive(801, choice, 0, false, 800)).isTrue();
+			assertThat(ReplicaSelectorTests.this.picker.isUnresponsive(801, choice, 0, false, 800)).isTrue();
 		}
 
 		/**
@@ -330,8 +335,8 @@
 		@Test
 		void oneThatAnswersOthersIsOnlyBusy() {
 			Choice choice = send(task("small", 1, "x"));
-			ReplicaPickerTests.this.picker.heard(9_500, choice.replica());
-			assertThat(ReplicaPickerTests.this.picker.unresponsive(10_000, choice, 0, true, 800)).isFalse();
+			ReplicaSelectorTests.this.picker.onBytes(9_500, choice.replica());
+			assertThat(ReplicaSelectorTests.this.picker.isUnresponsive(10_000, choice, 0, true, 800)).isFalse();
 		}
 
 	}
--- a/core/src/test/java/org/gullsaddle/serve/SharedLimitFuzzTests.java
+++ b/core/src/test/java/org/gullsaddle/serve/SharedLimitFuzzTests.java
@@ -124,7 +124,8 @@
 	 */
 	private static final class World {
 
-		private static final Place PLACE = new Place("a", Map.of("a", "north", "b", "north", "c", "south"));
+		private static final NodeLocation PLACE = new NodeLocation("a",
+				Map.of("a", "north", "b", "north", "c", "south"));
 
 		private static final Replica REPLICA = new Replica(new ReplicaId("engine"), new ServiceName("engines"),
 				new Address("10.0.0.1", 80), "b", "v1", 8, false, 1);
--- a/daemon/src/main/java/org/gullsaddle/gateway/CrashController.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/CrashController.java
@@ -245,7 +245,7 @@
 				}
 				this.asked.remove(Crash.process(replica));
 				if (ChannelPool.refused(failure)) {
-					this.decisions.picker().unreachable(Clock.millis(), replica);
+					this.decisions.picker().onUnreachable(Clock.millis(), replica);
 					down(replica.id(), "refuses connections");
 				}
 			});
--- a/daemon/src/main/java/org/gullsaddle/gateway/Decisions.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/Decisions.java
@@ -14,10 +14,10 @@
 import org.gullsaddle.serve.FairShare;
 import org.gullsaddle.serve.Hopeless;
 import org.gullsaddle.serve.ModelChooser;
-import org.gullsaddle.serve.Place;
+import org.gullsaddle.serve.NodeLocation;
 import org.gullsaddle.serve.QueueBounds;
-import org.gullsaddle.serve.ReplicaPicker;
-import org.gullsaddle.serve.ReplicaRules;
+import org.gullsaddle.serve.ReplicaEligibility;
+import org.gullsaddle.serve.ReplicaSelector;
 import org.gullsaddle.serve.RetryBudget;
 import org.gullsaddle.serve.SilencePatience;
 import org.gullsaddle.serve.WorkShares;
@@ -54,7 +54,7 @@
 
 	private static final int URGENCIES_PER_RANK = 2;
 
-	private final ReplicaPicker picker;
+	private final ReplicaSelector picker;
 
 	private final RetryBudget budget;
 
@@ -75,13 +75,13 @@
 
 	private final RandomGenerator random = RandomGenerator.getDefault();
 
-	Decisions(Place here, double retryShare, boolean pressure) {
+	Decisions(NodeLocation here, double retryShare, boolean pressure) {
 		this.work = pressure ? Optional.of(new WorkShares()) : Optional.empty();
-		this.picker = new ReplicaPicker(here);
+		this.picker = new ReplicaSelector(here);
 		this.budget = new RetryBudget(retryShare);
 		this.models = pressure ? ModelChooser.bounded() : new ModelChooser();
 		if (pressure) {
-			this.picker.keepSizesApart();
+			this.picker.separateModelSizes();
 		}
 	}
 
@@ -96,7 +96,7 @@
 		return this.bounds;
 	}
 
-	ReplicaPicker picker() {
+	ReplicaSelector picker() {
 		return this.picker;
 	}
 
@@ -104,9 +104,9 @@
 	 * Takes in what a replica's answer tells of it.
 	 */
 	void told(long now, Replica replica, ReplicaAnswer answer) {
-		answer.load().ifPresent((load) -> this.picker.report(now, replica, load));
-		answer.pacePercent().ifPresent((percent) -> this.picker.pace(now, replica, percent));
-		this.picker.heard(now, replica);
+		answer.load().ifPresent((load) -> this.picker.onLoadReport(now, replica, load));
+		answer.pacePercent().ifPresent((percent) -> this.picker.onSlowdownReport(now, replica, percent));
+		this.picker.onBytes(now, replica);
 	}
 
 	SilencePatience patience() {
@@ -141,7 +141,7 @@
 	 * Returns when a caller is to come back for whom there is no replica: when there may
 	 * be one again, spread out likewise.
 	 */
-	long comeBackMillis(ReplicaRules.NoReplica why) {
+	long comeBackMillis(ReplicaEligibility.NoReplica why) {
 		long soonest = switch (why) {
 			case NONE, TRIED, LIMITED, RESTING, CRASHES -> COME_BACK_MILLIS;
 			case COLD -> COLD_BACK_MILLIS;
--- a/daemon/src/main/java/org/gullsaddle/gateway/Gateway.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/Gateway.java
@@ -19,7 +19,7 @@
 import org.gullsaddle.serve.AttemptEnd;
 import org.gullsaddle.serve.BackpressureBook;
 import org.gullsaddle.serve.ColdPace;
-import org.gullsaddle.serve.ReplicaRules;
+import org.gullsaddle.serve.ReplicaEligibility;
 import org.gullsaddle.store.Store;
 import org.gullsaddle.telemetry.Telemetry;
 
@@ -77,7 +77,7 @@
 
 	private final NodeRegister nodes;
 
-	private final ReplicaRules rules;
+	private final ReplicaEligibility rules;
 
 	private final RolloutController rollouts;
 
@@ -116,7 +116,7 @@
 		this.probe = new LoadProbe(vertx, this.pool, this.codec, this.decisions.picker(), this.backpressure, this.log);
 		this.crashes = new CrashController(vertx, builder.store, this.settings.node(), this.pool, this.decisions,
 				this.nodes, this.log, this.telemetry);
-		this.rules = new ReplicaRules(this.fleet.directory(), this.settings.place(), this.coldPace, book,
+		this.rules = new ReplicaEligibility(this.fleet.directory(), this.settings.place(), this.coldPace, book,
 				this.crashes.book());
 		this.rollouts = new RolloutController(vertx, builder.board, builder.store, this.settings.node(), this.fleet,
 				this.log);
@@ -141,7 +141,7 @@
 		this.telemetry.gauge("held.requests", this.dispatcher::held);
 		this.telemetry.gauge("replicas.known", () -> this.fleet.directory().known().size());
 		this.telemetry.gauge("replicas.cold", () -> this.fleet.directory().countCold(Clock.millis()));
-		this.telemetry.gauge("replicas.telling.pace", this.decisions.picker()::countPaces);
+		this.telemetry.gauge("replicas.telling.pace", this.decisions.picker()::countReportedSlowdowns);
 		this.telemetry.gauge("data.centers.evacuated", () -> this.fleet.directory().evacuated().size());
 		this.telemetry.gauge("nodes.known", () -> this.nodes.known().orElse(0));
 		this.telemetry.gauge("config.unreadable", () -> this.fleet.configUnreadable() ? 1 : 0);
@@ -281,7 +281,7 @@
 
 	void attemptEnded(Serving serving, Attempt attempt, AttemptEnd end, long now) {
 		long millis = now - attempt.startedAt();
-		this.decisions.picker().ended(now, attempt.choice(), end);
+		this.decisions.picker().onAttemptEnded(now, attempt.choice(), end);
 		this.crashes.ended(serving.request(), serving.model(), attempt, end);
 		this.log.attempt(serving.request(), attempt, serving.model(), end.toString(), millis, serving.clock(),
 				!(end instanceof AttemptEnd.Answered answered) || answered.failure());
@@ -368,7 +368,7 @@
 		return this.nodes;
 	}
 
-	ReplicaRules rules() {
+	ReplicaEligibility rules() {
 		return this.rules;
 	}
 
--- a/daemon/src/main/java/org/gullsaddle/gateway/GatewaySettings.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/GatewaySettings.java
@@ -1,7 +1,7 @@
 package org.gullsaddle.gateway;
 
 import org.gullsaddle.base.Address;
-import org.gullsaddle.serve.Place;
+import org.gullsaddle.serve.NodeLocation;
 import org.gullsaddle.serve.RolloutLimits;
 
 /**
@@ -18,6 +18,6 @@
  * @param rollouts what a release may get before it is proved
  * @param load what the deployment says of its load
  */
-public record GatewaySettings(String node, Place place, Address callers, Address ready, Address metrics,
+public record GatewaySettings(String node, NodeLocation place, Address callers, Address ready, Address metrics,
 		long stopMillis, double retryShare, long newsMillis, RolloutLimits rollouts, LoadSettings load) {
 }
--- a/daemon/src/main/java/org/gullsaddle/gateway/LoadProbe.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/LoadProbe.java
@@ -15,7 +15,7 @@
 
 import org.gullsaddle.fleet.Replica;
 import org.gullsaddle.serve.EngineReport;
-import org.gullsaddle.serve.ReplicaPicker;
+import org.gullsaddle.serve.ReplicaSelector;
 
 /**
  * Asks a few engines for their load before one of them is given a request. Confined to
@@ -36,7 +36,7 @@
 
 	private final HeaderCodec codec;
 
-	private final ReplicaPicker picker;
+	private final ReplicaSelector picker;
 
 	private final BackpressureController backpressure;
 
@@ -46,7 +46,7 @@
 
 	private int failed;
 
-	LoadProbe(Vertx vertx, ChannelPool pool, HeaderCodec codec, ReplicaPicker picker,
+	LoadProbe(Vertx vertx, ChannelPool pool, HeaderCodec codec, ReplicaSelector picker,
 			BackpressureController backpressure, DecisionLog log) {
 		this.vertx = vertx;
 		this.log = log;
@@ -103,7 +103,7 @@
 		answer.future().onComplete((done) -> this.vertx.cancelTimer(timer));
 		this.pool.take(replica, false).onComplete((channel, unreachable) -> {
 			if (unreachable != null) {
-				this.picker.unreachable(Clock.millis(), replica);
+				this.picker.onUnreachable(Clock.millis(), replica);
 				answer.tryFail("unreachable");
 				return;
 			}
@@ -121,7 +121,7 @@
 	}
 
 	private Optional<EngineReport> told(Replica replica, EngineReport report) {
-		this.picker.report(Clock.millis(), replica, report);
+		this.picker.onLoadReport(Clock.millis(), replica, report);
 		return Optional.of(report);
 	}
 
@@ -136,7 +136,7 @@
 		return channel.connection().request(options).compose(HttpClientRequest::send).compose((response) -> {
 			ReplicaAnswer answer = this.codec.read(response);
 			this.backpressure.heard(replica, answer);
-			answer.pacePercent().ifPresent((percent) -> this.picker.pace(Clock.millis(), replica, percent));
+			answer.pacePercent().ifPresent((percent) -> this.picker.onSlowdownReport(Clock.millis(), replica, percent));
 			return response.body().compose((body) -> report(channel, answer, body));
 		});
 	}
--- a/daemon/src/main/java/org/gullsaddle/gateway/ReplicaChooser.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/ReplicaChooser.java
@@ -15,8 +15,8 @@
 import org.gullsaddle.serve.Choice;
 import org.gullsaddle.serve.Delay;
 import org.gullsaddle.serve.Hopeless;
-import org.gullsaddle.serve.ReplicaPicker;
-import org.gullsaddle.serve.ReplicaRules;
+import org.gullsaddle.serve.ReplicaEligibility;
+import org.gullsaddle.serve.ReplicaSelector;
 import org.gullsaddle.serve.Task;
 import org.gullsaddle.suspect.CrashBook;
 import org.gullsaddle.suspect.Trait;
@@ -27,8 +27,9 @@
 final class ReplicaChooser {
 
 	/** Why there is no replica for a time that the rules know. */
-	private static final Set<ReplicaRules.NoReplica> BY_THE_RULES = EnumSet.of(ReplicaRules.NoReplica.LIMITED,
-			ReplicaRules.NoReplica.RESTING, ReplicaRules.NoReplica.CRASHES);
+	private static final Set<ReplicaEligibility.NoReplica> BY_THE_RULES = EnumSet.of(
+			ReplicaEligibility.NoReplica.LIMITED, ReplicaEligibility.NoReplica.RESTING,
+			ReplicaEligibility.NoReplica.CRASHES);
 
 	private final Gateway gateway;
 
@@ -51,22 +52,22 @@
 	 * Says whether the request may go to no replica, as it would crash it.
 	 */
 	boolean refused(String model) {
-		return rules().refuses(wanted(model));
+		return rules().isBlocked(wanted(model));
 	}
 
 	/**
 	 * Says why there is no replica for the request.
 	 */
-	ReplicaRules.NoReplica whyNone(String model) {
-		return rules().whyNone(Clock.millis(), wanted(model));
+	ReplicaEligibility.NoReplica whyNone(String model) {
+		return rules().noReplicaReason(Clock.millis(), wanted(model));
 	}
 
 	/**
 	 * Returns when the caller is to come back, as there is no replica for the request.
 	 */
-	long comeBackMillis(ReplicaRules.NoReplica why, String model) {
+	long comeBackMillis(ReplicaEligibility.NoReplica why, String model) {
 		if (BY_THE_RULES.contains(why)) {
-			return this.gateway.decisions().comeBackMillis(rules().backMillis(Clock.millis(), wanted(model)));
+			return this.gateway.decisions().comeBackMillis(rules().retryAfterMillis(Clock.millis(), wanted(model)));
 		}
 		return this.gateway.decisions().comeBackMillis(why);
 	}
@@ -97,24 +98,24 @@
 	 * Notes that the request is sent to a replica.
 	 */
 	void sent(Replica replica) {
-		rules().sent(Clock.millis(), wanted(""), replica);
+		rules().onSent(Clock.millis(), wanted(""), replica);
 	}
 
 	private Set<ReplicaId> leftOut(Set<ReplicaId> tried, String model) {
-		return rules().leftOut(Clock.millis(), wanted(model), tried);
+		return rules().excludedReplicas(Clock.millis(), wanted(model), tried);
 	}
 
 	private List<Replica> usable(Set<ReplicaId> leftOut, String model) {
-		return rules().usable(Clock.millis(), wanted(model), leftOut);
+		return rules().eligibleReplicas(Clock.millis(), wanted(model), leftOut);
 	}
 
-	private ReplicaRules.Wanted wanted(String model) {
+	private ReplicaEligibility.Requirements wanted(String model) {
 		CrashBook crashes = this.gateway.crashes().book();
 		List<Trait> traits = (crashes.countRefused() == 0 || this.request.isTrial()) ? List.of()
 				: this.request.traits(model);
-		return new ReplicaRules.Wanted(this.request.service(), this.request.limit(), this.request.coldStart(),
-				this.gateway.nodes().known(), this.gateway.fleet().rollout(this.request.service()),
-				this.request.releaseKey(), traits);
+		return new ReplicaEligibility.Requirements(this.request.service(), this.request.limit(),
+				this.request.coldStart(), this.gateway.nodes().known(),
+				this.gateway.fleet().rollout(this.request.service()), this.request.releaseKey(), traits);
 	}
 
 	/**
@@ -132,15 +133,15 @@
 		}
 		List<Replica> asked = toAsk(usable, task, leftOut);
 		if (asked.isEmpty()) {
-			then.accept(picker().pick(Clock.millis(), usable, leftOut, task));
+			then.accept(picker().chooseReplica(Clock.millis(), usable, leftOut, task));
 			return;
 		}
 		this.gateway.probe().ask(asked, (told) -> {
 			Set<ReplicaId> leftOutNow = leftOut(tried, task.model());
 			List<Replica> stillUsable = usable(leftOutNow, task.model());
 			List<Replica> left = withoutSilent(stillUsable, asked, told);
-			then.accept(picker().pick(Clock.millis(), left, leftOutNow, task)
-				.or(() -> picker().pick(Clock.millis(), stillUsable, leftOutNow, task)));
+			then.accept(picker().chooseReplica(Clock.millis(), left, leftOutNow, task)
+				.or(() -> picker().chooseReplica(Clock.millis(), stillUsable, leftOutNow, task)));
 		});
 	}
 
@@ -148,7 +149,7 @@
 	 * Chooses the replica with the fewest requests, which are lost if it crashes.
 	 */
 	private Optional<Choice> emptiest(Task task, List<Replica> usable, Set<ReplicaId> leftOut) {
-		return picker().best(Clock.millis(), usable, leftOut, task, usable.size())
+		return picker().bestChoices(Clock.millis(), usable, leftOut, task, usable.size())
 			.stream()
 			.min(Comparator.comparingDouble((choice) -> choice.load().requests()));
 	}
@@ -162,9 +163,9 @@
 		Set<ReplicaId> leftOut = new HashSet<>(leftOut(tried, task.model()));
 		List<Replica> usable = usable(leftOut, task.model());
 		usable.stream()
-			.filter((replica) -> !picker().toldLately(now, replica))
+			.filter((replica) -> !picker().hasRecentReport(now, replica))
 			.forEach((replica) -> leftOut.add(replica.id()));
-		return picker().pick(now, usable, leftOut, task);
+		return picker().chooseReplica(now, usable, leftOut, task);
 	}
 
 	/**
@@ -172,7 +173,7 @@
 	 * of which nothing is known is taken to be as full as the others, tried ones too.
 	 */
 	Delay delayAt(Replica replica, Task task) {
-		return picker().delayAt(Clock.millis(), usable(Set.of(), task.model()), replica, task);
+		return picker().estimateDelay(Clock.millis(), usable(Set.of(), task.model()), replica, task);
 	}
 
 	/**
@@ -187,8 +188,8 @@
 		long now = Clock.millis();
 		// Limited ones are among them: they may take it yet.
 		List<Replica> usable = usable(Set.of(), task.model());
-		List<Choice> all = picker().best(now, usable, Set.of(), task, usable.size());
-		boolean refused = !rules().anyCold(now, wanted(task.model()))
+		List<Choice> all = picker().bestChoices(now, usable, Set.of(), task, usable.size());
+		boolean refused = !rules().hasColdReplica(now, wanted(task.model()))
 				&& this.gateway.decisions().hopeless().refuses(now, this.request.service(), all, left);
 		if (refused) {
 			this.gateway.telemetry().count("would.not.begin");
@@ -201,14 +202,14 @@
 	 * and one that asks for rest is not asked.
 	 */
 	private List<Replica> toAsk(List<Replica> usable, Task task, Set<ReplicaId> leftOut) {
-		return picker().toAsk(Clock.millis(), usable, leftOut, task).stream().filter(this::mayAsk).toList();
+		return picker().replicasToQuery(Clock.millis(), usable, leftOut, task).stream().filter(this::mayAsk).toList();
 	}
 
 	/**
 	 * Says whether a replica may be asked for its load.
 	 */
 	boolean mayAsk(Replica replica) {
-		return !rules().cold(Clock.millis(), wanted(""), replica) && this.gateway.backpressure().mayAsk(replica);
+		return !rules().isCold(Clock.millis(), wanted(""), replica) && this.gateway.backpressure().mayAsk(replica);
 	}
 
 	private static List<Replica> withoutSilent(List<Replica> usable, List<Replica> asked, List<Replica> told) {
@@ -217,11 +218,11 @@
 		return usable.stream().filter((replica) -> !silent.contains(replica.id())).toList();
 	}
 
-	private ReplicaRules rules() {
+	private ReplicaEligibility rules() {
 		return this.gateway.rules();
 	}
 
-	private ReplicaPicker picker() {
+	private ReplicaSelector picker() {
 		return this.gateway.decisions().picker();
 	}
 
--- a/daemon/src/main/java/org/gullsaddle/gateway/Serving.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/Serving.java
@@ -20,7 +20,7 @@
 import org.gullsaddle.serve.AnswerKind;
 import org.gullsaddle.serve.AttemptEnd;
 import org.gullsaddle.serve.Choice;
-import org.gullsaddle.serve.ReplicaRules;
+import org.gullsaddle.serve.ReplicaEligibility;
 import org.gullsaddle.serve.RetryRule;
 import org.gullsaddle.serve.Task;
 
@@ -135,7 +135,7 @@
 	}
 
 	private void refuseForNone() {
-		ReplicaRules.NoReplica why = this.replicas.whyNone(model());
+		ReplicaEligibility.NoReplica why = this.replicas.whyNone(model());
 		this.gateway.telemetry().count("no.replica." + why.name().toLowerCase(Locale.ROOT));
 		refuse(why.reason(), this.replicas.comeBackMillis(why, model()));
 	}
@@ -145,7 +145,7 @@
 		this.tried.add(choice.replica().id());
 		this.promptRead = false;
 		this.clock.begin(Clock.millis());
-		this.gateway.decisions().picker().sent(Clock.millis(), choice, this.task);
+		this.gateway.decisions().picker().onSent(Clock.millis(), choice, this.task);
 		this.replicas.sent(choice.replica());
 		this.gateway.rollouts().sent(choice.replica());
 		Admission admission = this.replicas.admit(choice.replica());
@@ -176,7 +176,9 @@
 		this.gateway.decisions().told(Clock.millis(), from.choice().replica(), answer);
 		this.gateway.rollouts().answered(new AnswerKind(route().name(), model()), from, answer);
 		if (answer.success()) {
-			this.gateway.decisions().picker().began(from.choice(), this.task, from.headAt() - from.startedAt(), true);
+			this.gateway.decisions()
+				.picker()
+				.recordFirstEventDelay(from.choice(), this.task, from.headAt() - from.startedAt(), true);
 		}
 		this.relay.head(this.gateway.codec().toCaller(headers));
 		if (this.relay.begun() && !answer.success()) {
@@ -218,7 +220,7 @@
 		if (this.done) {
 			return;
 		}
-		this.gateway.decisions().picker().heard(Clock.millis(), from.choice().replica());
+		this.gateway.decisions().picker().onBytes(Clock.millis(), from.choice().replica());
 		this.gateway.crashes().data(this.request, model(), from);
 		if (!streamed(from)) {
 			this.relay.hold(from, bytes);
@@ -237,7 +239,9 @@
 		}
 		readPrompt(from);
 		if (from.answer() == null && !(counted instanceof AttemptEnd.NotRun)) {
-			this.gateway.decisions().picker().began(from.choice(), this.task, now - from.startedAt(), false);
+			this.gateway.decisions()
+				.picker()
+				.recordFirstEventDelay(from.choice(), this.task, now - from.startedAt(), false);
 		}
 		if (this.request.stream() && !(counted instanceof AttemptEnd.Dropped)
 				&& !(counted instanceof AttemptEnd.NotRun)) {
@@ -413,7 +417,7 @@
 	private void readPrompt(Attempt from) {
 		if (!this.promptRead) {
 			this.promptRead = true;
-			this.gateway.decisions().picker().promptRead(from.choice(), this.task);
+			this.gateway.decisions().picker().onPromptRead(from.choice(), this.task);
 		}
 	}
 
--- a/daemon/src/main/java/org/gullsaddle/gateway/Silence.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/Silence.java
@@ -9,7 +9,7 @@
 import org.gullsaddle.serve.AttemptEnd;
 import org.gullsaddle.serve.Choice;
 import org.gullsaddle.serve.Delay;
-import org.gullsaddle.serve.ReplicaPicker;
+import org.gullsaddle.serve.ReplicaSelector;
 import org.gullsaddle.serve.RetryRule;
 import org.gullsaddle.serve.SilencePatience;
 import org.gullsaddle.serve.Task;
@@ -86,7 +86,7 @@
 		if (!asks) {
 			return silent(now, attempt) ? SilencePatience.Advice.LEAVE : SilencePatience.Advice.WAIT;
 		}
-		long patience = picker().patience(attempt.choice(), attempt.answer() == null, patience());
+		long patience = picker().maxSilenceMillis(attempt.choice(), attempt.answer() == null, patience());
 		return this.gateway.decisions()
 			.patience()
 			.look(now, replica.id(), picker().silentSince(attempt.choice(), since(attempt)), patience);
@@ -161,7 +161,7 @@
 		if (this.kept != attempt) {
 			this.kept = attempt;
 			if (end instanceof AttemptEnd.Broken) {
-				picker().silent(Clock.millis(), attempt.choice().replica());
+				picker().onSilent(Clock.millis(), attempt.choice().replica());
 			}
 			note(attempt, "kept", why);
 		}
@@ -197,7 +197,7 @@
 		if (this.serving.route().kind() == RouteKind.IDEMPOTENT) {
 			return now - since(attempt) > patience();
 		}
-		return picker().unresponsive(now, attempt.choice(), since(attempt), attempt.answer() == null, patience());
+		return picker().isUnresponsive(now, attempt.choice(), since(attempt), attempt.answer() == null, patience());
 	}
 
 	private long patience() {
@@ -208,7 +208,7 @@
 		return this.gateway.stalls().silentSince(attempt.lastByteAt());
 	}
 
-	private ReplicaPicker picker() {
+	private ReplicaSelector picker() {
 		return this.gateway.decisions().picker();
 	}
 
--- a/daemon/src/test/java/org/gullsaddle/gateway/NodeRegisterTests.java
+++ b/daemon/src/test/java/org/gullsaddle/gateway/NodeRegisterTests.java
@@ -14,7 +14,7 @@
 
 import org.gullsaddle.base.Address;
 import org.gullsaddle.fleet.FleetChange;
-import org.gullsaddle.serve.Place;
+import org.gullsaddle.serve.NodeLocation;
 import org.gullsaddle.serve.RolloutLimits;
 import org.gullsaddle.store.Store;
 
@@ -40,8 +40,8 @@
 	@BeforeEach
 	void open() {
 		Address nowhere = new Address("127.0.0.1", 1);
-		GatewaySettings settings = new GatewaySettings(SELF, new Place("a", Map.of("a", "north")), nowhere, nowhere,
-				nowhere, 1, 1, 1, RolloutLimits.USUAL, LoadSettings.USUAL);
+		GatewaySettings settings = new GatewaySettings(SELF, new NodeLocation("a", Map.of("a", "north")), nowhere,
+				nowhere, nowhere, 1, 1, 1, RolloutLimits.USUAL, LoadSettings.USUAL);
 		this.register = new NodeRegister(this.vertx, this.store, settings, () -> this.storeAway);
 	}
 
--- a/measure/src/main/java/org/gullsaddle/measure/CascadeFleet.java
+++ b/measure/src/main/java/org/gullsaddle/measure/CascadeFleet.java
@@ -17,7 +17,7 @@
 import org.gullsaddle.serve.ModelPace;
 import org.gullsaddle.serve.Prompt;
 import org.gullsaddle.serve.QueueBounds;
-import org.gullsaddle.serve.ReplicaPicker;
+import org.gullsaddle.serve.ReplicaSelector;
 import org.gullsaddle.serve.Task;
 
 /**
@@ -81,7 +81,7 @@
 	CascadeFleet(Timeline time, int nodes, List<EngineShape> shapes, long seed) {
 		this(time, shapes, seed, List.of());
 		for (int i = 0; i < nodes; i++) {
-			this.nodes.add(new Node(new ReplicaPicker(EngineRack.PLACE), new ModelChooser()));
+			this.nodes.add(new Node(new ReplicaSelector(EngineRack.PLACE), new ModelChooser()));
 		}
 	}
 
@@ -100,8 +100,8 @@
 			List<PromptKind> kinds) {
 		CascadeFleet fleet = new CascadeFleet(time, shapes, seed, kinds);
 		for (int i = 0; i < nodes; i++) {
-			ReplicaPicker picker = new ReplicaPicker(EngineRack.PLACE);
-			picker.keepSizesApart();
+			ReplicaSelector picker = new ReplicaSelector(EngineRack.PLACE);
+			picker.separateModelSizes();
 			fleet.nodes.add(new Node(picker, ModelChooser.bounded()));
 		}
 		return fleet;
@@ -169,7 +169,7 @@
 	private record Model(String name, double pace, double quality, double cost) {
 	}
 
-	private record Node(ReplicaPicker picker, ModelChooser models) {
+	private record Node(ReplicaSelector picker, ModelChooser models) {
 	}
 
 	/**
@@ -237,9 +237,9 @@
 			long now = Math.round(CascadeFleet.this.time.now());
 			Task task = task(model);
 			List<Replica> all = CascadeFleet.this.rack.replicas();
-			this.node.picker.toAsk(now, all, Set.of(), task)
+			this.node.picker.replicasToQuery(now, all, Set.of(), task)
 				.forEach((replica) -> CascadeFleet.this.rack.tell(this.node.picker, replica));
-			return this.node.picker.pick(now, all, Set.of(), task).orElseThrow();
+			return this.node.picker.chooseReplica(now, all, Set.of(), task).orElseThrow();
 		}
 
 		private int opinion(int model) {
@@ -318,14 +318,14 @@
 
 		void begin() {
 			Model running = MODELS.get(this.model);
-			picker().sent(Math.round(this.sentAt), this.choice, this.task);
+			picker().onSent(Math.round(this.sentAt), this.choice, this.task);
 			this.job = new EngineJob(running.name, running.pace, this.request.prompt.parts(), this.request.output,
 					this);
 			engine().take(this.job);
 			CascadeFleet.this.price += running.cost * this.choice.unreadTokens() / READ_PER_GENERATED / PRICE_TOKENS;
 		}
 
-		private ReplicaPicker picker() {
+		private ReplicaSelector picker() {
 			return this.request.node.picker;
 		}
 
@@ -336,8 +336,8 @@
 		@Override
 		public void first(double now) {
 			this.firstMillis = now - this.sentAt;
-			picker().promptRead(this.choice, this.task);
-			picker().began(this.choice, this.task, Math.round(this.firstMillis), true);
+			picker().onPromptRead(this.choice, this.task);
+			picker().recordFirstEventDelay(this.choice, this.task, Math.round(this.firstMillis), true);
 			int confidence = this.request.opinion(this.model);
 			int next = this.request.replacement(this, confidence);
 			if (next >= 0 && replace(confidence, next)) {
@@ -355,7 +355,8 @@
 			}
 			this.droppedAnswer = true;
 			engine().drop(this.job);
-			picker().ended(Math.round(CascadeFleet.this.time.now()), this.choice, new AttemptEnd.Dropped(confidence));
+			picker().onAttemptEnded(Math.round(CascadeFleet.this.time.now()), this.choice,
+					new AttemptEnd.Dropped(confidence));
 			this.request.dropped = this.model;
 			this.request.droppedConfidence = confidence;
 			this.request.send(next, larger);
@@ -367,7 +368,7 @@
 			if (this.droppedAnswer) {
 				return;
 			}
-			picker().ended(Math.round(CascadeFleet.this.time.now()), this.choice, new AttemptEnd.Answered(OK));
+			picker().onAttemptEnded(Math.round(CascadeFleet.this.time.now()), this.choice, new AttemptEnd.Answered(OK));
 			this.request.node.models.answered(this.request.kind.route(), MODELS.get(this.model).name,
 					Math.round(this.firstMillis), 0);
 		}
--- a/measure/src/main/java/org/gullsaddle/measure/EngineFleet.java
+++ b/measure/src/main/java/org/gullsaddle/measure/EngineFleet.java
@@ -21,7 +21,7 @@
 import org.gullsaddle.serve.Loss;
 import org.gullsaddle.serve.ModelScale;
 import org.gullsaddle.serve.Prompt;
-import org.gullsaddle.serve.ReplicaPicker;
+import org.gullsaddle.serve.ReplicaSelector;
 import org.gullsaddle.serve.Task;
 
 /**
@@ -57,7 +57,7 @@
 
 	private final Map<ReplicaId, LoadReport> reports = new HashMap<>();
 
-	private final List<ReplicaPicker> nodes = new ArrayList<>();
+	private final List<ReplicaSelector> nodes = new ArrayList<>();
 
 	private final List<int[]> outstanding = new ArrayList<>();
 
@@ -105,7 +105,7 @@
 			this.reports.put(replica.id(), new LoadReport(0, 0, shape.slots()));
 		}
 		for (int i = 0; i < nodes; i++) {
-			this.nodes.add(new ReplicaPicker(EngineRack.PLACE, losses));
+			this.nodes.add(new ReplicaSelector(EngineRack.PLACE, losses));
 			this.outstanding.add(new int[count]);
 		}
 	}
@@ -128,13 +128,13 @@
 			ask(this.nodes.get(node), task);
 		}
 		Choice choice = this.nodes.get(node)
-			.pick(Math.round(this.time.now()), this.rack.replicas(), Set.of(), task)
+			.chooseReplica(Math.round(this.time.now()), this.rack.replicas(), Set.of(), task)
 			.orElseThrow();
 		Sent sent = new Sent(node, choice, task, this.time.now(), objective);
 		EngineJob job = new EngineJob(model.name(), model.pace(), prompt.parts(), output, sent);
 		sent.engine = engine(sent, job);
 		if (this.policy.picks()) {
-			this.nodes.get(node).sent(Math.round(this.time.now()), choice, task);
+			this.nodes.get(node).onSent(Math.round(this.time.now()), choice, task);
 		}
 		this.outstanding.get(node)[sent.engine]++;
 		this.rack.engine(sent.engine).take(job);
@@ -143,11 +143,14 @@
 	/**
 	 * Has a node learn the load of engines before it picks one.
 	 */
-	private void ask(ReplicaPicker picker, Task task) {
+	private void ask(ReplicaSelector picker, Task task) {
 		long now = Math.round(this.time.now());
 		List<Replica> asking = (this.policy == Policy.ASKING)
-				? picker.best(now, this.rack.replicas(), Set.of(), task, ASKED).stream().map(Choice::replica).toList()
-				: picker.toAsk(now, this.rack.replicas(), Set.of(), task);
+				? picker.bestChoices(now, this.rack.replicas(), Set.of(), task, ASKED)
+					.stream()
+					.map(Choice::replica)
+					.toList()
+				: picker.replicasToQuery(now, this.rack.replicas(), Set.of(), task);
 		for (Replica each : asking) {
 			this.rack.tell(picker, each);
 			this.asked++;
@@ -283,10 +286,10 @@
 				EngineFleet.this.promisedInTime += kept ? 1 : 0;
 			}
 			if (EngineFleet.this.policy.picks()) {
-				ReplicaPicker picker = EngineFleet.this.nodes.get(this.node);
-				picker.promptRead(this.choice, this.task);
-				picker.began(this.choice, this.task, Math.round(now - this.arrivedAt), true);
-				picker.report(Math.round(now), this.choice.replica(),
+				ReplicaSelector picker = EngineFleet.this.nodes.get(this.node);
+				picker.onPromptRead(this.choice, this.task);
+				picker.recordFirstEventDelay(this.choice, this.task, Math.round(now - this.arrivedAt), true);
+				picker.onLoadReport(Math.round(now), this.choice.replica(),
 						EngineFleet.this.reports.get(this.choice.replica().id()));
 				int requests = EngineFleet.this.rack.engine(this.engine).requests();
 				EngineFleet.this.time.at(now + REPORT_MILLIS, () -> EngineFleet.this.reports
@@ -299,7 +302,7 @@
 			EngineFleet.this.outstanding.get(this.node)[this.engine]--;
 			if (EngineFleet.this.policy.picks()) {
 				EngineFleet.this.nodes.get(this.node)
-					.ended(Math.round(EngineFleet.this.time.now()), this.choice, new AttemptEnd.Answered(OK));
+					.onAttemptEnded(Math.round(EngineFleet.this.time.now()), this.choice, new AttemptEnd.Answered(OK));
 			}
 		}
 
--- a/measure/src/main/java/org/gullsaddle/measure/EngineRack.java
+++ b/measure/src/main/java/org/gullsaddle/measure/EngineRack.java
@@ -10,8 +10,8 @@
 import org.gullsaddle.fleet.ReplicaId;
 import org.gullsaddle.fleet.ServiceName;
 import org.gullsaddle.serve.EngineReport;
-import org.gullsaddle.serve.Place;
-import org.gullsaddle.serve.ReplicaPicker;
+import org.gullsaddle.serve.NodeLocation;
+import org.gullsaddle.serve.ReplicaSelector;
 
 /**
  * The engines of one data center, as replicas that routers know, with what they say of
@@ -22,7 +22,7 @@
 	private static final String DATA_CENTER = "a";
 
 	/** Where nodes before these engines are. */
-	static final Place PLACE = new Place(DATA_CENTER, Map.of(DATA_CENTER, "r"));
+	static final NodeLocation PLACE = new NodeLocation(DATA_CENTER, Map.of(DATA_CENTER, "r"));
 
 	private final Timeline time;
 
@@ -85,14 +85,14 @@
 	/**
 	 * Has a node learn the load of an engine by asking it.
 	 */
-	void tell(ReplicaPicker picker, Replica replica) {
+	void tell(ReplicaSelector picker, Replica replica) {
 		long now = Math.round(this.time.now());
 		Told last = this.told.get(replica.id());
 		if (last == null || now - last.at >= this.reportMillis) {
 			last = new Told(now, engine(replica).report());
 			this.told.put(replica.id(), last);
 		}
-		picker.report(now, replica, last.report);
+		picker.onLoadReport(now, replica, last.report);
 	}
 
 	/**
