--- a/cli/src/main/java/org/gullsaddle/cli/LossTable.java
+++ b/cli/src/main/java/org/gullsaddle/cli/LossTable.java
@@ -121,7 +121,7 @@
 		}
 
 		double chanceTooHard() {
-			return (this.confidence < 0) ? 0 : 1 - Confidence.chanceGood(this.confidence);
+			return (this.confidence < 0) ? 0 : 1 - Confidence.probabilityGood(this.confidence);
 		}
 
 	}
--- a/core/src/main/java/org/gullsaddle/serve/Confidence.java
+++ b/core/src/main/java/org/gullsaddle/serve/Confidence.java
@@ -6,10 +6,10 @@
 public final class Confidence {
 
 	/** An answer of this confidence is as likely good as too hard for its model. */
-	private static final double EVEN = 50;
+	private static final double EVEN_ODDS = 50;
 
 	/** How far a model's opinion of its answer is off, as a standard deviation. */
-	private static final double NOISE = 10;
+	private static final double STANDARD_DEVIATION = 10;
 
 	private Confidence() {
 	}
@@ -19,8 +19,8 @@
 	 * @param confidence its model's opinion of it, 0 to 100
 	 * @return 0 to 1
 	 */
-	public static double chanceGood(int confidence) {
-		return NormalCurve.below(confidence, EVEN, NOISE);
+	public static double probabilityGood(int confidence) {
+		return NormalDistribution.probabilityBelow(confidence, EVEN_ODDS, STANDARD_DEVIATION);
 	}
 
 }
--- a/core/src/main/java/org/gullsaddle/serve/ConfidenceGains.java
+++ b/core/src/main/java/org/gullsaddle/serve/ConfidenceGains.java
@@ -16,17 +16,17 @@
 	 * The gain that is taken for granted before anything was compared: little, so that a
 	 * model between the smallest and the largest is tried where it is nearly enough.
 	 */
-	private static final double FIRST = 10;
+	private static final double PRIOR_GAIN = 10;
 
 	/** How many comparisons the first gain weighs. */
-	private static final double FIRST_WEIGHT = 4;
+	private static final double PRIOR_WEIGHT = 4;
 
 	/** How many comparisons are remembered, so that a new release is learned anew. */
-	private static final double MEMORY = 60;
+	private static final double MAX_WEIGHT = 60;
 
-	private static final int LEAST_CONFIDENCE = 0;
+	private static final int MIN_CONFIDENCE = 0;
 
-	private static final int MOST_CONFIDENCE = 100;
+	private static final int MAX_CONFIDENCE = 100;
 
 	private final Map<Pair, Mean> means = new HashMap<>();
 
@@ -34,16 +34,16 @@
 	 * Takes in two opinions of one request. Those at the ends of the scale say only that
 	 * the gain is at least, or at most, so much, and are left out.
 	 */
-	void compared(String smaller, int confidence, String larger, int largerConfidence) {
-		if (confidence <= LEAST_CONFIDENCE || largerConfidence >= MOST_CONFIDENCE || largerConfidence < 0) {
+	void recordComparison(String smaller, int confidence, String larger, int largerConfidence) {
+		if (confidence <= MIN_CONFIDENCE || largerConfidence >= MAX_CONFIDENCE || largerConfidence < 0) {
 			return;
 		}
 		this.means.computeIfAbsent(new Pair(smaller, larger), (pair) -> new Mean()).add(largerConfidence - confidence);
 	}
 
-	double gain(String smaller, String larger) {
+	double expectedGain(String smaller, String larger) {
 		Mean mean = this.means.get(new Pair(smaller, larger));
-		return (mean != null) ? mean.value : FIRST;
+		return (mean != null) ? mean.value : PRIOR_GAIN;
 	}
 
 	private record Pair(String smaller, String larger) {
@@ -51,12 +51,12 @@
 
 	private static final class Mean {
 
-		private double value = FIRST;
+		private double value = PRIOR_GAIN;
 
-		private double weight = FIRST_WEIGHT;
+		private double weight = PRIOR_WEIGHT;
 
 		void add(double gain) {
-			this.weight = Math.min(MEMORY, this.weight + 1);
+			this.weight = Math.min(MAX_WEIGHT, this.weight + 1);
 			this.value += (gain - this.value) / this.weight;
 		}
 
--- a/core/src/main/java/org/gullsaddle/serve/Delay.java
+++ b/core/src/main/java/org/gullsaddle/serve/DelayEstimate.java
@@ -6,15 +6,15 @@
  * @param expectedMillis how long it is expected to take, in milliseconds
  * @param deviationMillis the standard deviation from that, in milliseconds
  */
-public record Delay(double expectedMillis, double deviationMillis) {
+public record DelayEstimate(double expectedMillis, double deviationMillis) {
 
 	/**
 	 * Returns the delay where all takes longer.
 	 * @param factor how many times longer
 	 * @return the delay there
 	 */
-	Delay times(double factor) {
-		return new Delay(factor * this.expectedMillis, factor * this.deviationMillis);
+	DelayEstimate scaledBy(double factor) {
+		return new DelayEstimate(factor * this.expectedMillis, factor * this.deviationMillis);
 	}
 
 	/**
@@ -22,8 +22,8 @@
 	 * @param millis the time that it has, in milliseconds
 	 * @return 0 to 1
 	 */
-	public double chanceWithin(double millis) {
-		return NormalCurve.below(millis, this.expectedMillis, Math.max(1, this.deviationMillis));
+	public double probabilityWithin(double millis) {
+		return NormalDistribution.probabilityBelow(millis, this.expectedMillis, Math.max(1, this.deviationMillis));
 	}
 
 }
--- a/core/src/main/java/org/gullsaddle/serve/DelayEstimator.java
+++ b/core/src/main/java/org/gullsaddle/serve/DelayEstimator.java
@@ -29,7 +29,7 @@
 	/**
 	 * Returns what is known of a replica's delays in a task.
 	 */
-	DelayModel of(Replica replica, Task task) {
+	DelayModel of(Replica replica, ReplicaTask task) {
 		Key key = new Key(replica.service(), task.model(), replica.release());
 		DelayModel known = this.models.get(key);
 		if (known == null) {
@@ -42,13 +42,13 @@
 	/**
 	 * A new release most likely runs as the one before it does.
 	 */
-	private DelayModel first(Key key, Task task) {
+	private DelayModel first(Key key, ReplicaTask task) {
 		for (Map.Entry<Key, DelayModel> each : this.models.entrySet()) {
 			if (each.getKey().service.equals(key.service) && each.getKey().model.equals(key.model)) {
 				return each.getValue().asPrior();
 			}
 		}
-		return task.plain() ? DelayModel.ofCalls() : DelayModel.ofGenerations(task.pace());
+		return task.isPlainCall() ? DelayModel.ofCalls() : DelayModel.ofGenerations(task.slowdown());
 	}
 
 	private record Key(ServiceName service, String model, String release) {
--- a/core/src/main/java/org/gullsaddle/serve/DelayModel.java
+++ b/core/src/main/java/org/gullsaddle/serve/DelayModel.java
@@ -69,10 +69,10 @@
 	/**
 	 * Returns how long the first event takes.
 	 */
-	Delay first(EngineLoad load) {
+	DelayEstimate first(EngineLoad load) {
 		double[] features = features(load);
 		double expected = this.relation.expected(features);
-		return new Delay(expected, this.relation.deviation(features, noise(expected)));
+		return new DelayEstimate(expected, this.relation.deviation(features, noise(expected)));
 	}
 
 	/**
--- a/core/src/main/java/org/gullsaddle/serve/Homes.java
+++ b/core/src/main/java/org/gullsaddle/serve/Homes.java
@@ -81,16 +81,16 @@
 	 * @param task the task
 	 * @param unreadTokens how much of its prompt must be read
 	 */
-	void sent(long now, Task task, int unreadTokens) {
-		if (task.scale() == ModelScale.ALIKE) {
+	void sent(long now, ReplicaTask task, int unreadTokens) {
+		if (task.sizeClass() == ModelSizeClass.SIMILAR) {
 			return;
 		}
 		forget(now);
-		if (task.scale() == ModelScale.LARGE) {
-			this.large += unreadTokens * task.pace();
+		if (task.sizeClass() == ModelSizeClass.LARGE) {
+			this.large += unreadTokens * task.slowdown();
 		}
 		else {
-			this.small += unreadTokens * task.pace();
+			this.small += unreadTokens * task.slowdown();
 		}
 	}
 
@@ -98,8 +98,8 @@
 	 * Returns the replicas that models of another size than a task's are at home on. All
 	 * nodes that see the same replicas and alike work come to the same.
 	 */
-	Set<ReplicaId> away(List<Replica> usable, Task task) {
-		if (task.scale() == ModelScale.ALIKE) {
+	Set<ReplicaId> away(List<Replica> usable, ReplicaTask task) {
+		if (task.sizeClass() == ModelSizeClass.SIMILAR) {
 			return Set.of();
 		}
 		Map<String, List<Replica>> byRegion = usable.stream()
@@ -110,7 +110,7 @@
 			ordered.sort(Comparator.comparingDouble((replica) -> Spread.unit(replica.id().value())));
 			long homes = smallHomes(near.size());
 			for (int i = 0; i < ordered.size() && homes > 0; i++) {
-				if ((i < homes) == (task.scale() == ModelScale.LARGE)) {
+				if ((i < homes) == (task.sizeClass() == ModelSizeClass.LARGE)) {
 					away.add(ordered.get(i).id());
 				}
 			}
--- a/core/src/main/java/org/gullsaddle/serve/Hopeless.java
+++ b/core/src/main/java/org/gullsaddle/serve/Hopeless.java
@@ -49,7 +49,7 @@
 	 * @param leftMillis the time that it has left, in milliseconds
 	 * @return true if it would not begin at any of them
 	 */
-	public boolean refuses(long now, ServiceName service, List<Choice> choices, long leftMillis) {
+	public boolean refuses(long now, ServiceName service, List<ReplicaChoice> choices, long leftMillis) {
 		Known known = this.services.get(service);
 		if (known == null || !known.enough(now) || choices.isEmpty()
 				|| !choices.stream().allMatch((choice) -> lost(choice, leftMillis))) {
@@ -69,8 +69,8 @@
 	 * @param leftMillis the time left, in milliseconds
 	 * @return true if it is lost there
 	 */
-	public static boolean lost(Choice choice, long leftMillis) {
-		return choice.load().requests() >= 1 && choice.delay().chanceWithin(leftMillis) < LEAST_CHANCE;
+	public static boolean lost(ReplicaChoice choice, long leftMillis) {
+		return choice.load().requests() >= 1 && choice.delay().probabilityWithin(leftMillis) < LEAST_CHANCE;
 	}
 
 	private static final class Known {
--- a/core/src/main/java/org/gullsaddle/serve/Loss.java
+++ b/core/src/main/java/org/gullsaddle/serve/Loss.java
@@ -20,7 +20,7 @@
 	 * @param candidate the replica, and what is known of it
 	 * @return 0 or more
 	 */
-	double of(Candidate candidate);
+	double estimate(ReplicaCandidate candidate);
 
 	/**
 	 * The answer may begin too late. Among replicas that are all in time the sooner one
@@ -29,20 +29,20 @@
 	record Lateness() implements Loss {
 
 		/** What a late answer loses: teams still have some use for it. */
-		private static final double LATE = 0.6;
+		private static final double LATE_LOSS = 0.6;
 
 		/**
 		 * What waiting until the end of the objective loses: the request itself is in
 		 * time, but what waits before it makes others late.
 		 */
-		private static final double WAITING = 0.5;
+		private static final double WAITING_LOSS = 0.5;
 
 		@Override
-		public double of(Candidate candidate) {
+		public double estimate(ReplicaCandidate candidate) {
 			double objective = Math.max(1, candidate.task().objectiveMillis());
-			double late = 1 - candidate.delay().chanceWithin(objective);
+			double late = 1 - candidate.delay().probabilityWithin(objective);
 			double waiting = Math.min(1, candidate.delay().expectedMillis() / objective);
-			return LATE * late + WAITING * waiting;
+			return LATE_LOSS * late + WAITING_LOSS * waiting;
 		}
 
 	}
@@ -53,11 +53,11 @@
 	record Reading() implements Loss {
 
 		/** The price of a token that the smallest model reads. */
-		private static final double TOKEN = 1e-6;
+		private static final double LOSS_PER_TOKEN = 1e-6;
 
 		@Override
-		public double of(Candidate candidate) {
-			return TOKEN * candidate.load().unreadTokens() * candidate.task().pace();
+		public double estimate(ReplicaCandidate candidate) {
+			return LOSS_PER_TOKEN * candidate.load().unreadTokens() * candidate.task().slowdown();
 		}
 
 	}
@@ -67,16 +67,16 @@
 	 */
 	record Distance() implements Loss {
 
-		private static final double OTHER_DATA_CENTER = 0.005;
+		private static final double OTHER_DATA_CENTER_LOSS = 0.005;
 
-		private static final double OTHER_REGION = 0.03;
+		private static final double OTHER_REGION_LOSS = 0.03;
 
 		@Override
-		public double of(Candidate candidate) {
-			return switch (candidate.reach()) {
+		public double estimate(ReplicaCandidate candidate) {
+			return switch (candidate.distance()) {
 				case SAME_DATA_CENTER -> 0;
-				case SAME_REGION -> OTHER_DATA_CENTER;
-				case OTHER_REGION -> OTHER_REGION;
+				case SAME_REGION -> OTHER_DATA_CENTER_LOSS;
+				case OTHER_REGION -> OTHER_REGION_LOSS;
 			};
 		}
 
@@ -88,11 +88,11 @@
 	record Failures() implements Loss {
 
 		/** What a failed attempt loses: mostly it can be made again. */
-		private static final double FAILED = 0.5;
+		private static final double FAILURE_LOSS = 0.5;
 
 		@Override
-		public double of(Candidate candidate) {
-			return FAILED * candidate.failureShare();
+		public double estimate(ReplicaCandidate candidate) {
+			return FAILURE_LOSS * candidate.failureShare();
 		}
 
 	}
@@ -106,20 +106,20 @@
 	 */
 	record MixedSizes() implements Loss {
 
-		private static final double LEAST = 0.02;
+		private static final double MIN_LOSS = 0.02;
 
-		private static final double REQUEST = 0.04;
+		private static final double LOSS_PER_REQUEST = 0.04;
 
 		/** How long a prompt may be read until it holds up others, in milliseconds. */
-		private static final double SHORT_MILLIS = 100;
+		private static final double SHORT_READ_MILLIS = 100;
 
 		@Override
-		public double of(Candidate candidate) {
-			if (candidate.atHome()) {
+		public double estimate(ReplicaCandidate candidate) {
+			if (candidate.dedicated()) {
 				return 0;
 			}
-			double slowed = Math.max(LEAST, REQUEST * candidate.meanRequests());
-			return slowed * Math.max(1, candidate.readMillis() / SHORT_MILLIS);
+			double slowed = Math.max(MIN_LOSS, LOSS_PER_REQUEST * candidate.meanRequests());
+			return slowed * Math.max(1, candidate.readMillis() / SHORT_READ_MILLIS);
 		}
 
 	}
@@ -130,13 +130,12 @@
 	 */
 	record Preference() implements Loss {
 
-		private static final double NOT_PREFERRED = 0.02;
+		private static final double MAX_LOSS = 0.02;
 
 		@Override
-		public double of(Candidate candidate) {
+		public double estimate(ReplicaCandidate candidate) {
 			List<PromptPart> parts = candidate.task().prompt().parts();
-			return parts.isEmpty() ? 0
-					: NOT_PREFERRED * Spread.unit(parts.get(0).id() + '/' + candidate.replica().id());
+			return parts.isEmpty() ? 0 : MAX_LOSS * Spread.unit(parts.get(0).id() + '/' + candidate.replica().id());
 		}
 
 	}
--- a/core/src/main/java/org/gullsaddle/serve/ModelChooser.java
+++ b/core/src/main/java/org/gullsaddle/serve/ModelSelector.java
@@ -20,81 +20,81 @@
  * worth more than one that is surely wrong; where they are late, asking for more of them
  * makes others late.
  */
-public final class ModelChooser {
+public final class ModelSelector {
 
 	/** The confidence that is always enough: most answers told with it are good. */
-	private static final double MOST = 60;
+	private static final double MAX_SUFFICIENT_CONFIDENCE = 60;
 
 	/** The answers that are surely wrong lie below it. */
-	private static final double LEAST = 4;
+	private static final double MIN_SUFFICIENT_CONFIDENCE = 4;
 
-	private static final double RISE = 0.8;
+	private static final double CONFIDENCE_RISE = 0.8;
 
-	private static final double FALL = 0.85;
+	private static final double CONFIDENCE_FALL_RATIO = 0.85;
 
 	/** The part of the objective after which a first event counts as late. */
-	private static final double LATE_PART = 0.75;
+	private static final double LATE_RATIO = 0.75;
 
 	/**
 	 * The chance to begin in time that a larger model must have where its answers were
 	 * late: below it the large answers queue behind each other, and the caller is better
 	 * served by what is there.
 	 */
-	private static final double MOST_LIKELY = 0.8;
+	private static final double MAX_REQUIRED_PROBABILITY = 0.8;
 
 	/** The same where they were all in time. */
-	private static final double LEAST_LIKELY = 0.2;
+	private static final double MIN_REQUIRED_PROBABILITY = 0.2;
 
 	/** By how much that chance falls with an answer in time. */
-	private static final double LIKELY_FALL = 0.02;
+	private static final double PROBABILITY_FALL = 0.02;
 
 	/** By how much it rises with a late one. */
-	private static final double LIKELY_RISE = 0.2;
+	private static final double PROBABILITY_RISE = 0.2;
 
 	/**
 	 * How much more likely in time the larger model's answer must be than the doubted one
 	 * is to be good.
 	 */
-	private static final double GAIN = 0.25;
+	private static final double MIN_PROBABILITY_GAIN = 0.25;
 
 	/**
 	 * Where a node begins that knows nothing of the load, as after a restart, when many
 	 * callers come back at once.
 	 */
-	private static final double FIRST = 55;
+	private static final double INITIAL_SUFFICIENT_CONFIDENCE = 55;
 
 	/**
 	 * The confidence that is expected of a model between the smallest and the largest
 	 * where it is asked. A little over a half: if it doubts its answer too, a quarter of
 	 * the largest model's time was spent in vain; if not, three quarters are saved.
 	 */
-	private static final double LIKELY_ENOUGH = 52;
+	private static final double MIN_EXPECTED_CONFIDENCE = 52;
 
 	/**
 	 * The confidence that is enough where a queue's bound decides who gets a larger
 	 * model: an answer that is told with it is as likely good as not.
 	 */
-	private static final double BOUNDED_ENOUGH = 50;
+	private static final double BOUNDED_SUFFICIENT_CONFIDENCE = 50;
 
 	/** The chance to begin before the deadline that a larger model must have there. */
-	private static final double BOUNDED_LIKELY = 0.5;
+	private static final double BOUNDED_MIN_PROBABILITY = 0.5;
 
 	private final ConfidenceGains gains = new ConfidenceGains();
 
 	private final boolean bounded;
 
-	private double enough = FIRST;
+	private double sufficientConfidence = INITIAL_SUFFICIENT_CONFIDENCE;
 
-	private double likely = MOST_LIKELY;
+	private double requiredProbability = MAX_REQUIRED_PROBABILITY;
 
 	/**
 	 * Makes a chooser that learns what is enough from answers that are late.
 	 */
-	public ModelChooser() {
+	public ModelSelector() {
 		this(false);
 	}
 
-	private ModelChooser(boolean bounded) {
+	private ModelSelector(boolean bounded) {
 		this.bounded = bounded;
 	}
 
@@ -103,8 +103,8 @@
 	 * queue decides, and how urgent a request is.
 	 * @return the chooser
 	 */
-	public static ModelChooser bounded() {
-		return new ModelChooser(true);
+	public static ModelSelector withQueueBounds() {
+		return new ModelSelector(true);
 	}
 
 	/**
@@ -112,7 +112,7 @@
 	 * @param route the route, with one model or more
 	 * @return the model
 	 */
-	public String first(Route route) {
+	public String firstModel(Route route) {
 		return route.models().get(0);
 	}
 
@@ -125,18 +125,19 @@
 	 * @param last whether the next attempt is the last one, which only the largest makes
 	 * @return the larger model, or empty if the answer is to be kept
 	 */
-	public Optional<String> larger(Route route, String model, OptionalInt confidence, boolean last) {
+	public Optional<String> findLargerModel(Route route, String model, OptionalInt confidence, boolean last) {
 		List<String> models = route.models();
 		int asked = models.indexOf(model);
-		if (confidence.isEmpty() || confidence.getAsInt() >= enough() || asked < 0 || asked == models.size() - 1) {
+		if (confidence.isEmpty() || confidence.getAsInt() >= sufficientConfidence() || asked < 0
+				|| asked == models.size() - 1) {
 			return Optional.empty();
 		}
 		for (int i = asked + 1; i < models.size() - 1 && !last; i++) {
-			if (confidence.getAsInt() + this.gains.gain(model, models.get(i)) >= LIKELY_ENOUGH) {
+			if (confidence.getAsInt() + this.gains.expectedGain(model, models.get(i)) >= MIN_EXPECTED_CONFIDENCE) {
 				return Optional.of(models.get(i));
 			}
 		}
-		return Optional.of(largest(route));
+		return Optional.of(largestModel(route));
 	}
 
 	/**
@@ -146,8 +147,8 @@
 	 * @param larger the model that was asked next
 	 * @param largerConfidence its opinion, 0 to 100, negative if it told none
 	 */
-	public void compared(String model, int confidence, String larger, int largerConfidence) {
-		this.gains.compared(model, confidence, larger, largerConfidence);
+	public void recordComparison(String model, int confidence, String larger, int largerConfidence) {
+		this.gains.recordComparison(model, confidence, larger, largerConfidence);
 	}
 
 	/**
@@ -158,9 +159,10 @@
 	 * @param leftMillis the time left, in milliseconds
 	 * @return true if it is worth asking
 	 */
-	public boolean worthAsking(Route route, int confidence, Delay delay, long leftMillis) {
-		double inTime = delay.chanceWithin(Math.min(route.targetMillis(), leftMillis));
-		return inTime >= Math.max(this.likely, Math.min(MOST_LIKELY, Confidence.chanceGood(confidence) + GAIN));
+	public boolean isWorthAsking(Route route, int confidence, DelayEstimate delay, long leftMillis) {
+		double inTime = delay.probabilityWithin(Math.min(route.targetMillis(), leftMillis));
+		return inTime >= Math.max(this.requiredProbability,
+				Math.min(MAX_REQUIRED_PROBABILITY, Confidence.probabilityGood(confidence) + MIN_PROBABILITY_GAIN));
 	}
 
 	/**
@@ -171,15 +173,16 @@
 	 * @param leftMillis the time left, in milliseconds
 	 * @return true if it may
 	 */
-	public boolean mayQueue(QueueBounds bounds, int rank, Choice choice, long leftMillis) {
-		return choice.queueMillis() <= bounds.millis(rank) && choice.delay().chanceWithin(leftMillis) >= BOUNDED_LIKELY;
+	public boolean canJoinQueue(QueueBounds bounds, int rank, ReplicaChoice choice, long leftMillis) {
+		return choice.queueMillis() <= bounds.millis(rank)
+				&& choice.delay().probabilityWithin(leftMillis) >= BOUNDED_MIN_PROBABILITY;
 	}
 
 	/**
 	 * Says whether a queue's bound decides who gets a larger model.
 	 * @return true if it does
 	 */
-	public boolean isBounded() {
+	public boolean hasQueueBounds() {
 		return this.bounded;
 	}
 
@@ -190,26 +193,30 @@
 	 * @param firstMillis how long its first event took, in milliseconds
 	 * @param gapMillis the longest pause between its events, in milliseconds
 	 */
-	public void answered(Route route, String model, long firstMillis, long gapMillis) {
-		if (route.models().isEmpty() || !model.equals(largest(route))) {
+	public void recordAnswer(Route route, String model, long firstMillis, long gapMillis) {
+		if (route.models().isEmpty() || !model.equals(largestModel(route))) {
 			return;
 		}
 		boolean missed = firstMillis > route.targetMillis();
-		this.likely = Math.clamp(this.likely + (missed ? LIKELY_RISE : -LIKELY_FALL), LEAST_LIKELY, MOST_LIKELY);
-		boolean late = firstMillis > LATE_PART * route.targetMillis()
+		this.requiredProbability = Math.clamp(
+				this.requiredProbability + (missed ? PROBABILITY_RISE : -PROBABILITY_FALL), MIN_REQUIRED_PROBABILITY,
+				MAX_REQUIRED_PROBABILITY);
+		boolean late = firstMillis > LATE_RATIO * route.targetMillis()
 				|| (route.gapMillis() > 0 && gapMillis > route.gapMillis());
-		this.enough = late ? Math.max(LEAST, this.enough * FALL) : Math.min(MOST, this.enough + RISE);
+		this.sufficientConfidence = late
+				? Math.max(MIN_SUFFICIENT_CONFIDENCE, this.sufficientConfidence * CONFIDENCE_FALL_RATIO)
+				: Math.min(MAX_SUFFICIENT_CONFIDENCE, this.sufficientConfidence + CONFIDENCE_RISE);
 	}
 
 	/**
 	 * Returns the confidence that is enough now.
 	 * @return 0 to 100
 	 */
-	public double enough() {
-		return this.bounded ? BOUNDED_ENOUGH : this.enough;
+	public double sufficientConfidence() {
+		return this.bounded ? BOUNDED_SUFFICIENT_CONFIDENCE : this.sufficientConfidence;
 	}
 
-	private static String largest(Route route) {
+	private static String largestModel(Route route) {
 		return route.models().get(route.models().size() - 1);
 	}
 
--- a/core/src/main/java/org/gullsaddle/serve/ModelScale.java
+++ b/core/src/main/java/org/gullsaddle/serve/ModelSizeClass.java
@@ -3,10 +3,10 @@
 /**
  * How a model compares with the others of its service.
  */
-public enum ModelScale {
+public enum ModelSizeClass {
 
 	/** All take about as long, or there is no other. */
-	ALIKE,
+	SIMILAR,
 
 	/** It takes far less time than the largest. */
 	SMALL,
--- a/core/src/main/java/org/gullsaddle/serve/ModelPace.java
+++ b/core/src/main/java/org/gullsaddle/serve/ModelSlowdown.java
@@ -9,21 +9,21 @@
  * costs more. The time between a stream's events does not tell, as models that run side
  * by side all slow down to the slowest.
  */
-public final class ModelPace {
+public final class ModelSlowdown {
 
 	/** Stands for a price of nothing. */
 	private static final double MIN_COST = 1e-9;
 
 	/** How many times slower than the smallest a model is taken for at most. */
-	private static final double MAX_PACE = 15;
+	private static final double MAX_SLOWDOWN = 15;
 
 	/** Models that differ by less run in one batch without slowing each other much. */
-	private static final double ALIKE_PACE = 1.5;
+	private static final double SIMILAR_SLOWDOWN_RATIO = 1.5;
 
 	/** From this part of the largest model's pace on a model counts as large. */
-	private static final double LARGE_PART = 1.0 / 3;
+	private static final double LARGE_RATIO = 1.0 / 3;
 
-	private ModelPace() {
+	private ModelSlowdown() {
 	}
 
 	/**
@@ -37,7 +37,7 @@
 		return models.stream()
 			.filter((each) -> each.name().equals(model))
 			.findFirst()
-			.map((each) -> Math.clamp(each.cost() / Math.max(MIN_COST, cheapest), 1, MAX_PACE))
+			.map((each) -> Math.clamp(each.cost() / Math.max(MIN_COST, cheapest), 1, MAX_SLOWDOWN))
 			.orElse(1.0);
 	}
 
@@ -47,13 +47,13 @@
 	 * @param models all models of its service
 	 * @return its scale
 	 */
-	public static ModelScale scale(String model, List<ModelSize> models) {
+	public static ModelSizeClass sizeClass(String model, List<ModelSize> models) {
 		double largest = models.stream().mapToDouble((each) -> of(each.name(), models)).max().orElse(1);
-		if (largest < ALIKE_PACE) {
-			return ModelScale.ALIKE;
+		if (largest < SIMILAR_SLOWDOWN_RATIO) {
+			return ModelSizeClass.SIMILAR;
 		}
 		double pace = of(model, models);
-		return (pace > 1 && pace >= LARGE_PART * largest) ? ModelScale.LARGE : ModelScale.SMALL;
+		return (pace > 1 && pace >= LARGE_RATIO * largest) ? ModelSizeClass.LARGE : ModelSizeClass.SMALL;
 	}
 
 }
--- a/core/src/main/java/org/gullsaddle/serve/NormalCurve.java
+++ b/core/src/main/java/org/gullsaddle/serve/NormalDistribution.java
@@ -3,11 +3,11 @@
 /**
  * The normal distribution, by a logistic curve that follows it within one percent.
  */
-final class NormalCurve {
+final class NormalDistribution {
 
 	private static final double LOGISTIC_SLOPE = 1.702;
 
-	private NormalCurve() {
+	private NormalDistribution() {
 	}
 
 	/**
@@ -17,7 +17,7 @@
 	 * @param deviation its standard deviation, more than 0
 	 * @return 0 to 1
 	 */
-	static double below(double limit, double mean, double deviation) {
+	static double probabilityBelow(double limit, double mean, double deviation) {
 		return 1 / (1 + Math.exp(-LOGISTIC_SLOPE * (limit - mean) / deviation));
 	}
 
--- a/core/src/main/java/org/gullsaddle/serve/Candidate.java
+++ b/core/src/main/java/org/gullsaddle/serve/ReplicaCandidate.java
@@ -10,12 +10,13 @@
  * @param load what would delay the request there
  * @param delay when its answer would begin
  * @param readMillis how long it would read the prompt, in milliseconds
- * @param pace how its pace changes both
- * @param reach how far away it is
+ * @param slowdown how its pace changes both
+ * @param distance how far away it is
  * @param failureShare the share of its latest answers that failed
- * @param atHome whether models of the task's size are at home there
+ * @param dedicated whether models of the task's size are at home there
  * @param meanRequests how many requests all replicas have on average
  */
-public record Candidate(Replica replica, Task task, EngineLoad load, Delay delay, double readMillis, Pace pace,
-		Distance reach, double failureShare, boolean atHome, double meanRequests) {
+public record ReplicaCandidate(Replica replica, ReplicaTask task, EngineLoad load, DelayEstimate delay,
+		double readMillis, Slowdown slowdown, Distance distance, double failureShare, boolean dedicated,
+		double meanRequests) {
 }
--- a/core/src/main/java/org/gullsaddle/serve/Choice.java
+++ b/core/src/main/java/org/gullsaddle/serve/ReplicaChoice.java
@@ -9,10 +9,11 @@
  * @param load what delays the request there
  * @param delay when its first event is expected
  * @param readMillis how long the replica needs to read its prompt, in milliseconds
- * @param pace how the replica's pace changes both
+ * @param slowdown how the replica's pace changes both
  * @param loss the share of the request's worth that is likely lost, see {@link Loss}
  */
-public record Choice(Replica replica, EngineLoad load, Delay delay, double readMillis, Pace pace, double loss) {
+public record ReplicaChoice(Replica replica, EngineLoad load, DelayEstimate delay, double readMillis, Slowdown slowdown,
+		double loss) {
 
 	/**
 	 * Returns how long the request is expected to wait there until its own prompt is
--- a/core/src/main/java/org/gullsaddle/serve/ReplicaPace.java
+++ b/core/src/main/java/org/gullsaddle/serve/ReplicaPace.java
@@ -67,12 +67,12 @@
 	 * Returns its pace for work that begins now.
 	 * @param millis how long the work takes at a usual pace
 	 */
-	Pace at(long now, double millis, PeerPace peers) {
+	Slowdown at(long now, double millis, PeerPace peers) {
 		double left = left(now, HOLDS_MILLIS);
 		double usual = this.figures.beside(peers.figure(), left);
 		double slower = Math.exp(this.lasting.beside(0, left));
 		double bounded = Math.clamp(slower, LEAST, MOST_LASTING);
-		return new Pace(usual * passing(now, usual, Math.max(1, millis * usual * bounded)), bounded);
+		return new Slowdown(usual * passing(now, usual, Math.max(1, millis * usual * bounded)), bounded);
 	}
 
 	/**
@@ -91,9 +91,9 @@
 	 * Learns from the delay of an answer.
 	 * @param choice what was expected of it
 	 */
-	void took(Choice choice, double millis, PeerPace peers) {
+	void took(ReplicaChoice choice, double millis, PeerPace peers) {
 		double expected = Math.max(1, choice.delay().expectedMillis());
-		double ratio = Math.log(Math.max(1, millis) / expected * choice.pace().lasting());
+		double ratio = Math.log(Math.max(1, millis) / expected * choice.slowdown().learned());
 		double bounded = Math.clamp(ratio, -MOST_RATIO, MOST_RATIO);
 		double beside = bounded - peers.ratio();
 		double variance = peers.variance(beside - this.lasting.beside(0, 1));
--- a/core/src/main/java/org/gullsaddle/serve/ReplicaPaces.java
+++ b/core/src/main/java/org/gullsaddle/serve/ReplicaPaces.java
@@ -19,16 +19,16 @@
 		state.slowdown().told(now, percent, peers);
 	}
 
-	Pace at(long now, ReplicaState state, double millis) {
+	Slowdown at(long now, ReplicaState state, double millis) {
 		PeerPace peers = this.services.get(state.replica().service());
-		return (peers != null) ? state.slowdown().at(now, millis, peers) : Pace.USUAL;
+		return (peers != null) ? state.slowdown().at(now, millis, peers) : Slowdown.NONE;
 	}
 
 	/**
 	 * Learns how long an answer took to begin, or that it had not begun by then, which
 	 * says something only if it was expected to.
 	 */
-	void took(ReplicaState state, Choice choice, double millis, boolean begun) {
+	void took(ReplicaState state, ReplicaChoice choice, double millis, boolean begun) {
 		PeerPace peers = this.services.get(state.replica().service());
 		if (peers != null && (begun || millis > choice.delay().expectedMillis())) {
 			state.slowdown().took(choice, millis, peers);
--- a/core/src/main/java/org/gullsaddle/serve/ReplicaSelector.java
+++ b/core/src/main/java/org/gullsaddle/serve/ReplicaSelector.java
@@ -93,8 +93,9 @@
 	 * @param task what it is to do
 	 * @return the replica, or empty if none is left
 	 */
-	public Optional<Choice> chooseReplica(long now, List<Replica> usable, Set<ReplicaId> tried, Task task) {
-		return choices(now, usable, tried, task).min(Comparator.comparingDouble(Choice::loss));
+	public Optional<ReplicaChoice> chooseReplica(long now, List<Replica> usable, Set<ReplicaId> tried,
+			ReplicaTask task) {
+		return choices(now, usable, tried, task).min(Comparator.comparingDouble(ReplicaChoice::loss));
 	}
 
 	/**
@@ -107,13 +108,13 @@
 	 * @param task what it is to do
 	 * @return the replicas, none if what is known is enough
 	 */
-	public List<Replica> replicasToQuery(long now, List<Replica> usable, Set<ReplicaId> tried, Task task) {
-		if (task.pace() <= 1 && (task.plain() || !this.partition.keptApart())) {
+	public List<Replica> replicasToQuery(long now, List<Replica> usable, Set<ReplicaId> tried, ReplicaTask task) {
+		if (task.slowdown() <= 1 && (task.isPlainCall() || !this.partition.keptApart())) {
 			return List.of();
 		}
 		return bestChoices(now, usable, tried, task, MAX_QUERIED_REPLICAS).stream()
 			.filter((choice) -> !choice.load().otherRegion())
-			.map(Choice::replica)
+			.map(ReplicaChoice::replica)
 			.filter((replica) -> !hasReportWithin(now, replica, MAX_REPORT_AGE_MILLIS))
 			.toList();
 	}
@@ -127,11 +128,14 @@
 	 * @param most how many to return at most
 	 * @return the replicas, the best first
 	 */
-	public List<Choice> bestChoices(long now, List<Replica> usable, Set<ReplicaId> tried, Task task, int most) {
-		return choices(now, usable, tried, task).sorted(Comparator.comparingDouble(Choice::loss)).limit(most).toList();
+	public List<ReplicaChoice> bestChoices(long now, List<Replica> usable, Set<ReplicaId> tried, ReplicaTask task,
+			int most) {
+		return choices(now, usable, tried, task).sorted(Comparator.comparingDouble(ReplicaChoice::loss))
+			.limit(most)
+			.toList();
 	}
 
-	private Stream<Choice> choices(long now, List<Replica> usable, Set<ReplicaId> tried, Task task) {
+	private Stream<ReplicaChoice> choices(long now, List<Replica> usable, Set<ReplicaId> tried, ReplicaTask task) {
 		List<ReplicaState> able = usable.stream()
 			.filter((replica) -> !tried.contains(replica.id()))
 			.map(this::stateOf)
@@ -161,18 +165,19 @@
 		return home.isEmpty() ? usual : home;
 	}
 
-	private Candidate createCandidate(long now, ReplicaState state, Task task, Others others, double meanRequests) {
+	private ReplicaCandidate createCandidate(long now, ReplicaState state, ReplicaTask task, Others others,
+			double meanRequests) {
 		Others.Usual usual = others.at(state);
 		Replica replica = state.replica();
 		Distance reach = this.location.distance(replica.dataCenter());
 		double requests = state.estimateRequests(now, usual.requests());
-		double before = task.plain() ? estimateQueueRounds(replica, requests)
+		double before = task.isPlainCall() ? estimateQueueRounds(replica, requests)
 				: state.estimateBacklogTokens(now, usual.unread(), this.meanWork.getOrDefault(task.model(), 0.0));
 		EngineLoad load = new EngineLoad(unreadTokens(state, task), before, requests, reach == Distance.OTHER_REGION);
 		DelayModel delays = this.delayEstimator.of(replica, task);
-		Delay first = delays.first(load);
-		Pace pace = this.slowdowns.at(now, state, first.expectedMillis());
-		return new Candidate(replica, task, load, first.times(pace.factor()),
+		DelayEstimate first = delays.first(load);
+		Slowdown pace = this.slowdowns.at(now, state, first.expectedMillis());
+		return new ReplicaCandidate(replica, task, load, first.scaledBy(pace.factor()),
 				pace.factor() * delays.readMillis(load.unreadTokens()), pace, reach, state.failureShare(),
 				others.home(state), meanRequests);
 	}
@@ -185,13 +190,13 @@
 		return Math.max(0, requests - slots + 1) / slots;
 	}
 
-	private Choice createChoice(Candidate candidate) {
+	private ReplicaChoice createChoice(ReplicaCandidate candidate) {
 		double loss = 0;
 		for (Loss each : this.losses) {
-			loss += each.of(candidate);
+			loss += each.estimate(candidate);
 		}
-		return new Choice(candidate.replica(), candidate.load(), candidate.delay(), candidate.readMillis(),
-				candidate.pace(), loss);
+		return new ReplicaChoice(candidate.replica(), candidate.load(), candidate.delay(), candidate.readMillis(),
+				candidate.slowdown(), loss);
 	}
 
 	/**
@@ -200,10 +205,10 @@
 	 * @param choice where to
 	 * @param task what the replica is to do
 	 */
-	public void onSent(long now, Choice choice, Task task) {
+	public void onSent(long now, ReplicaChoice choice, ReplicaTask task) {
 		this.partition.sent(now, task, choice.unreadTokens());
 		long kept = Math.round(task.cacheTokens() * CACHE_RATIO);
-		double work = choice.unreadTokens() * task.pace();
+		double work = choice.unreadTokens() * task.slowdown();
 		stateOf(choice.replica()).onSent(task, work, kept);
 		this.meanWork.merge(task.model(), work, (usual, next) -> usual + WORK_SMOOTHING * (next - usual));
 	}
@@ -213,8 +218,8 @@
 	 * @param choice where it was sent
 	 * @param task what the replica was to do
 	 */
-	public void onPromptRead(Choice choice, Task task) {
-		stateOf(choice.replica()).onPromptRead(choice.unreadTokens() * task.pace());
+	public void onPromptRead(ReplicaChoice choice, ReplicaTask task) {
+		stateOf(choice.replica()).onPromptRead(choice.unreadTokens() * task.slowdown());
 	}
 
 	/**
@@ -226,8 +231,8 @@
 	 * in milliseconds
 	 * @param begun whether it began
 	 */
-	public void recordFirstEventDelay(Choice choice, Task task, long millis, boolean begun) {
-		double usual = millis / choice.pace().factor();
+	public void recordFirstEventDelay(ReplicaChoice choice, ReplicaTask task, long millis, boolean begun) {
+		double usual = millis / choice.slowdown().factor();
 		if (begun) {
 			this.delayEstimator.of(choice.replica(), task).seen(choice.load(), usual);
 		}
@@ -257,7 +262,7 @@
 	 * @param patienceMillis how long a replica that has nothing to read may be silent
 	 * @return true if the request is better tried elsewhere
 	 */
-	public boolean isUnresponsive(long now, Choice choice, long since, boolean reading, long patienceMillis) {
+	public boolean isUnresponsive(long now, ReplicaChoice choice, long since, boolean reading, long patienceMillis) {
 		return now - silentSince(choice, since) > maxSilenceMillis(choice, reading, patienceMillis);
 	}
 
@@ -267,7 +272,7 @@
 	 * @param since since when that request waits for bytes, in milliseconds
 	 * @return the time in milliseconds
 	 */
-	public long silentSince(Choice choice, long since) {
+	public long silentSince(ReplicaChoice choice, long since) {
 		return Math.max(since, stateOf(choice.replica()).lastBytesAt());
 	}
 
@@ -278,7 +283,7 @@
 	 * @param patienceMillis how long a replica that has nothing to read may be silent
 	 * @return the time in milliseconds
 	 */
-	public long maxSilenceMillis(Choice choice, boolean reading, long patienceMillis) {
+	public long maxSilenceMillis(ReplicaChoice choice, boolean reading, long patienceMillis) {
 		return patienceMillis + (reading ? Math.round(MAX_READ_RATIO * choice.readMillis()) : 0);
 	}
 
@@ -290,7 +295,7 @@
 	 * @param task what it is to do
 	 * @return the delay
 	 */
-	public Delay estimateDelay(long now, List<Replica> usable, Replica replica, Task task) {
+	public DelayEstimate estimateDelay(long now, List<Replica> usable, Replica replica, ReplicaTask task) {
 		List<ReplicaState> states = usable.stream().map(this::stateOf).toList();
 		Others others = Others.of(now, states, this.partition.away(usable, task));
 		return createCandidate(now, stateOf(replica), task, others, 0).delay();
@@ -302,7 +307,7 @@
 	 * @param choice where it was sent
 	 * @param end its end
 	 */
-	public void onAttemptEnded(long now, Choice choice, AttemptEnd end) {
+	public void onAttemptEnded(long now, ReplicaChoice choice, AttemptEnd end) {
 		ReplicaState state = stateOf(choice.replica());
 		state.onEnded();
 		switch (end) {
@@ -406,7 +411,7 @@
 				this.states.values().stream().map((state) -> state.replica().service()).collect(Collectors.toSet()));
 	}
 
-	private static int unreadTokens(ReplicaState state, Task task) {
+	private static int unreadTokens(ReplicaState state, ReplicaTask task) {
 		return Math.max(0, task.prompt().inputTokens() - state.cachedTokens(task));
 	}
 
--- a/core/src/main/java/org/gullsaddle/serve/ReplicaState.java
+++ b/core/src/main/java/org/gullsaddle/serve/ReplicaState.java
@@ -53,7 +53,7 @@
 		this.replica = newReplica;
 	}
 
-	void onSent(Task task, double unread, long capacity) {
+	void onSent(ReplicaTask task, double unread, long capacity) {
 		this.running++;
 		this.unreadRequests++;
 		this.unreadTokens += unread;
@@ -148,7 +148,7 @@
 		return this.unreadTokens + tokens * this.peerUnreadRequests.at(now, usual);
 	}
 
-	int cachedTokens(Task task) {
+	int cachedTokens(ReplicaTask task) {
 		return this.promptCache.kept(task.model(), task.prompt().parts());
 	}
 
--- a/core/src/main/java/org/gullsaddle/serve/Task.java
+++ b/core/src/main/java/org/gullsaddle/serve/ReplicaTask.java
@@ -5,23 +5,24 @@
  *
  * @param model the model that is to run, empty for a plain service
  * @param prompt the prompt, {@link Prompt#NONE} for a plain service
- * @param pace how many times longer the model takes over a token than the smallest
- * @param scale how the model compares with the others of its service
+ * @param slowdown how many times longer the model takes over a token than the smallest
+ * @param sizeClass how the model compares with the others of its service
  * @param cacheTokens how many tokens the engine's memory holds
  * @param objectiveMillis how soon its answer is to begin, in milliseconds
  */
-public record Task(String model, Prompt prompt, double pace, ModelScale scale, long cacheTokens, long objectiveMillis) {
+public record ReplicaTask(String model, Prompt prompt, double slowdown, ModelSizeClass sizeClass, long cacheTokens,
+		long objectiveMillis) {
 
 	/**
 	 * Makes a call to a plain service.
 	 * @param objectiveMillis how soon it is to be answered, in milliseconds
 	 * @return the task
 	 */
-	public static Task call(long objectiveMillis) {
-		return new Task("", Prompt.NONE, 1, ModelScale.ALIKE, 0, objectiveMillis);
+	public static ReplicaTask plainCall(long objectiveMillis) {
+		return new ReplicaTask("", Prompt.NONE, 1, ModelSizeClass.SIMILAR, 0, objectiveMillis);
 	}
 
-	boolean plain() {
+	boolean isPlainCall() {
 		return this.model.isEmpty();
 	}
 
--- a/core/src/main/java/org/gullsaddle/serve/SilencePatience.java
+++ b/core/src/main/java/org/gullsaddle/serve/SilencePatience.java
@@ -117,7 +117,7 @@
 	 * @param there when it would begin at the other replica
 	 * @return true if the request is better moved
 	 */
-	public static boolean sooner(Delay here, Delay there) {
+	public static boolean sooner(DelayEstimate here, DelayEstimate there) {
 		return there.expectedMillis() + there.deviationMillis() < CLEARLY * here.expectedMillis();
 	}
 
--- a/core/src/main/java/org/gullsaddle/serve/WorkShares.java
+++ b/core/src/main/java/org/gullsaddle/serve/WorkShares.java
@@ -106,8 +106,8 @@
 	 * @param task what is to be done
 	 * @return the work, at least 1
 	 */
-	public static double work(int unreadTokens, Task task) {
-		return Math.max(1, (unreadTokens + READ_PER_WRITTEN * task.prompt().likelyOutput()) * task.pace());
+	public static double work(int unreadTokens, ReplicaTask task) {
+		return Math.max(1, (unreadTokens + READ_PER_WRITTEN * task.prompt().likelyOutput()) * task.slowdown());
 	}
 
 	/**
--- a/core/src/test/java/org/gullsaddle/serve/DelayEstimatorTests.java
+++ b/core/src/test/java/org/gullsaddle/serve/DelayEstimatorTests.java
@@ -20,17 +20,17 @@
 
 	private static final long OBJECTIVE = 3000;
 
-	private static final Task LARGE = task("large", 15);
+	private static final ReplicaTask LARGE = task("large", 15);
 
-	private static final Task SMALL = task("small", 1);
+	private static final ReplicaTask SMALL = task("small", 1);
 
 	private final DelayEstimator delays = new DelayEstimator();
 
 	private final Random random = new Random(1);
 
-	private static Task task(String model, double pace) {
-		return new Task(model, new Prompt(1000, 100, OptionalInt.empty(), List.of()), pace, ModelScale.LARGE, 100_000,
-				OBJECTIVE);
+	private static ReplicaTask task(String model, double pace) {
+		return new ReplicaTask(model, new Prompt(1000, 100, OptionalInt.empty(), List.of()), pace, ModelSizeClass.LARGE,
+				100_000, OBJECTIVE);
 	}
 
 	private static Replica replica(String release) {
@@ -50,8 +50,8 @@
 		}
 	}
 
-	private double chanceInTime(Task task, int tokens) {
-		return this.delays.of(replica("v1"), task).first(unread(tokens)).chanceWithin(OBJECTIVE);
+	private double chanceInTime(ReplicaTask task, int tokens) {
+		return this.delays.of(replica("v1"), task).first(unread(tokens)).probabilityWithin(OBJECTIVE);
 	}
 
 	/**
@@ -98,7 +98,7 @@
 			EngineLoad load = new EngineLoad(this.random.nextInt(Integer.MAX_VALUE), Math.pow(10, exponent),
 					this.random.nextInt(100_000), this.random.nextBoolean());
 			this.delays.of(replica("v1"), LARGE).seen(load, this.random.nextDouble() * Math.pow(10, exponent));
-			Delay delay = this.delays.of(replica("v1"), LARGE).first(unread(this.random.nextInt(100_000)));
+			DelayEstimate delay = this.delays.of(replica("v1"), LARGE).first(unread(this.random.nextInt(100_000)));
 			assertThat(delay.expectedMillis()).isFinite().isNotNegative();
 			assertThat(delay.deviationMillis()).isFinite().isPositive();
 		}
--- a/core/src/test/java/org/gullsaddle/serve/HomesTests.java
+++ b/core/src/test/java/org/gullsaddle/serve/HomesTests.java
@@ -17,15 +17,15 @@
 
 class HomesTests {
 
-	private static final Task SMALL = task("small", 1, ModelScale.SMALL);
+	private static final ReplicaTask SMALL = task("small", 1, ModelSizeClass.SMALL);
 
-	private static final Task LARGE = task("large", 15, ModelScale.LARGE);
+	private static final ReplicaTask LARGE = task("large", 15, ModelSizeClass.LARGE);
 
 	private final Homes homes = new Homes(new NodeLocation("a", Map.of("a", "north", "b", "north", "c", "south")));
 
-	private static Task task(String model, double pace, ModelScale scale) {
+	private static ReplicaTask task(String model, double pace, ModelSizeClass scale) {
 		Prompt prompt = new Prompt(1000, 10, OptionalInt.empty(), List.of(new PromptPart("p", 1000)));
-		return new Task(model, prompt, pace, scale, 100_000, 4000);
+		return new ReplicaTask(model, prompt, pace, scale, 100_000, 4000);
 	}
 
 	private static List<Replica> replicas(int count) {
@@ -49,7 +49,7 @@
 	/** Guards against an engine that stays idle where there is only one model. */
 	@Test
 	void modelThatIsAloneIsAtHomeEverywhere() {
-		Task only = task("only", 1, ModelScale.ALIKE);
+		ReplicaTask only = task("only", 1, ModelSizeClass.SIMILAR);
 		this.homes.sent(0, only, 8000);
 		assertThat(this.homes.away(replicas(4), only)).isEmpty();
 	}
--- a/core/src/test/java/org/gullsaddle/serve/HopelessTests.java
+++ b/core/src/test/java/org/gullsaddle/serve/HopelessTests.java
@@ -17,15 +17,15 @@
 
 	private static final long LEFT = 2000;
 
-	private static final Choice LOST = choice(40, 9000, 1500);
+	private static final ReplicaChoice LOST = choice(40, 9000, 1500);
 
 	private final Hopeless hopeless = new Hopeless();
 
-	private static Choice choice(double requests, double expected, double deviation) {
+	private static ReplicaChoice choice(double requests, double expected, double deviation) {
 		Replica replica = new Replica(new ReplicaId("r"), SERVICE, new Address("10.0.0.1", 80), "a", "v1", 64, false,
 				1);
-		return new Choice(replica, new EngineLoad(1000, 0, requests, false), new Delay(expected, deviation), 10,
-				Pace.USUAL, 1);
+		return new ReplicaChoice(replica, new EngineLoad(1000, 0, requests, false),
+				new DelayEstimate(expected, deviation), 10, Slowdown.NONE, 1);
 	}
 
 	private void answers(int count) {
@@ -35,7 +35,7 @@
 	}
 
 	/** Asks twice, as the first of a time is tried whatever is known. */
-	private boolean refuses(List<Choice> choices) {
+	private boolean refuses(List<ReplicaChoice> choices) {
 		return this.hopeless.refuses(0, SERVICE, choices, LEFT) || this.hopeless.refuses(1, SERVICE, choices, LEFT);
 	}
 
--- a/core/src/test/java/org/gullsaddle/serve/LossTests.java
+++ b/core/src/test/java/org/gullsaddle/serve/LossTests.java
@@ -17,7 +17,7 @@
 
 	private static final long OBJECTIVE = 3000;
 
-	private Delay delay = new Delay(100, 10);
+	private DelayEstimate delay = new DelayEstimate(100, 10);
 
 	private EngineLoad load = new EngineLoad(0, 0, 0, false);
 
@@ -31,17 +31,17 @@
 
 	private double meanRequests;
 
-	private Candidate candidate(String replica) {
+	private ReplicaCandidate candidate(String replica) {
 		Prompt prompt = new Prompt(1000, 10, OptionalInt.empty(), List.of(new PromptPart("p", 1000)));
-		return new Candidate(
+		return new ReplicaCandidate(
 				new Replica(new ReplicaId(replica), new ServiceName("engines"), new Address("10.0.0.1", 80), "a", "v1",
 						8, false, 1),
-				new Task("large", prompt, 15, ModelScale.LARGE, 100_000, OBJECTIVE), this.load, this.delay,
-				this.readMillis, Pace.USUAL, this.reach, this.failureShare, this.atHome, this.meanRequests);
+				new ReplicaTask("large", prompt, 15, ModelSizeClass.LARGE, 100_000, OBJECTIVE), this.load, this.delay,
+				this.readMillis, Slowdown.NONE, this.reach, this.failureShare, this.atHome, this.meanRequests);
 	}
 
 	private double loss(Loss loss) {
-		return loss.of(candidate("e"));
+		return loss.estimate(candidate("e"));
 	}
 
 	@Test
@@ -69,8 +69,8 @@
 	@Test
 	void nodesPreferTheSameReplicaForTheSameParts() {
 		Loss preference = new Loss.Preference();
-		assertThat(preference.of(candidate("e"))).isEqualTo(preference.of(candidate("e")))
-			.isNotEqualTo(preference.of(candidate("f")));
+		assertThat(preference.estimate(candidate("e"))).isEqualTo(preference.estimate(candidate("e")))
+			.isNotEqualTo(preference.estimate(candidate("f")));
 	}
 
 	@Nested
@@ -78,22 +78,22 @@
 
 		@Test
 		void answerThatComesTooLateLosesMostOfItsWorth() {
-			LossTests.this.delay = new Delay(2 * OBJECTIVE, 10);
+			LossTests.this.delay = new DelayEstimate(2 * OBJECTIVE, 10);
 			assertThat(loss(new Loss.Lateness())).isGreaterThan(0.5);
 		}
 
 		@Test
 		void soonerAnswerLosesLess() {
 			double soon = loss(new Loss.Lateness());
-			LossTests.this.delay = new Delay(1000, 10);
+			LossTests.this.delay = new DelayEstimate(1000, 10);
 			assertThat(loss(new Loss.Lateness())).isGreaterThan(soon);
 		}
 
 		@Test
 		void unsureEstimateCountsByItsChance() {
-			LossTests.this.delay = new Delay(2500, 10);
+			LossTests.this.delay = new DelayEstimate(2500, 10);
 			double sure = loss(new Loss.Lateness());
-			LossTests.this.delay = new Delay(2500, 1000);
+			LossTests.this.delay = new DelayEstimate(2500, 1000);
 			assertThat(loss(new Loss.Lateness())).isGreaterThan(sure);
 		}
 
@@ -117,7 +117,7 @@
 			LossTests.this.atHome = false;
 			LossTests.this.meanRequests = 5;
 			LossTests.this.readMillis = 2000;
-			LossTests.this.delay = new Delay(OBJECTIVE, 300);
+			LossTests.this.delay = new DelayEstimate(OBJECTIVE, 300);
 			assertThat(loss(new Loss.MixedSizes())).isGreaterThan(loss(new Loss.Lateness()));
 		}
 
--- a/core/src/test/java/org/gullsaddle/serve/ModelChooserTests.java
+++ b/core/src/test/java/org/gullsaddle/serve/ModelSelectorTests.java
@@ -15,7 +15,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-class ModelChooserTests {
+class ModelSelectorTests {
 
 	private static final Route ROUTE = Route.named("ask")
 		.at("shop.example", "/ask/")
@@ -26,15 +26,15 @@
 		.maxAttempts(3)
 		.build();
 
-	private final ModelChooser chooser = new ModelChooser();
+	private final ModelSelector chooser = new ModelSelector();
 
 	@Test
 	void smallestIsAskedFirstAndTheLargestWhereItDoubts() {
-		assertThat(this.chooser.first(ROUTE)).isEqualTo("small");
-		assertThat(this.chooser.larger(ROUTE, "small", OptionalInt.of(10), false)).contains("large");
-		assertThat(this.chooser.larger(ROUTE, "small", OptionalInt.of(90), false)).isEmpty();
-		assertThat(this.chooser.larger(ROUTE, "small", OptionalInt.empty(), false)).isEmpty();
-		assertThat(this.chooser.larger(ROUTE, "large", OptionalInt.of(1), false)).isEmpty();
+		assertThat(this.chooser.firstModel(ROUTE)).isEqualTo("small");
+		assertThat(this.chooser.findLargerModel(ROUTE, "small", OptionalInt.of(10), false)).contains("large");
+		assertThat(this.chooser.findLargerModel(ROUTE, "small", OptionalInt.of(90), false)).isEmpty();
+		assertThat(this.chooser.findLargerModel(ROUTE, "small", OptionalInt.empty(), false)).isEmpty();
+		assertThat(this.chooser.findLargerModel(ROUTE, "large", OptionalInt.of(1), false)).isEmpty();
 	}
 
 	/**
@@ -45,45 +45,45 @@
 	 */
 	@Test
 	void lateAnswersOfTheLargestMakeItBeAskedLessUntilTheyAreInTimeAgain() {
-		double before = this.chooser.enough();
+		double before = this.chooser.sufficientConfidence();
 		for (int i = 0; i < 40; i++) {
-			this.chooser.answered(ROUTE, "large", 3900, 100);
+			this.chooser.recordAnswer(ROUTE, "large", 3900, 100);
 		}
-		assertThat(this.chooser.larger(ROUTE, "small", OptionalInt.of(30), false)).isEmpty();
-		assertThat(this.chooser.larger(ROUTE, "small", OptionalInt.of(0), false)).contains("large");
+		assertThat(this.chooser.findLargerModel(ROUTE, "small", OptionalInt.of(30), false)).isEmpty();
+		assertThat(this.chooser.findLargerModel(ROUTE, "small", OptionalInt.of(0), false)).contains("large");
 		for (int i = 0; i < 100; i++) {
-			this.chooser.answered(ROUTE, "large", 500, 100);
+			this.chooser.recordAnswer(ROUTE, "large", 500, 100);
 		}
-		assertThat(this.chooser.enough()).isGreaterThanOrEqualTo(before);
+		assertThat(this.chooser.sufficientConfidence()).isGreaterThanOrEqualTo(before);
 	}
 
 	@Test
 	void longPauseBetweenEventsCountsAsLate() {
-		double before = this.chooser.enough();
-		this.chooser.answered(ROUTE, "large", 100, 1001);
-		assertThat(this.chooser.enough()).isLessThan(before);
+		double before = this.chooser.sufficientConfidence();
+		this.chooser.recordAnswer(ROUTE, "large", 100, 1001);
+		assertThat(this.chooser.sufficientConfidence()).isLessThan(before);
 	}
 
-	private boolean asks(int confidence, Delay delay) {
-		return this.chooser.worthAsking(ROUTE, confidence, delay, 15_000);
+	private boolean asks(int confidence, DelayEstimate delay) {
+		return this.chooser.isWorthAsking(ROUTE, confidence, delay, 15_000);
 	}
 
 	@Test
 	void largestIsNotAskedWhereItWouldBeginTooLate() {
-		assertThat(asks(10, new Delay(3000, 300))).isTrue();
-		assertThat(asks(10, new Delay(3900, 300))).isFalse();
-		assertThat(this.chooser.worthAsking(ROUTE, 10, new Delay(3000, 300), 3000)).isFalse();
+		assertThat(asks(10, new DelayEstimate(3000, 300))).isTrue();
+		assertThat(asks(10, new DelayEstimate(3900, 300))).isFalse();
+		assertThat(this.chooser.isWorthAsking(ROUTE, 10, new DelayEstimate(3000, 300), 3000)).isFalse();
 	}
 
 	@Nested
 	class WhileTheLargestIsInTime {
 
-		private static final Delay MAYBE_LATE = new Delay(3900, 600);
+		private static final DelayEstimate MAYBE_LATE = new DelayEstimate(3900, 600);
 
 		@BeforeEach
 		void answersInTime() {
 			for (int i = 0; i < 40; i++) {
-				ModelChooserTests.this.chooser.answered(ROUTE, "large", 500, 100);
+				ModelSelectorTests.this.chooser.recordAnswer(ROUTE, "large", 500, 100);
 			}
 		}
 
@@ -91,23 +91,23 @@
 		@Test
 		void whatIsSurelyWrongIsReplacedByWhatMayBeLate() {
 			assertThat(asks(10, MAYBE_LATE)).isTrue();
-			assertThat(asks(10, new Delay(8000, 600))).isFalse();
+			assertThat(asks(10, new DelayEstimate(8000, 600))).isFalse();
 		}
 
 		@Test
 		void whatIsPerhapsGoodIsKept() {
 			assertThat(asks(48, MAYBE_LATE)).isFalse();
-			assertThat(asks(48, new Delay(3000, 300))).isTrue();
+			assertThat(asks(48, new DelayEstimate(3000, 300))).isTrue();
 		}
 
 		/** Guards against large answers that make each other late under load. */
 		@Test
 		void lateAnswersMakeItBeAskedOnlyWhereItIsLikelyInTime() {
 			for (int i = 0; i < 3; i++) {
-				ModelChooserTests.this.chooser.answered(ROUTE, "large", 4500, 100);
+				ModelSelectorTests.this.chooser.recordAnswer(ROUTE, "large", 4500, 100);
 			}
 			assertThat(asks(10, MAYBE_LATE)).isFalse();
-			assertThat(asks(10, new Delay(3000, 300))).isTrue();
+			assertThat(asks(10, new DelayEstimate(3000, 300))).isTrue();
 		}
 
 	}
@@ -116,7 +116,7 @@
 	class BetweenTheSmallestAndTheLargest {
 
 		private Optional<String> after(int confidence) {
-			return ModelChooserTests.this.chooser.larger(ROUTE, "small", OptionalInt.of(confidence), false);
+			return ModelSelectorTests.this.chooser.findLargerModel(ROUTE, "small", OptionalInt.of(confidence), false);
 		}
 
 		/**
@@ -133,11 +133,11 @@
 		@Test
 		void middleModelIsAskedWhereItsOwnOpinionsWereHighEnough() {
 			for (int i = 0; i < 60; i++) {
-				ModelChooserTests.this.chooser.compared("small", 30, "middle", 60);
+				ModelSelectorTests.this.chooser.recordComparison("small", 30, "middle", 60);
 			}
 			assertThat(after(25)).contains("middle");
 			for (int i = 0; i < 200; i++) {
-				ModelChooserTests.this.chooser.compared("small", 45, "middle", 46);
+				ModelSelectorTests.this.chooser.recordComparison("small", 45, "middle", 46);
 			}
 			assertThat(after(48)).contains("large");
 		}
@@ -145,20 +145,20 @@
 		@Test
 		void opinionsAtTheEndsOfTheScaleTeachNothing() {
 			for (int i = 0; i < 60; i++) {
-				ModelChooserTests.this.chooser.compared("small", 0, "middle", 100);
+				ModelSelectorTests.this.chooser.recordComparison("small", 0, "middle", 100);
 			}
 			assertThat(after(20)).contains("large");
 		}
 
 		@Test
 		void lastAttemptIsTheLargestModels() {
-			assertThat(ModelChooserTests.this.chooser.larger(ROUTE, "small", OptionalInt.of(48), true))
+			assertThat(ModelSelectorTests.this.chooser.findLargerModel(ROUTE, "small", OptionalInt.of(48), true))
 				.contains("large");
 		}
 
 		@Test
 		void middleModelsOwnDoubtGoesToTheLargest() {
-			assertThat(ModelChooserTests.this.chooser.larger(ROUTE, "middle", OptionalInt.of(30), true))
+			assertThat(ModelSelectorTests.this.chooser.findLargerModel(ROUTE, "middle", OptionalInt.of(30), true))
 				.contains("large");
 		}
 
--- a/core/src/test/java/org/gullsaddle/serve/QueueBoundsTests.java
+++ b/core/src/test/java/org/gullsaddle/serve/QueueBoundsTests.java
@@ -88,7 +88,7 @@
 	@Nested
 	class WhileAQueueGrowsAndShrinks {
 
-		private final ModelChooser chooser = ModelChooser.bounded();
+		private final ModelSelector chooser = ModelSelector.withQueueBounds();
 
 		private final QueueBounds bounds = bounds(choosing(0, 1500), choosing(1, 2000), choosing(2, 4000));
 
@@ -96,9 +96,9 @@
 			Replica replica = new Replica(new ReplicaId("engine"), new ServiceName("engines"),
 					new Address("10.0.0.1", 80), "a", "v1", 64, false, 1);
 			double readMillis = 300;
-			Choice choice = new Choice(replica, new EngineLoad(4000, 0, 1, false),
-					new Delay(queueMillis + readMillis, 100), readMillis, Pace.USUAL, 0);
-			return this.chooser.mayQueue(this.bounds, rank, choice, 8000);
+			ReplicaChoice choice = new ReplicaChoice(replica, new EngineLoad(4000, 0, 1, false),
+					new DelayEstimate(queueMillis + readMillis, 100), readMillis, Slowdown.NONE, 0);
+			return this.chooser.canJoinQueue(this.bounds, rank, choice, 8000);
 		}
 
 		@Test
@@ -113,18 +113,18 @@
 		/** Guards against work for callers who will have left. */
 		@Test
 		void nobodyJoinsWithoutTimeLeft() {
-			Choice slow = new Choice(null, new EngineLoad(40_000, 0, 1, false), new Delay(5000, 100), 4900, Pace.USUAL,
-					0);
-			assertThat(this.chooser.mayQueue(this.bounds, 0, slow, 3000)).isFalse();
+			ReplicaChoice slow = new ReplicaChoice(null, new EngineLoad(40_000, 0, 1, false),
+					new DelayEstimate(5000, 100), 4900, Slowdown.NONE, 0);
+			assertThat(this.chooser.canJoinQueue(this.bounds, 0, slow, 3000)).isFalse();
 		}
 
 		@Test
 		void lateAnswersDoNotChangeWhatIsEnough() {
-			double before = this.chooser.enough();
+			double before = this.chooser.sufficientConfidence();
 			for (int i = 0; i < 50; i++) {
-				this.chooser.answered(choosing(0, 1500), "large", 4000, 0);
+				this.chooser.recordAnswer(choosing(0, 1500), "large", 4000, 0);
 			}
-			assertThat(this.chooser.enough()).isEqualTo(before);
+			assertThat(this.chooser.sufficientConfidence()).isEqualTo(before);
 		}
 
 	}
--- a/core/src/test/java/org/gullsaddle/serve/ReplicaPaceTests.java
+++ b/core/src/test/java/org/gullsaddle/serve/ReplicaPaceTests.java
@@ -36,17 +36,17 @@
 				"v1", 64, false, sequence);
 	}
 
-	private static Task task(int tokens, String part) {
+	private static ReplicaTask task(int tokens, String part) {
 		Prompt prompt = new Prompt(tokens, 100, OptionalInt.empty(), List.of(new PromptPart(part, tokens)));
-		return new Task("small", prompt, 1, ModelScale.SMALL, 100_000, 2000);
+		return new ReplicaTask("small", prompt, 1, ModelSizeClass.SMALL, 100_000, 2000);
 	}
 
-	private Choice choice(long now, Replica replica) {
+	private ReplicaChoice choice(long now, Replica replica) {
 		return this.picker.chooseReplica(now, List.of(replica), Set.of(), task(10_000, "x")).orElseThrow();
 	}
 
 	private double factor(long now, int number) {
-		return choice(now, this.replicas.get(number)).pace().factor();
+		return choice(now, this.replicas.get(number)).slowdown().factor();
 	}
 
 	private void tell(long now, int... percents) {
@@ -104,8 +104,8 @@
 	void replicaThatRestartsIsTakenAsItsPeers() {
 		answer(8, 1, 1, 1.7);
 		tell(7001, USUAL, USUAL, 250);
-		double peers = choice(7001, replica(3, 1)).pace().factor();
-		assertThat(choice(7001, replica(2, 2)).pace().factor()).isEqualTo(peers);
+		double peers = choice(7001, replica(3, 1)).slowdown().factor();
+		assertThat(choice(7001, replica(2, 2)).slowdown().factor()).isEqualTo(peers);
 	}
 
 	/** Guards against figures that make a replica seem to work in no time. */
@@ -133,13 +133,13 @@
 		@Test
 		void delaysOfOneReplicaCountForAll() {
 			for (int i = 0; i < 20; i++) {
-				Choice slow = choice(i, ReplicaPaceTests.this.replicas.get(2));
+				ReplicaChoice slow = choice(i, ReplicaPaceTests.this.replicas.get(2));
 				ReplicaPaceTests.this.picker.recordFirstEventDelay(slow, task(10_000, "x"), 3000, true);
 			}
-			Choice other = choice(20, ReplicaPaceTests.this.replicas.get(0));
-			Choice slow = choice(20, ReplicaPaceTests.this.replicas.get(2));
+			ReplicaChoice other = choice(20, ReplicaPaceTests.this.replicas.get(0));
+			ReplicaChoice slow = choice(20, ReplicaPaceTests.this.replicas.get(2));
 			assertThat(other.delay()).isEqualTo(slow.delay());
-			assertThat(slow.pace()).isEqualTo(Pace.USUAL);
+			assertThat(slow.slowdown()).isEqualTo(Slowdown.NONE);
 			assertThat(ReplicaPaceTests.this.picker.countReportedSlowdowns()).isZero();
 		}
 
@@ -233,9 +233,9 @@
 				}
 				List<Replica> free = new ArrayList<>(this.all);
 				Collections.shuffle(free, random);
-				Task task = task(4000 + random.nextInt(12_000), "x" + i);
+				ReplicaTask task = task(4000 + random.nextInt(12_000), "x" + i);
 				double work = 0.1 * task.prompt().inputTokens() * (0.9 + 0.2 * random.nextDouble());
-				Choice choice = picker.chooseReplica(now, free.subList(0, FREE), Set.of(), task).orElseThrow();
+				ReplicaChoice choice = picker.chooseReplica(now, free.subList(0, FREE), Set.of(), task).orElseThrow();
 				picker.onSent(now, choice, task);
 				long millis = takes(number(choice.replica()), now, work);
 				open.add(new Attempt(choice, task, now, now + millis));
@@ -264,7 +264,7 @@
 			assertThat(with).isLessThan(TARGET * ignoring);
 		}
 
-		private record Attempt(Choice choice, Task task, long start, long end) {
+		private record Attempt(ReplicaChoice choice, ReplicaTask task, long start, long end) {
 
 			long millis() {
 				return this.end - this.start;
--- a/core/src/test/java/org/gullsaddle/serve/ReplicaSelectorTests.java
+++ b/core/src/test/java/org/gullsaddle/serve/ReplicaSelectorTests.java
@@ -39,19 +39,19 @@
 				64, false, 1);
 	}
 
-	private static Task task(String model, double pace, String part) {
+	private static ReplicaTask task(String model, double pace, String part) {
 		List<PromptPart> parts = List.of(new PromptPart(part, 12_000), new PromptPart(part + "-own", 500));
-		return new Task(model, new Prompt(12_500, 100, OptionalInt.empty(), parts), pace,
-				(pace > 1) ? ModelScale.LARGE : ModelScale.SMALL, CACHE, 4000);
+		return new ReplicaTask(model, new Prompt(12_500, 100, OptionalInt.empty(), parts), pace,
+				(pace > 1) ? ModelSizeClass.LARGE : ModelSizeClass.SMALL, CACHE, 4000);
 	}
 
-	private Choice send(Task task) {
-		Choice choice = pick(task);
+	private ReplicaChoice send(ReplicaTask task) {
+		ReplicaChoice choice = pick(task);
 		this.picker.onSent(0, choice, task);
 		return choice;
 	}
 
-	private Choice pick(Task task) {
+	private ReplicaChoice pick(ReplicaTask task) {
 		return this.picker.chooseReplica(0, this.replicas, Set.of(), task).orElseThrow();
 	}
 
@@ -62,10 +62,10 @@
 
 	@Test
 	void promptGoesWhereItsSharedPartIsKept() {
-		Choice first = send(task("small", 1, "x"));
+		ReplicaChoice first = send(task("small", 1, "x"));
 		this.picker.onPromptRead(first, task("small", 1, "x"));
 		this.picker.onAttemptEnded(0, first, new AttemptEnd.Answered(200));
-		Choice second = pick(task("small", 1, "x"));
+		ReplicaChoice second = pick(task("small", 1, "x"));
 		assertThat(second.replica()).isEqualTo(first.replica());
 		assertThat(second.unreadTokens()).isZero();
 	}
@@ -76,16 +76,17 @@
 	 */
 	@Test
 	void replicaThatStartedAnewKeepsNothing() {
-		Choice first = send(task("small", 1, "x"));
+		ReplicaChoice first = send(task("small", 1, "x"));
 		Replica again = new Replica(first.replica().id(), first.replica().service(), first.replica().address(), "a",
 				"v1", 64, false, 2);
-		Choice second = this.picker.chooseReplica(0, List.of(again), Set.of(), task("small", 1, "x")).orElseThrow();
+		ReplicaChoice second = this.picker.chooseReplica(0, List.of(again), Set.of(), task("small", 1, "x"))
+			.orElseThrow();
 		assertThat(second.unreadTokens()).isEqualTo(12_500);
 	}
 
 	@Test
 	void replicaThatCannotBeReachedIsLeftOutForAWhile() {
-		Choice first = send(task("small", 1, "x"));
+		ReplicaChoice first = send(task("small", 1, "x"));
 		this.picker.onAttemptEnded(0, first, new AttemptEnd.NotRun(true, "unreachable"));
 		assertThat(pick(task("small", 1, "x")).replica()).isNotEqualTo(first.replica());
 	}
@@ -94,7 +95,7 @@
 	void answerIsExpectedLaterWhereMoreWaits() {
 		Replica idle = this.replicas.get(0);
 		Replica full = this.replicas.get(2);
-		Task task = task("small", 1, "x");
+		ReplicaTask task = task("small", 1, "x");
 		send(task);
 		this.picker.onLoadReport(0, idle, new EngineReport(2, 0, 0));
 		this.picker.onLoadReport(0, full, new EngineReport(64, 10, 40));
@@ -131,7 +132,7 @@
 
 		private static final EngineReport BUSY = new EngineReport(8, 6, 0);
 
-		private final Task task = task("large", 15, "x");
+		private final ReplicaTask task = task("large", 15, "x");
 
 		private void tell(long now, String id, EngineReport report) {
 			ReplicaSelectorTests.this.replicas.stream()
@@ -174,7 +175,7 @@
 		/** Guards against long prompts that wait behind those of other nodes. */
 		@Test
 		void promptGoesToTheReplicaThatSaysItIsFree() {
-			Choice first = send(this.task);
+			ReplicaChoice first = send(this.task);
 			ReplicaSelectorTests.this.picker.onPromptRead(first, this.task);
 			Replica free = ReplicaSelectorTests.this.picker
 				.bestChoices(0, ReplicaSelectorTests.this.replicas, Set.of(first.replica().id()), this.task, 1)
@@ -226,13 +227,13 @@
 					task("small", 1, "x")))
 				.isNotEmpty();
 			assertThat(ReplicaSelectorTests.this.picker.replicasToQuery(0, ReplicaSelectorTests.this.replicas, Set.of(),
-					Task.call(500)))
+					ReplicaTask.plainCall(500)))
 				.isEmpty();
 		}
 
 		@Test
 		void replicaThatDidNotAnswerIsLeftOutForAWhile() {
-			Choice first = pick(this.task);
+			ReplicaChoice first = pick(this.task);
 			ReplicaSelectorTests.this.picker.onUnreachable(0, first.replica());
 			assertThat(pick(this.task).replica()).isNotEqualTo(first.replica());
 		}
@@ -251,10 +252,10 @@
 			Set<ReplicaId> small = new HashSet<>();
 			Set<ReplicaId> large = new HashSet<>();
 			for (int i = 0; i < 6; i++) {
-				Task little = task("small", 1, "x" + i);
-				Task big = task("large", 15, "x" + i);
-				Choice first = send(little);
-				Choice second = send(big);
+				ReplicaTask little = task("small", 1, "x" + i);
+				ReplicaTask big = task("large", 15, "x" + i);
+				ReplicaChoice first = send(little);
+				ReplicaChoice second = send(big);
 				small.add(first.replica().id());
 				large.add(second.replica().id());
 				ReplicaSelectorTests.this.picker.onPromptRead(first, little);
@@ -286,9 +287,9 @@
 		void otherHomesServeWhenThoseOfASizeAreAllTried() {
 			ReplicaSelectorTests.this.picker.separateModelSizes();
 			Set<ReplicaId> tried = new HashSet<>();
-			Task little = task("small", 1, "x");
+			ReplicaTask little = task("small", 1, "x");
 			for (int i = 0; i < ReplicaSelectorTests.this.replicas.size(); i++) {
-				Choice choice = ReplicaSelectorTests.this.picker
+				ReplicaChoice choice = ReplicaSelectorTests.this.picker
 					.chooseReplica(0, ReplicaSelectorTests.this.replicas, tried, little)
 					.orElseThrow();
 				assertThat(tried.add(choice.replica().id())).isTrue();
@@ -311,7 +312,7 @@
 
 		@Test
 		void itIsUnresponsiveOnlyIfItHadTimeToReadThePrompt() {
-			Choice choice = send(task("large", 15, "x"));
+			ReplicaChoice choice = send(task("large", 15, "x"));
 			long reading = Math.round(2 * choice.readMillis());
 			assertThat(ReplicaSelectorTests.this.picker.isUnresponsive(reading + 800, choice, 0, true, 800)).isFalse();
 			assertThat(ReplicaSelectorTests.this.picker.isUnresponsive(reading + 801, choice, 0, true, 800)).isTrue();
@@ -324,7 +325,7 @@
 		 */
 		@Test
 		void oneThatHasBegunItsAnswerHasNoPromptToReadAnyMore() {
-			Choice choice = send(task("large", 15, "x"));
+			ReplicaChoice choice = send(task("large", 15, "x"));
 			assertThat(ReplicaSelectorTests.this.picker.isUnresponsive(801, choice, 0, false, 800)).isTrue();
 		}
 
@@ -334,7 +335,7 @@
 		 */
 		@Test
 		void oneThatAnswersOthersIsOnlyBusy() {
-			Choice choice = send(task("small", 1, "x"));
+			ReplicaChoice choice = send(task("small", 1, "x"));
 			ReplicaSelectorTests.this.picker.onBytes(9_500, choice.replica());
 			assertThat(ReplicaSelectorTests.this.picker.isUnresponsive(10_000, choice, 0, true, 800)).isFalse();
 		}
--- a/core/src/test/java/org/gullsaddle/serve/SilencePatienceTests.java
+++ b/core/src/test/java/org/gullsaddle/serve/SilencePatienceTests.java
@@ -52,9 +52,9 @@
 
 	@Test
 	void onlyAReplicaThatBeginsClearlySoonerIsWorthThePlaceInTheQueue() {
-		Delay here = new Delay(2000, 500);
-		assertThat(SilencePatience.sooner(here, new Delay(900, 200))).isFalse();
-		assertThat(SilencePatience.sooner(here, new Delay(700, 200))).isTrue();
+		DelayEstimate here = new DelayEstimate(2000, 500);
+		assertThat(SilencePatience.sooner(here, new DelayEstimate(900, 200))).isFalse();
+		assertThat(SilencePatience.sooner(here, new DelayEstimate(700, 200))).isTrue();
 	}
 
 	@Nested
--- a/daemon/src/main/java/org/gullsaddle/gateway/Attempt.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/Attempt.java
@@ -14,7 +14,7 @@
 
 import org.gullsaddle.serve.Admission;
 import org.gullsaddle.serve.AttemptEnd;
-import org.gullsaddle.serve.Choice;
+import org.gullsaddle.serve.ReplicaChoice;
 
 /**
  * One attempt at one replica, over one connection. Tells its listener of the head, the
@@ -24,7 +24,7 @@
 
 	private static final String CHUNKED = "chunked";
 
-	private final Choice choice;
+	private final ReplicaChoice choice;
 
 	private final Admission admission;
 
@@ -73,8 +73,8 @@
 
 	private long headAt = this.startedAt;
 
-	Attempt(Choice choice, Admission admission, long coldMillis, String attemptId, ChannelPool pool, HeaderCodec codec,
-			Listener listener) {
+	Attempt(ReplicaChoice choice, Admission admission, long coldMillis, String attemptId, ChannelPool pool,
+			HeaderCodec codec, Listener listener) {
 		this.choice = choice;
 		this.admission = admission;
 		this.coldMillis = coldMillis;
@@ -316,7 +316,7 @@
 		}
 	}
 
-	Choice choice() {
+	ReplicaChoice choice() {
 		return this.choice;
 	}
 
--- a/daemon/src/main/java/org/gullsaddle/gateway/Cascade.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/Cascade.java
@@ -4,10 +4,10 @@
 import java.util.OptionalInt;
 
 import org.gullsaddle.fleet.Route;
-import org.gullsaddle.serve.Choice;
-import org.gullsaddle.serve.Delay;
-import org.gullsaddle.serve.ModelChooser;
+import org.gullsaddle.serve.DelayEstimate;
+import org.gullsaddle.serve.ModelSelector;
 import org.gullsaddle.serve.QueueBounds;
+import org.gullsaddle.serve.ReplicaChoice;
 import org.gullsaddle.serve.RetryRule;
 import org.gullsaddle.telemetry.Telemetry;
 
@@ -51,7 +51,7 @@
 		this.rule = rule;
 		this.turn = turn;
 		this.model = this.route.models().isEmpty() ? request.caller().model()
-				: this.decisions.models().first(this.route);
+				: this.decisions.models().firstModel(this.route);
 	}
 
 	/**
@@ -68,11 +68,11 @@
 	 * @return the larger model, or empty if the answer is good enough
 	 */
 	Optional<String> larger(OptionalInt confidence) {
-		ModelChooser models = this.decisions.models();
+		ModelSelector models = this.decisions.models();
 		if (this.doubtedConfidence >= 0) {
-			models.compared(this.doubted, this.doubtedConfidence, this.model, confidence.orElse(-1));
+			models.recordComparison(this.doubted, this.doubtedConfidence, this.model, confidence.orElse(-1));
 		}
-		return models.larger(this.route, this.model, confidence, this.rule.nextIsLast());
+		return models.findLargerModel(this.route, this.model, confidence, this.rule.nextIsLast());
 	}
 
 	/**
@@ -83,9 +83,10 @@
 	 * @param left the time left in milliseconds
 	 * @return whether it is dropped
 	 */
-	boolean drops(int confidence, String larger, Optional<Choice> choice, long left) {
+	boolean drops(int confidence, String larger, Optional<ReplicaChoice> choice, long left) {
 		String kept = whyKept(confidence, choice, left);
-		this.log.doubted(this.request.id(), this.model, confidence, this.decisions.models().enough(), larger, kept);
+		this.log.doubted(this.request.id(), this.model, confidence, this.decisions.models().sufficientConfidence(),
+				larger, kept);
 		if (kept.isEmpty()) {
 			this.doubted = this.model;
 			this.doubtedConfidence = confidence;
@@ -104,7 +105,7 @@
 	/**
 	 * Says why an answer that its model doubts is kept all the same, empty if it is not.
 	 */
-	private String whyKept(int confidence, Optional<Choice> choice, long left) {
+	private String whyKept(int confidence, Optional<ReplicaChoice> choice, long left) {
 		if (!this.rule.mayDrop(left)) {
 			return "no attempt or time left";
 		}
@@ -118,21 +119,21 @@
 		return this.decisions.spendRetry() ? "" : "no retry left";
 	}
 
-	private String whyTooLong(int confidence, Choice choice, long left) {
-		ModelChooser models = this.decisions.models();
-		if (models.isBounded()) {
+	private String whyTooLong(int confidence, ReplicaChoice choice, long left) {
+		ModelSelector models = this.decisions.models();
+		if (models.hasQueueBounds()) {
 			return whyNotJoined(choice, left);
 		}
-		Delay delay = choice.delay();
-		return models.worthAsking(this.route, confidence, delay, left) ? ""
+		DelayEstimate delay = choice.delay();
+		return models.isWorthAsking(this.route, confidence, delay, left) ? ""
 				: "in " + Math.round(delay.expectedMillis()) + " of " + left + " ms";
 	}
 
-	private String whyNotJoined(Choice choice, long left) {
+	private String whyNotJoined(ReplicaChoice choice, long left) {
 		QueueBounds bounds = this.decisions.bounds(this.request.config());
 		// What a team sends beyond its share waits behind its rank's other requests.
 		int rank = this.request.rank() + (this.turn.over() ? 1 : 0);
-		boolean joined = this.decisions.models().mayQueue(bounds, rank, choice, left);
+		boolean joined = this.decisions.models().canJoinQueue(bounds, rank, choice, left);
 		this.telemetry.count(joined ? "larger.model.queues.joined" : "larger.model.queues.too.long");
 		return joined ? "" : "queue of " + Math.round(choice.queueMillis()) + " ms, " + Math.round(bounds.millis(rank))
 				+ " ms for rank " + rank;
--- a/daemon/src/main/java/org/gullsaddle/gateway/DecisionLog.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/DecisionLog.java
@@ -12,7 +12,7 @@
 import org.gullsaddle.fleet.FleetChange;
 import org.gullsaddle.fleet.ReplicaId;
 import org.gullsaddle.hold.Holder;
-import org.gullsaddle.serve.Choice;
+import org.gullsaddle.serve.ReplicaChoice;
 import org.gullsaddle.serve.Rollout;
 import org.gullsaddle.serve.RolloutProgress;
 import org.gullsaddle.suspect.Crash;
@@ -182,7 +182,7 @@
 	void attempt(ServedRequest request, Attempt attempt, String model, String end, long millis, StreamClock stream,
 			boolean failure) {
 		if (allowed(failure)) {
-			Choice choice = attempt.choice();
+			ReplicaChoice choice = attempt.choice();
 			Optional<LoadReport> told = Optional.ofNullable(attempt.answer()).flatMap(ReplicaAnswer::load);
 			LOG.atInfo()
 				.addKeyValue("id", request.id())
@@ -199,7 +199,7 @@
 				.addKeyValue("expectedMillis", Math.round(choice.delay().expectedMillis()))
 				.addKeyValue("deviationMillis", Math.round(choice.delay().deviationMillis()))
 				.addKeyValue("expectedLoss", Math.round(PERCENT * choice.loss()))
-				.addKeyValue("pacePercent", Math.round(PERCENT * choice.pace().factor()))
+				.addKeyValue("pacePercent", Math.round(PERCENT * choice.slowdown().factor()))
 				.addKeyValue("load", choice.load().requests())
 				.addKeyValue("toldRunning", told.map(LoadReport::running).orElse(-1))
 				.addKeyValue("toldWaiting", told.map(LoadReport::waiting).orElse(-1))
--- a/daemon/src/main/java/org/gullsaddle/gateway/Decisions.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/Decisions.java
@@ -13,7 +13,7 @@
 import org.gullsaddle.fleet.ServiceShare;
 import org.gullsaddle.serve.FairShare;
 import org.gullsaddle.serve.Hopeless;
-import org.gullsaddle.serve.ModelChooser;
+import org.gullsaddle.serve.ModelSelector;
 import org.gullsaddle.serve.NodeLocation;
 import org.gullsaddle.serve.QueueBounds;
 import org.gullsaddle.serve.ReplicaEligibility;
@@ -58,7 +58,7 @@
 
 	private final RetryBudget budget;
 
-	private final ModelChooser models;
+	private final ModelSelector models;
 
 	private FleetConfig boundsOf;
 
@@ -79,7 +79,7 @@
 		this.work = pressure ? Optional.of(new WorkShares()) : Optional.empty();
 		this.picker = new ReplicaSelector(here);
 		this.budget = new RetryBudget(retryShare);
-		this.models = pressure ? ModelChooser.bounded() : new ModelChooser();
+		this.models = pressure ? ModelSelector.withQueueBounds() : new ModelSelector();
 		if (pressure) {
 			this.picker.separateModelSizes();
 		}
@@ -178,7 +178,7 @@
 		return Math.clamp(URGENCIES_PER_RANK * rank + (overShare ? 1 : 0), 0, MAX_URGENCY);
 	}
 
-	ModelChooser models() {
+	ModelSelector models() {
 		return this.models;
 	}
 
@@ -186,7 +186,7 @@
 	 * Learns from a stream that has ended.
 	 */
 	void streamed(Route route, String model, StreamClock clock) {
-		this.models.answered(route, model, clock.firstMillis(Clock.millis()), clock.longestGap());
+		this.models.recordAnswer(route, model, clock.firstMillis(Clock.millis()), clock.longestGap());
 	}
 
 	/**
--- a/daemon/src/main/java/org/gullsaddle/gateway/ReplicaChooser.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/ReplicaChooser.java
@@ -12,12 +12,12 @@
 import org.gullsaddle.fleet.Replica;
 import org.gullsaddle.fleet.ReplicaId;
 import org.gullsaddle.serve.Admission;
-import org.gullsaddle.serve.Choice;
-import org.gullsaddle.serve.Delay;
+import org.gullsaddle.serve.DelayEstimate;
 import org.gullsaddle.serve.Hopeless;
+import org.gullsaddle.serve.ReplicaChoice;
 import org.gullsaddle.serve.ReplicaEligibility;
 import org.gullsaddle.serve.ReplicaSelector;
-import org.gullsaddle.serve.Task;
+import org.gullsaddle.serve.ReplicaTask;
 import org.gullsaddle.suspect.CrashBook;
 import org.gullsaddle.suspect.Trait;
 
@@ -124,7 +124,7 @@
 	 * @param tried replicas that are left out
 	 * @param then is given the choice, at once or when the replicas have told
 	 */
-	void choose(Task task, Set<ReplicaId> tried, Consumer<Optional<Choice>> then) {
+	void choose(ReplicaTask task, Set<ReplicaId> tried, Consumer<Optional<ReplicaChoice>> then) {
 		Set<ReplicaId> leftOut = leftOut(tried, task.model());
 		List<Replica> usable = usable(leftOut, task.model());
 		if (this.request.isTrial()) {
@@ -148,7 +148,7 @@
 	/**
 	 * Chooses the replica with the fewest requests, which are lost if it crashes.
 	 */
-	private Optional<Choice> emptiest(Task task, List<Replica> usable, Set<ReplicaId> leftOut) {
+	private Optional<ReplicaChoice> emptiest(ReplicaTask task, List<Replica> usable, Set<ReplicaId> leftOut) {
 		return picker().bestChoices(Clock.millis(), usable, leftOut, task, usable.size())
 			.stream()
 			.min(Comparator.comparingDouble((choice) -> choice.load().requests()));
@@ -158,7 +158,7 @@
 	 * Chooses among the replicas that told their load lately, without asking any.
 	 * @param tried replicas that are left out
 	 */
-	Optional<Choice> known(Task task, Set<ReplicaId> tried) {
+	Optional<ReplicaChoice> known(ReplicaTask task, Set<ReplicaId> tried) {
 		long now = Clock.millis();
 		Set<ReplicaId> leftOut = new HashSet<>(leftOut(tried, task.model()));
 		List<Replica> usable = usable(leftOut, task.model());
@@ -172,7 +172,7 @@
 	 * Returns when an answer would begin at a replica if the request came there now. One
 	 * of which nothing is known is taken to be as full as the others, tried ones too.
 	 */
-	Delay delayAt(Replica replica, Task task) {
+	DelayEstimate delayAt(Replica replica, ReplicaTask task) {
 		return picker().estimateDelay(Clock.millis(), usable(Set.of(), task.model()), replica, task);
 	}
 
@@ -180,7 +180,7 @@
 	 * Says whether the request would not begin in its time at any replica that may run
 	 * its smallest model. What a cold one would do is not known.
 	 */
-	boolean hopeless(Task task, Choice choice, long left) {
+	boolean hopeless(ReplicaTask task, ReplicaChoice choice, long left) {
 		if (!this.gateway.settings().load().pressure() || this.request.engine().isEmpty()
 				|| !Hopeless.lost(choice, left)) {
 			return false;
@@ -188,7 +188,7 @@
 		long now = Clock.millis();
 		// Limited ones are among them: they may take it yet.
 		List<Replica> usable = usable(Set.of(), task.model());
-		List<Choice> all = picker().bestChoices(now, usable, Set.of(), task, usable.size());
+		List<ReplicaChoice> all = picker().bestChoices(now, usable, Set.of(), task, usable.size());
 		boolean refused = !rules().hasColdReplica(now, wanted(task.model()))
 				&& this.gateway.decisions().hopeless().refuses(now, this.request.service(), all, left);
 		if (refused) {
@@ -201,7 +201,7 @@
 	 * A question is work too: what cold or limited replicas bear is kept for requests,
 	 * and one that asks for rest is not asked.
 	 */
-	private List<Replica> toAsk(List<Replica> usable, Task task, Set<ReplicaId> leftOut) {
+	private List<Replica> toAsk(List<Replica> usable, ReplicaTask task, Set<ReplicaId> leftOut) {
 		return picker().replicasToQuery(Clock.millis(), usable, leftOut, task).stream().filter(this::mayAsk).toList();
 	}
 
--- a/daemon/src/main/java/org/gullsaddle/gateway/ServedRequest.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/ServedRequest.java
@@ -19,10 +19,10 @@
 import org.gullsaddle.fleet.ServiceName;
 import org.gullsaddle.fleet.ServiceSpec;
 import org.gullsaddle.fleet.Team;
-import org.gullsaddle.serve.ModelPace;
+import org.gullsaddle.serve.ModelSlowdown;
 import org.gullsaddle.serve.PromptPart;
 import org.gullsaddle.serve.ReleaseKey;
-import org.gullsaddle.serve.Task;
+import org.gullsaddle.serve.ReplicaTask;
 import org.gullsaddle.serve.TimeLeft;
 import org.gullsaddle.suspect.Trait;
 
@@ -167,11 +167,11 @@
 	 * Returns what a replica does for it.
 	 * @param model the model that is to run, empty for a plain service
 	 */
-	Task task(String model) {
+	ReplicaTask task(String model) {
 		return engine()
-			.map((engine) -> new Task(model, this.caller.prompt(), ModelPace.of(model, engine.models()),
-					ModelPace.scale(model, engine.models()), engine.cacheTokens(), this.route.targetMillis()))
-			.orElseGet(() -> Task.call(this.route.targetMillis()));
+			.map((engine) -> new ReplicaTask(model, this.caller.prompt(), ModelSlowdown.of(model, engine.models()),
+					ModelSlowdown.sizeClass(model, engine.models()), engine.cacheTokens(), this.route.targetMillis()))
+			.orElseGet(() -> ReplicaTask.plainCall(this.route.targetMillis()));
 	}
 
 	/**
--- a/daemon/src/main/java/org/gullsaddle/gateway/Serving.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/Serving.java
@@ -19,10 +19,10 @@
 import org.gullsaddle.serve.Admission;
 import org.gullsaddle.serve.AnswerKind;
 import org.gullsaddle.serve.AttemptEnd;
-import org.gullsaddle.serve.Choice;
+import org.gullsaddle.serve.ReplicaChoice;
 import org.gullsaddle.serve.ReplicaEligibility;
+import org.gullsaddle.serve.ReplicaTask;
 import org.gullsaddle.serve.RetryRule;
-import org.gullsaddle.serve.Task;
 
 /**
  * Serves one request: from its route to its final answer, over one or more attempts.
@@ -48,12 +48,12 @@
 	private final Silence silence;
 
 	/** What the attempt under way, or the next one, is to do. */
-	private Task task;
+	private ReplicaTask task;
 
 	private final StreamClock clock = new StreamClock();
 
 	/** Where the next attempt goes, if that is decided already. */
-	private Optional<Choice> chosen = Optional.empty();
+	private Optional<ReplicaChoice> chosen = Optional.empty();
 
 	private int attempts;
 
@@ -104,7 +104,7 @@
 		}
 		this.task = this.request.task(model());
 		if (this.chosen.isPresent()) {
-			Choice choice = this.chosen.get();
+			ReplicaChoice choice = this.chosen.get();
 			this.chosen = Optional.empty();
 			send(choice, left);
 			return;
@@ -115,7 +115,7 @@
 	/**
 	 * Sends the request to the replica that was picked, unless it ended meanwhile.
 	 */
-	private void sendTo(Optional<Choice> choice) {
+	private void sendTo(Optional<ReplicaChoice> choice) {
 		if (this.done) {
 			return;
 		}
@@ -140,7 +140,7 @@
 		refuse(why.reason(), this.replicas.comeBackMillis(why, model()));
 	}
 
-	private void send(Choice choice, long left) {
+	private void send(ReplicaChoice choice, long left) {
 		this.attempts++;
 		this.tried.add(choice.replica().id());
 		this.promptRead = false;
@@ -290,7 +290,7 @@
 	/**
 	 * Leaves a silent replica for another one, which was paid for.
 	 */
-	void move(Attempt from, AttemptEnd end, Choice to) {
+	void move(Attempt from, AttemptEnd end, ReplicaChoice to) {
 		this.chosen = Optional.of(to);
 		from.withdraw(end);
 	}
--- a/daemon/src/main/java/org/gullsaddle/gateway/Silence.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/Silence.java
@@ -7,12 +7,12 @@
 import org.gullsaddle.fleet.ReplicaId;
 import org.gullsaddle.fleet.RouteKind;
 import org.gullsaddle.serve.AttemptEnd;
-import org.gullsaddle.serve.Choice;
-import org.gullsaddle.serve.Delay;
+import org.gullsaddle.serve.DelayEstimate;
+import org.gullsaddle.serve.ReplicaChoice;
 import org.gullsaddle.serve.ReplicaSelector;
+import org.gullsaddle.serve.ReplicaTask;
 import org.gullsaddle.serve.RetryRule;
 import org.gullsaddle.serve.SilencePatience;
-import org.gullsaddle.serve.Task;
 
 /**
  * Has one request leave a replica that sends nothing.
@@ -63,7 +63,7 @@
 	 * @param tried the replicas that the request was sent to
 	 * @param task what the next attempt is to do
 	 */
-	void look(long now, Attempt attempt, Set<ReplicaId> tried, Task task) {
+	void look(long now, Attempt attempt, Set<ReplicaId> tried, ReplicaTask task) {
 		if (now < this.nextLook || attempt.ended() || !this.rule.mayMove(this.serving.request().left(now))) {
 			return;
 		}
@@ -105,14 +105,14 @@
 	/**
 	 * Stays in a replica's queue, unless another one would begin clearly sooner.
 	 */
-	private void compare(long now, Attempt attempt, Set<ReplicaId> tried, Task task) {
+	private void compare(long now, Attempt attempt, Set<ReplicaId> tried, ReplicaTask task) {
 		if (now < this.nextComparison) {
 			return;
 		}
 		this.nextComparison = now + COMPARE_MILLIS;
-		Optional<Choice> other = mayGoOn() ? this.replicas.known(task, tried) : Optional.empty();
-		Delay here = this.replicas.delayAt(attempt.choice().replica(), task);
-		Optional<Delay> there = other.map((choice) -> this.replicas.delayAt(choice.replica(), task));
+		Optional<ReplicaChoice> other = mayGoOn() ? this.replicas.known(task, tried) : Optional.empty();
+		DelayEstimate here = this.replicas.delayAt(attempt.choice().replica(), task);
+		Optional<DelayEstimate> there = other.map((choice) -> this.replicas.delayAt(choice.replica(), task));
 		if (there.isPresent() && SilencePatience.sooner(here, there.get())) {
 			String why = "begins in " + Math.round(there.get().expectedMillis()) + " ms elsewhere, in "
 					+ Math.round(here.expectedMillis()) + " ms here";
@@ -124,7 +124,7 @@
 		}
 	}
 
-	private void leave(long now, Attempt attempt, Set<ReplicaId> tried, Task task) {
+	private void leave(long now, Attempt attempt, Set<ReplicaId> tried, ReplicaTask task) {
 		this.nextLook = now + AGAIN_MILLIS;
 		String why = whyKept(tried);
 		if (!why.isEmpty()) {
@@ -137,7 +137,7 @@
 	/**
 	 * Leaves the replica, unless it has answered while another one was chosen.
 	 */
-	private void leave(Attempt attempt, AttemptEnd end, Optional<Choice> choice) {
+	private void leave(Attempt attempt, AttemptEnd end, Optional<ReplicaChoice> choice) {
 		if (!this.serving.waitsFor(attempt) || !silent(Clock.millis(), attempt)) {
 			return;
 		}
--- a/daemon/src/main/java/org/gullsaddle/gateway/TeamTurn.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/TeamTurn.java
@@ -3,8 +3,8 @@
 import java.util.OptionalInt;
 
 import org.gullsaddle.serve.AttemptEnd;
-import org.gullsaddle.serve.Choice;
-import org.gullsaddle.serve.Task;
+import org.gullsaddle.serve.ReplicaChoice;
+import org.gullsaddle.serve.ReplicaTask;
 import org.gullsaddle.serve.WorkShares;
 
 /**
@@ -38,7 +38,7 @@
 	 * Notes that the request is sent to an engine, and returns its urgency there.
 	 * @return the urgency, empty for a plain service
 	 */
-	OptionalInt urgency(long now, Choice choice, Task task) {
+	OptionalInt urgency(long now, ReplicaChoice choice, ReplicaTask task) {
 		if (this.request.engine().isEmpty()) {
 			return OptionalInt.empty();
 		}
@@ -52,7 +52,7 @@
 	/**
 	 * Notes that an engine is done with the request.
 	 */
-	void ended(long now, Choice choice, Task task, AttemptEnd end) {
+	void ended(long now, ReplicaChoice choice, ReplicaTask task, AttemptEnd end) {
 		boolean counted = this.request.engine().isPresent() && this.request.team().isPresent();
 		if (counted && !(end instanceof AttemptEnd.NotRun)) {
 			this.decisions.work()
--- a/measure/src/main/java/org/gullsaddle/measure/CascadeFleet.java
+++ b/measure/src/main/java/org/gullsaddle/measure/CascadeFleet.java
@@ -12,13 +12,13 @@
 import org.gullsaddle.fleet.Replica;
 import org.gullsaddle.fleet.Route;
 import org.gullsaddle.serve.AttemptEnd;
-import org.gullsaddle.serve.Choice;
-import org.gullsaddle.serve.ModelChooser;
-import org.gullsaddle.serve.ModelPace;
+import org.gullsaddle.serve.ModelSelector;
+import org.gullsaddle.serve.ModelSlowdown;
 import org.gullsaddle.serve.Prompt;
 import org.gullsaddle.serve.QueueBounds;
+import org.gullsaddle.serve.ReplicaChoice;
 import org.gullsaddle.serve.ReplicaSelector;
-import org.gullsaddle.serve.Task;
+import org.gullsaddle.serve.ReplicaTask;
 
 /**
  * Nodes that serve prompts by cascades of three models on shared engines, with the
@@ -81,7 +81,7 @@
 	CascadeFleet(Timeline time, int nodes, List<EngineShape> shapes, long seed) {
 		this(time, shapes, seed, List.of());
 		for (int i = 0; i < nodes; i++) {
-			this.nodes.add(new Node(new ReplicaSelector(EngineRack.PLACE), new ModelChooser()));
+			this.nodes.add(new Node(new ReplicaSelector(EngineRack.PLACE), new ModelSelector()));
 		}
 	}
 
@@ -102,7 +102,7 @@
 		for (int i = 0; i < nodes; i++) {
 			ReplicaSelector picker = new ReplicaSelector(EngineRack.PLACE);
 			picker.separateModelSizes();
-			fleet.nodes.add(new Node(picker, ModelChooser.bounded()));
+			fleet.nodes.add(new Node(picker, ModelSelector.withQueueBounds()));
 		}
 		return fleet;
 	}
@@ -169,7 +169,7 @@
 	private record Model(String name, double pace, double quality, double cost) {
 	}
 
-	private record Node(ReplicaSelector picker, ModelChooser models) {
+	private record Node(ReplicaSelector picker, ModelSelector models) {
 	}
 
 	/**
@@ -223,19 +223,20 @@
 			send(model, choose(model));
 		}
 
-		private void send(int model, Choice choice) {
+		private void send(int model, ReplicaChoice choice) {
 			new Answer(this, model, choice).begin();
 		}
 
-		private Task task(int model) {
+		private ReplicaTask task(int model) {
 			String name = MODELS.get(model).name;
-			return new Task(name, this.prompt, ModelPace.of(name, SIZES), ModelPace.scale(name, SIZES),
-					2 * CascadeFleet.this.shape.memoryTokens(), this.kind.route().targetMillis());
+			return new ReplicaTask(name, this.prompt, ModelSlowdown.of(name, SIZES),
+					ModelSlowdown.sizeClass(name, SIZES), 2 * CascadeFleet.this.shape.memoryTokens(),
+					this.kind.route().targetMillis());
 		}
 
-		private Choice choose(int model) {
+		private ReplicaChoice choose(int model) {
 			long now = Math.round(CascadeFleet.this.time.now());
-			Task task = task(model);
+			ReplicaTask task = task(model);
 			List<Replica> all = CascadeFleet.this.rack.replicas();
 			this.node.picker.replicasToQuery(now, all, Set.of(), task)
 				.forEach((replica) -> CascadeFleet.this.rack.tell(this.node.picker, replica));
@@ -253,21 +254,22 @@
 		 */
 		private int replacement(Answer answer, int confidence) {
 			if (this.dropped >= 0) {
-				this.node.models.compared(MODELS.get(this.dropped).name, this.droppedConfidence,
+				this.node.models.recordComparison(MODELS.get(this.dropped).name, this.droppedConfidence,
 						MODELS.get(answer.model).name, confidence);
 			}
 			return this.node.models
-				.larger(this.kind.route(), MODELS.get(answer.model).name, OptionalInt.of(confidence), this.dropped >= 0)
+				.findLargerModel(this.kind.route(), MODELS.get(answer.model).name, OptionalInt.of(confidence),
+						this.dropped >= 0)
 				.map(MODEL_NAMES::indexOf)
 				.orElse(-1);
 		}
 
-		private boolean worthAsking(int confidence, Choice larger, long left) {
-			ModelChooser models = this.node.models;
+		private boolean worthAsking(int confidence, ReplicaChoice larger, long left) {
+			ModelSelector models = this.node.models;
 			Route route = this.kind.route();
-			return models.isBounded()
-					? models.mayQueue(CascadeFleet.this.bounds, route.rank(OptionalInt.empty()), larger, left)
-					: models.worthAsking(route, confidence, larger.delay(), left);
+			return models.hasQueueBounds()
+					? models.canJoinQueue(CascadeFleet.this.bounds, route.rank(OptionalInt.empty()), larger, left)
+					: models.isWorthAsking(route, confidence, larger.delay(), left);
 		}
 
 		private long left() {
@@ -297,9 +299,9 @@
 
 		private final int model;
 
-		private final Choice choice;
+		private final ReplicaChoice choice;
 
-		private final Task task;
+		private final ReplicaTask task;
 
 		private final double sentAt = CascadeFleet.this.time.now();
 
@@ -309,7 +311,7 @@
 
 		private double firstMillis;
 
-		Answer(Request request, int model, Choice choice) {
+		Answer(Request request, int model, ReplicaChoice choice) {
 			this.request = request;
 			this.model = model;
 			this.choice = choice;
@@ -348,7 +350,7 @@
 		}
 
 		private boolean replace(int confidence, int next) {
-			Choice larger = this.request.choose(next);
+			ReplicaChoice larger = this.request.choose(next);
 			long left = this.request.left();
 			if (!this.request.worthAsking(confidence, larger, left)) {
 				return false;
@@ -369,7 +371,7 @@
 				return;
 			}
 			picker().onAttemptEnded(Math.round(CascadeFleet.this.time.now()), this.choice, new AttemptEnd.Answered(OK));
-			this.request.node.models.answered(this.request.kind.route(), MODELS.get(this.model).name,
+			this.request.node.models.recordAnswer(this.request.kind.route(), MODELS.get(this.model).name,
 					Math.round(this.firstMillis), 0);
 		}
 
--- a/measure/src/main/java/org/gullsaddle/measure/EngineFleet.java
+++ b/measure/src/main/java/org/gullsaddle/measure/EngineFleet.java
@@ -17,12 +17,12 @@
 import org.gullsaddle.fleet.Replica;
 import org.gullsaddle.fleet.ReplicaId;
 import org.gullsaddle.serve.AttemptEnd;
-import org.gullsaddle.serve.Choice;
 import org.gullsaddle.serve.Loss;
-import org.gullsaddle.serve.ModelScale;
+import org.gullsaddle.serve.ModelSizeClass;
 import org.gullsaddle.serve.Prompt;
+import org.gullsaddle.serve.ReplicaChoice;
 import org.gullsaddle.serve.ReplicaSelector;
-import org.gullsaddle.serve.Task;
+import org.gullsaddle.serve.ReplicaTask;
 
 /**
  * Nodes that spread requests over engines in one data center, each node knowing its own
@@ -120,14 +120,14 @@
 	void arrive(Prompt prompt, ModelKind model, int output, double objective) {
 		this.arrived++;
 		int node = this.random.nextInt(this.nodes.size());
-		Task task = new Task(model.name(), prompt, model.relativePace(),
-				(model.relativePace() > 1) ? ModelScale.LARGE : ModelScale.SMALL, 2 * this.shape.memoryTokens(),
+		ReplicaTask task = new ReplicaTask(model.name(), prompt, model.relativePace(),
+				(model.relativePace() > 1) ? ModelSizeClass.LARGE : ModelSizeClass.SMALL, 2 * this.shape.memoryTokens(),
 				Math.round(objective));
-		if (this.policy.asks() && task.pace() > 1) {
+		if (this.policy.asks() && task.slowdown() > 1) {
 			this.largePrompts++;
 			ask(this.nodes.get(node), task);
 		}
-		Choice choice = this.nodes.get(node)
+		ReplicaChoice choice = this.nodes.get(node)
 			.chooseReplica(Math.round(this.time.now()), this.rack.replicas(), Set.of(), task)
 			.orElseThrow();
 		Sent sent = new Sent(node, choice, task, this.time.now(), objective);
@@ -143,12 +143,12 @@
 	/**
 	 * Has a node learn the load of engines before it picks one.
 	 */
-	private void ask(ReplicaSelector picker, Task task) {
+	private void ask(ReplicaSelector picker, ReplicaTask task) {
 		long now = Math.round(this.time.now());
 		List<Replica> asking = (this.policy == Policy.ASKING)
 				? picker.bestChoices(now, this.rack.replicas(), Set.of(), task, ASKED)
 					.stream()
-					.map(Choice::replica)
+					.map(ReplicaChoice::replica)
 					.toList()
 				: picker.replicasToQuery(now, this.rack.replicas(), Set.of(), task);
 		for (Replica each : asking) {
@@ -258,9 +258,9 @@
 
 		private final int node;
 
-		private final Choice choice;
+		private final ReplicaChoice choice;
 
-		private final Task task;
+		private final ReplicaTask task;
 
 		private final double arrivedAt;
 
@@ -268,7 +268,7 @@
 
 		private int engine;
 
-		Sent(int node, Choice choice, Task task, double arrivedAt, double objective) {
+		Sent(int node, ReplicaChoice choice, ReplicaTask task, double arrivedAt, double objective) {
 			this.node = node;
 			this.choice = choice;
 			this.task = task;
@@ -281,7 +281,7 @@
 			EngineFleet.this.first.recordValue(Math.round(now - this.arrivedAt));
 			boolean kept = now - this.arrivedAt <= this.objective;
 			EngineFleet.this.inTime += kept ? 1 : 0;
-			if (this.choice.delay().chanceWithin(this.objective) >= LIKELY) {
+			if (this.choice.delay().probabilityWithin(this.objective) >= LIKELY) {
 				EngineFleet.this.promised++;
 				EngineFleet.this.promisedInTime += kept ? 1 : 0;
 			}
