--- a/core/src/main/java/org/gullsaddle/route/AgentState.java
+++ b/core/src/main/java/org/gullsaddle/route/AgentState.java
@@ -6,7 +6,7 @@
 import org.gullsaddle.base.AgentInfo;
 import org.gullsaddle.base.AttemptId;
 import org.gullsaddle.base.LoadReport;
-import org.gullsaddle.serve.Ejection;
+import org.gullsaddle.serve.OutlierEjection;
 
 /**
  * What the router knows of one agent.
@@ -23,7 +23,7 @@
 
 	private final OthersLoad others = new OthersLoad();
 
-	private final Ejection ejection = new Ejection();
+	private final OutlierEjection ejection = new OutlierEjection();
 
 	AgentState(AgentInfo info) {
 		update(info);
@@ -64,18 +64,18 @@
 	}
 
 	void succeeded() {
-		this.ejection.succeeded();
+		this.ejection.onSuccess();
 	}
 
 	/**
 	 * Notes a failure; true if it is the first since a success.
 	 */
 	boolean failed(long now) {
-		return this.ejection.failed(now);
+		return this.ejection.onFailure(now);
 	}
 
 	boolean ejected(long now) {
-		return this.ejection.ejected(now);
+		return this.ejection.isEjected(now);
 	}
 
 	/**
--- a/core/src/main/java/org/gullsaddle/serve/ColdPace.java
+++ b/core/src/main/java/org/gullsaddle/serve/ColdReplicaLimiter.java
@@ -16,13 +16,13 @@
  * a second is one request in some seconds only; a hash draws them, so that nodes do not
  * send in the same second and need no common clock.
  */
-public final class ColdPace {
+public final class ColdReplicaLimiter {
 
 	/**
 	 * The part of what a replica bears that is used: the sum of what nodes draw varies
 	 * from second to second.
 	 */
-	private static final double USED_PART = 0.35;
+	private static final double USED_RATIO = 0.35;
 
 	private static final long SECOND_MILLIS = 1000;
 
@@ -30,17 +30,17 @@
 	 * The part of its second in which a node may send, in milliseconds: where many nodes
 	 * find at once that all replicas are cold, fewer of them have two turns in a row.
 	 */
-	private static final long TURN_MILLIS = 500;
+	private static final long SEND_WINDOW_MILLIS = 500;
 
 	private final String node;
 
-	private final Map<ReplicaId, Sent> sent = new HashMap<>();
+	private final Map<ReplicaId, SentCount> sent = new HashMap<>();
 
 	/**
 	 * Makes a pace.
 	 * @param node this node's name
 	 */
-	public ColdPace(String node) {
+	public ColdReplicaLimiter(String node) {
 		this.node = node;
 	}
 
@@ -52,12 +52,12 @@
 	 * @param nodes how many nodes there are
 	 * @return true if it may
 	 */
-	public boolean room(long now, Replica replica, double perSecond, int nodes) {
-		if (Math.floorMod(now, SECOND_MILLIS) >= TURN_MILLIS) {
+	public boolean canSend(long now, Replica replica, double perSecond, int nodes) {
+		if (Math.floorMod(now, SECOND_MILLIS) >= SEND_WINDOW_MILLIS) {
 			return false;
 		}
 		long second = Math.floorDiv(now, SECOND_MILLIS);
-		return count(second, replica.id()) < most(second, replica.id(), USED_PART * perSecond / nodes);
+		return sentInSecond(second, replica.id()) < maxRequests(second, replica.id(), USED_RATIO * perSecond / nodes);
 	}
 
 	/**
@@ -65,9 +65,9 @@
 	 * @param now the time in milliseconds
 	 * @param replica the replica
 	 */
-	public void sent(long now, Replica replica) {
+	public void onSent(long now, Replica replica) {
 		long second = Math.floorDiv(now, SECOND_MILLIS);
-		this.sent.put(replica.id(), new Sent(second, count(second, replica.id()) + 1));
+		this.sent.put(replica.id(), new SentCount(second, sentInSecond(second, replica.id()) + 1));
 	}
 
 	/**
@@ -78,18 +78,18 @@
 		this.sent.keySet().retainAll(known);
 	}
 
-	private int count(long second, ReplicaId replica) {
-		Sent last = this.sent.get(replica);
+	private int sentInSecond(long second, ReplicaId replica) {
+		SentCount last = this.sent.get(replica);
 		return (last != null && last.second == second) ? last.count : 0;
 	}
 
-	private long most(long second, ReplicaId replica, double share) {
+	private long maxRequests(long second, ReplicaId replica, double share) {
 		double whole = Math.floor(share);
 		boolean oneMore = Spread.unit(this.node + '/' + replica + '/' + second) < share - whole;
 		return (long) whole + (oneMore ? 1 : 0);
 	}
 
-	private record Sent(long second, int count) {
+	private record SentCount(long second, int count) {
 	}
 
 }
--- a/core/src/main/java/org/gullsaddle/serve/DelayEstimator.java
+++ b/core/src/main/java/org/gullsaddle/serve/DelayEstimator.java
@@ -29,11 +29,11 @@
 	/**
 	 * Returns what is known of a replica's delays in a task.
 	 */
-	DelayModel of(Replica replica, ReplicaTask task) {
+	DelayModel modelFor(Replica replica, ReplicaTask task) {
 		Key key = new Key(replica.service(), task.model(), replica.release());
 		DelayModel known = this.models.get(key);
 		if (known == null) {
-			known = first(key, task);
+			known = createModel(key, task);
 			this.models.put(key, known);
 		}
 		return known;
@@ -42,13 +42,13 @@
 	/**
 	 * A new release most likely runs as the one before it does.
 	 */
-	private DelayModel first(Key key, ReplicaTask task) {
+	private DelayModel createModel(Key key, ReplicaTask task) {
 		for (Map.Entry<Key, DelayModel> each : this.models.entrySet()) {
 			if (each.getKey().service.equals(key.service) && each.getKey().model.equals(key.model)) {
 				return each.getValue().asPrior();
 			}
 		}
-		return task.isPlainCall() ? DelayModel.ofCalls() : DelayModel.ofGenerations(task.slowdown());
+		return task.isPlainCall() ? DelayModel.forCalls() : DelayModel.forGenerations(task.slowdown());
 	}
 
 	private record Key(ServiceName service, String model, String release) {
--- a/core/src/main/java/org/gullsaddle/serve/DelayModel.java
+++ b/core/src/main/java/org/gullsaddle/serve/DelayModel.java
@@ -6,7 +6,7 @@
  */
 final class DelayModel {
 
-	private static final double TOKENS = 1000;
+	private static final double TOKENS_PER_UNIT = 1000;
 
 	/**
 	 * What is expected of a generation before any was seen, in milliseconds: a
@@ -14,7 +14,7 @@
 	 * prompts before it, one more request in the batch, and the way to another region and
 	 * back.
 	 */
-	private static final double[] GENERATION = { 10, 8, 8, 3, 90 };
+	private static final double[] GENERATION_PRIOR = { 10, 8, 8, 3, 90 };
 
 	private static final double[] GENERATION_DEVIATIONS = { 20, 8, 8, 5, 60 };
 
@@ -22,91 +22,91 @@
 	 * The same of a call to a plain service: its work, nothing to read, the work of all
 	 * slots before it, one more request, and the way to another region and back.
 	 */
-	private static final double[] CALL = { 40, 0, 60, 1, 90 };
+	private static final double[] CALL_PRIOR = { 40, 0, 60, 1, 90 };
 
 	private static final double[] CALL_DEVIATIONS = { 40, 1, 60, 3, 60 };
 
-	private static final int READING = 1;
+	private static final int READ_COEFFICIENT = 1;
 
 	/** The noise of a delay: a part of a step, and a share of the whole. */
 	private static final double NOISE_MILLIS = 15;
 
-	private static final double NOISE_SHARE = 0.3;
+	private static final double NOISE_RATIO = 0.3;
 
-	private final OnlineRegression relation;
+	private final OnlineRegression regression;
 
 	/** What a backlog is counted in. */
 	private final double backlogUnit;
 
 	private DelayModel(OnlineRegression relation, double backlogUnit) {
-		this.relation = relation;
+		this.regression = relation;
 		this.backlogUnit = backlogUnit;
 	}
 
-	static DelayModel ofCalls() {
-		return new DelayModel(new OnlineRegression(CALL, CALL_DEVIATIONS), 1);
+	static DelayModel forCalls() {
+		return new DelayModel(new OnlineRegression(CALL_PRIOR, CALL_DEVIATIONS), 1);
 	}
 
 	/**
 	 * Begins with what is expected of a model.
 	 * @param pace how many times longer it takes over a token than the smallest
 	 */
-	static DelayModel ofGenerations(double pace) {
-		double[] prior = GENERATION.clone();
+	static DelayModel forGenerations(double pace) {
+		double[] prior = GENERATION_PRIOR.clone();
 		double[] deviations = GENERATION_DEVIATIONS.clone();
-		prior[READING] *= pace;
-		deviations[READING] *= pace;
-		return new DelayModel(new OnlineRegression(prior, deviations), TOKENS);
+		prior[READ_COEFFICIENT] *= pace;
+		deviations[READ_COEFFICIENT] *= pace;
+		return new DelayModel(new OnlineRegression(prior, deviations), TOKENS_PER_UNIT);
 	}
 
 	/**
 	 * Returns a model that expects what this one does, and has yet to learn.
 	 */
 	DelayModel asPrior() {
-		return new DelayModel(this.relation.asPrior(), this.backlogUnit);
+		return new DelayModel(this.regression.asPrior(), this.backlogUnit);
 	}
 
 	/**
 	 * Returns how long the first event takes.
 	 */
-	DelayEstimate first(EngineLoad load) {
+	DelayEstimate estimate(EngineLoad load) {
 		double[] features = features(load);
-		double expected = this.relation.expected(features);
-		return new DelayEstimate(expected, this.relation.deviation(features, noise(expected)));
+		double expected = this.regression.predict(features);
+		return new DelayEstimate(expected, this.regression.predictiveDeviation(features, noise(expected)));
 	}
 
 	/**
 	 * Returns how long tokens take to be read, in milliseconds.
 	 */
 	double readMillis(int tokens) {
-		return this.relation.coefficient(READING) * tokens / TOKENS;
+		return this.regression.coefficient(READ_COEFFICIENT) * tokens / TOKENS_PER_UNIT;
 	}
 
 	/**
 	 * Learns how long a first event took.
 	 */
-	void seen(EngineLoad load, double millis) {
+	void recordFirstEvent(EngineLoad load, double millis) {
 		double[] features = features(load);
-		this.relation.learn(features, millis, noise(this.relation.expected(features)));
+		this.regression.learn(features, millis, noise(this.regression.predict(features)));
 	}
 
 	/**
 	 * Learns that a first event had not come yet when the request was given up, which
 	 * says something only if it was expected by then.
 	 */
-	void notSeen(EngineLoad load, double millis) {
-		if (millis > this.relation.expected(features(load))) {
-			seen(load, millis);
+	void recordNoFirstEvent(EngineLoad load, double millis) {
+		if (millis > this.regression.predict(features(load))) {
+			recordFirstEvent(load, millis);
 		}
 	}
 
 	private double[] features(EngineLoad load) {
-		return new double[] { 1, load.unreadTokens() / TOKENS, load.backlog() / this.backlogUnit, load.requests(),
-				load.otherRegion() ? 1 : 0 };
+		return new double[] { 1, load.unreadTokens() / TOKENS_PER_UNIT, load.backlog() / this.backlogUnit,
+				load.requests(), load.otherRegion() ? 1 : 0 };
 	}
 
 	private static double noise(double expected) {
-		return NOISE_MILLIS + NOISE_SHARE * expected;
+		return NOISE_MILLIS + NOISE_RATIO * expected;
 	}
 
 }
--- a/core/src/main/java/org/gullsaddle/serve/EngineReport.java
+++ b/core/src/main/java/org/gullsaddle/serve/EngineReport.java
@@ -23,7 +23,7 @@
 	/**
 	 * Returns how many requests have their prompt, or a part of it, still to be read.
 	 */
-	int unread() {
+	int unreadRequests() {
 		return this.reading + this.waiting;
 	}
 
--- a/core/src/main/java/org/gullsaddle/serve/ModelSelector.java
+++ b/core/src/main/java/org/gullsaddle/serve/ModelSelector.java
@@ -174,7 +174,7 @@
 	 * @return true if it may
 	 */
 	public boolean canJoinQueue(QueueBounds bounds, int rank, ReplicaChoice choice, long leftMillis) {
-		return choice.queueMillis() <= bounds.millis(rank)
+		return choice.queueMillis() <= bounds.maxQueueMillis(rank)
 				&& choice.delay().probabilityWithin(leftMillis) >= BOUNDED_MIN_PROBABILITY;
 	}
 
--- a/core/src/main/java/org/gullsaddle/serve/Homes.java
+++ b/core/src/main/java/org/gullsaddle/serve/ModelSizePartition.java
@@ -24,55 +24,55 @@
  * small models, and no model goes elsewhere. Nodes that learn their homes disagree on
  * some of them, and an engine that runs both sizes reads for neither at its own speed.
  */
-final class Homes {
+final class ModelSizePartition {
 
 	/** The small models' part of the work before any is known. */
-	private static final double FIRST_SMALL = 0.17;
+	private static final double PRIOR_SMALL_RATIO = 0.17;
 
 	/**
 	 * How much more room than their part of the work the small models get. All requests
 	 * begin with them, so that a queue there makes all late.
 	 */
-	private static final double ROOM = 1.5;
+	private static final double SMALL_CAPACITY_FACTOR = 1.5;
 
 	/**
 	 * How much work stands for that first belief, in tokens of the smallest model: some
 	 * seconds of a node's.
 	 */
-	private static final double FIRST_WORK = 500_000;
+	private static final double PRIOR_WORK_TOKENS = 500_000;
 
 	/**
 	 * The part of the replicas that is for small models where sizes are kept apart. All
 	 * requests begin there, so that a burst must find room.
 	 */
-	private static final double APART_SMALL = 0.35;
+	private static final double STRICT_SMALL_RATIO = 0.35;
 
 	/** The time until half of the work done is forgotten, in milliseconds. */
-	private static final double HALF_MILLIS = 5000;
+	private static final double HALF_LIFE_MILLIS = 5000;
 
-	private final NodeLocation place;
+	private final NodeLocation location;
 
-	private double small = FIRST_SMALL * FIRST_WORK;
+	private double smallWork = PRIOR_SMALL_RATIO * PRIOR_WORK_TOKENS;
 
-	private double large = (1 - FIRST_SMALL) * FIRST_WORK;
+	private double largeWork = (1 - PRIOR_SMALL_RATIO) * PRIOR_WORK_TOKENS;
 
-	private long at;
+	private long decayedAt;
 
-	private boolean apart;
+	private boolean strict;
 
-	Homes(NodeLocation place) {
-		this.place = place;
+	ModelSizePartition(NodeLocation place) {
+		this.location = place;
 	}
 
 	/**
 	 * Keeps the sizes apart from now on.
 	 */
-	void keepApart() {
-		this.apart = true;
+	void separateStrictly() {
+		this.strict = true;
 	}
 
-	boolean keptApart() {
-		return this.apart;
+	boolean isStrict() {
+		return this.strict;
 	}
 
 	/**
@@ -81,16 +81,16 @@
 	 * @param task the task
 	 * @param unreadTokens how much of its prompt must be read
 	 */
-	void sent(long now, ReplicaTask task, int unreadTokens) {
+	void recordWork(long now, ReplicaTask task, int unreadTokens) {
 		if (task.sizeClass() == ModelSizeClass.SIMILAR) {
 			return;
 		}
-		forget(now);
+		decay(now);
 		if (task.sizeClass() == ModelSizeClass.LARGE) {
-			this.large += unreadTokens * task.slowdown();
+			this.largeWork += unreadTokens * task.slowdown();
 		}
 		else {
-			this.small += unreadTokens * task.slowdown();
+			this.smallWork += unreadTokens * task.slowdown();
 		}
 	}
 
@@ -98,17 +98,17 @@
 	 * Returns the replicas that models of another size than a task's are at home on. All
 	 * nodes that see the same replicas and alike work come to the same.
 	 */
-	Set<ReplicaId> away(List<Replica> usable, ReplicaTask task) {
+	Set<ReplicaId> nonDedicatedReplicas(List<Replica> usable, ReplicaTask task) {
 		if (task.sizeClass() == ModelSizeClass.SIMILAR) {
 			return Set.of();
 		}
 		Map<String, List<Replica>> byRegion = usable.stream()
-			.collect(Collectors.groupingBy((replica) -> this.place.regionOf(replica.dataCenter())));
+			.collect(Collectors.groupingBy((replica) -> this.location.regionOf(replica.dataCenter())));
 		Set<ReplicaId> away = new HashSet<>();
 		for (List<Replica> near : byRegion.values()) {
 			List<Replica> ordered = new ArrayList<>(near);
 			ordered.sort(Comparator.comparingDouble((replica) -> Spread.unit(replica.id().value())));
-			long homes = smallHomes(near.size());
+			long homes = smallReplicaCount(near.size());
 			for (int i = 0; i < ordered.size() && homes > 0; i++) {
 				if ((i < homes) == (task.sizeClass() == ModelSizeClass.LARGE)) {
 					away.add(ordered.get(i).id());
@@ -118,22 +118,22 @@
 		return away;
 	}
 
-	private long smallHomes(int replicas) {
+	private long smallReplicaCount(int replicas) {
 		if (replicas < 2) {
 			return 0;
 		}
-		if (this.apart) {
-			return Math.clamp((long) Math.ceil(APART_SMALL * replicas), 1, replicas - 1);
+		if (this.strict) {
+			return Math.clamp((long) Math.ceil(STRICT_SMALL_RATIO * replicas), 1, replicas - 1);
 		}
-		double share = ROOM * this.small / (this.small + this.large);
+		double share = SMALL_CAPACITY_FACTOR * this.smallWork / (this.smallWork + this.largeWork);
 		return Math.clamp(Math.round(share * replicas), 1, replicas - 1);
 	}
 
-	private void forget(long now) {
-		double kept = Math.pow(0.5, Math.max(0, now - this.at) / HALF_MILLIS);
-		this.small = kept * this.small + (1 - kept) * FIRST_SMALL * FIRST_WORK;
-		this.large = kept * this.large + (1 - kept) * (1 - FIRST_SMALL) * FIRST_WORK;
-		this.at = Math.max(this.at, now);
+	private void decay(long now) {
+		double kept = Math.pow(0.5, Math.max(0, now - this.decayedAt) / HALF_LIFE_MILLIS);
+		this.smallWork = kept * this.smallWork + (1 - kept) * PRIOR_SMALL_RATIO * PRIOR_WORK_TOKENS;
+		this.largeWork = kept * this.largeWork + (1 - kept) * (1 - PRIOR_SMALL_RATIO) * PRIOR_WORK_TOKENS;
+		this.decayedAt = Math.max(this.decayedAt, now);
 	}
 
 }
--- a/core/src/main/java/org/gullsaddle/serve/OnlineRegression.java
+++ b/core/src/main/java/org/gullsaddle/serve/OnlineRegression.java
@@ -10,13 +10,13 @@
 final class OnlineRegression {
 
 	/** What the weight of an observation falls by with each later one. */
-	private static final double FORGETTING = 0.995;
+	private static final double FORGETTING_RATIO = 0.995;
 
 	/** How many standard deviations an observation may lie off before it is cut. */
-	private static final double MOST_DEVIATIONS = 4;
+	private static final double MAX_DEVIATIONS = 4;
 
 	/** How fast the spread of observations is learned. */
-	private static final double SPREAD_SMOOTHING = 0.05;
+	private static final double VARIANCE_SMOOTHING = 0.05;
 
 	private final double[] priorDeviations;
 
@@ -52,7 +52,7 @@
 		return this.coefficients[index];
 	}
 
-	double expected(double[] features) {
+	double predict(double[] features) {
 		double sum = 0;
 		for (int i = 0; i < features.length; i++) {
 			sum += this.coefficients[i] * features[i];
@@ -64,10 +64,10 @@
 	 * Returns the standard deviation of an observation from what is expected of it.
 	 * @param noise the noise that is taken for granted there
 	 */
-	double deviation(double[] features, double noise) {
+	double predictiveDeviation(double[] features, double noise) {
 		double uncertain = 0;
 		for (int i = 0; i < features.length; i++) {
-			uncertain += features[i] * times(i, features);
+			uncertain += features[i] * multiplyCovarianceRow(i, features);
 		}
 		return Math.sqrt(this.variance * noise * noise + Math.max(0, uncertain));
 	}
@@ -77,27 +77,28 @@
 	 * @param noise the noise that is taken for granted in it, more than 0
 	 */
 	void learn(double[] features, double observed, double noise) {
-		double error = observed - expected(features);
-		double most = MOST_DEVIATIONS * deviation(features, noise);
+		double error = observed - predict(features);
+		double most = MAX_DEVIATIONS * predictiveDeviation(features, noise);
 		double cut = Math.clamp(error, -most, most);
 		double[] direction = new double[features.length];
 		double spread = noise * noise;
 		for (int i = 0; i < features.length; i++) {
-			direction[i] = times(i, features);
+			direction[i] = multiplyCovarianceRow(i, features);
 			spread += features[i] * direction[i];
 		}
 		for (int i = 0; i < features.length; i++) {
 			this.coefficients[i] = Math.max(0, this.coefficients[i] + direction[i] * cut / spread);
 		}
-		shrink(direction, spread);
+		updateCovariance(direction, spread);
 		double squared = cut * cut / spread;
-		this.variance += SPREAD_SMOOTHING * (squared - this.variance);
+		this.variance += VARIANCE_SMOOTHING * (squared - this.variance);
 	}
 
-	private void shrink(double[] direction, double spread) {
+	private void updateCovariance(double[] direction, double spread) {
 		for (int i = 0; i < direction.length; i++) {
 			for (int j = 0; j < direction.length; j++) {
-				this.covariance[i][j] = (this.covariance[i][j] - direction[i] * direction[j] / spread) / FORGETTING;
+				this.covariance[i][j] = (this.covariance[i][j] - direction[i] * direction[j] / spread)
+						/ FORGETTING_RATIO;
 			}
 		}
 		for (int i = 0; i < direction.length; i++) {
@@ -121,7 +122,7 @@
 		}
 	}
 
-	private double times(int row, double[] features) {
+	private double multiplyCovarianceRow(int row, double[] features) {
 		double sum = 0;
 		for (int i = 0; i < features.length; i++) {
 			sum += this.covariance[row][i] * features[i];
--- a/core/src/main/java/org/gullsaddle/serve/Ejection.java
+++ b/core/src/main/java/org/gullsaddle/serve/OutlierEjection.java
@@ -7,11 +7,11 @@
  * itself. After a few failures in a row it is left out, for twice as long each time, and
  * then tried again.
  */
-public final class Ejection {
+public final class OutlierEjection {
 
 	private static final int FAILURES_TO_EJECT = 3;
 
-	private static final long EJECTED_MILLIS = 2000;
+	private static final long BASE_EJECTION_MILLIS = 2000;
 
 	private static final int MAX_DOUBLINGS = 5;
 
@@ -22,7 +22,7 @@
 	/**
 	 * Notes a success, which brings the server back.
 	 */
-	public void succeeded() {
+	public void onSuccess() {
 		this.failures = 0;
 		this.ejectedUntil = Long.MIN_VALUE;
 	}
@@ -32,11 +32,11 @@
 	 * @param now the time in milliseconds
 	 * @return true if it is the first since a success
 	 */
-	public boolean failed(long now) {
+	public boolean onFailure(long now) {
 		this.failures++;
 		int over = this.failures - FAILURES_TO_EJECT;
 		if (over >= 0) {
-			this.ejectedUntil = now + (EJECTED_MILLIS << Math.min(over, MAX_DOUBLINGS));
+			this.ejectedUntil = now + (BASE_EJECTION_MILLIS << Math.min(over, MAX_DOUBLINGS));
 		}
 		return this.failures == 1;
 	}
@@ -55,7 +55,7 @@
 	 * @param now the time in milliseconds
 	 * @return true if it is
 	 */
-	public boolean ejected(long now) {
+	public boolean isEjected(long now) {
 		return now < this.ejectedUntil;
 	}
 
--- a/core/src/main/java/org/gullsaddle/serve/KeptParts.java
+++ b/core/src/main/java/org/gullsaddle/serve/PrefixCacheModel.java
@@ -9,7 +9,7 @@
  * Which prompt parts a replica likely keeps in its memory, judged by what this node sent
  * there. The least recently used ones yield, as they do at the replica.
  */
-public final class KeptParts {
+public final class PrefixCacheModel {
 
 	private final Map<String, Integer> tokensByPart = new LinkedHashMap<>(16, 0.75f, true);
 
@@ -21,7 +21,7 @@
 	 * @param parts the parts in order
 	 * @param capacity how many tokens of parts the replica keeps
 	 */
-	public void read(String model, List<PromptPart> parts, long capacity) {
+	public void onPromptRead(String model, List<PromptPart> parts, long capacity) {
 		for (PromptPart part : parts) {
 			Integer before = this.tokensByPart.put(key(model, part), part.tokens());
 			this.tokens += part.tokens() - ((before != null) ? before : 0);
@@ -40,7 +40,7 @@
 	 * @param parts the parts in order
 	 * @return the number of tokens
 	 */
-	public int kept(String model, List<PromptPart> parts) {
+	public int cachedTokens(String model, List<PromptPart> parts) {
 		int kept = 0;
 		for (PromptPart part : parts) {
 			if (!this.tokensByPart.containsKey(key(model, part))) {
--- a/core/src/main/java/org/gullsaddle/serve/Prompt.java
+++ b/core/src/main/java/org/gullsaddle/serve/Prompt.java
@@ -25,7 +25,7 @@
 	 * Returns the parts that other requests may have too: all but the last.
 	 * @return their ids in order
 	 */
-	public List<String> sharedParts() {
+	public List<String> sharedPartIds() {
 		int shared = Math.max(0, this.parts.size() - 1);
 		return this.parts.subList(0, shared).stream().map(PromptPart::id).toList();
 	}
@@ -34,7 +34,7 @@
 	 * Returns how many tokens a replica may have to hold for it.
 	 * @return the prompt's and those that may be generated
 	 */
-	public long mostTokens() {
+	public long maxTokens() {
 		return (long) this.inputTokens + this.maxOutputTokens;
 	}
 
@@ -42,7 +42,7 @@
 	 * Returns how many tokens will likely be generated.
 	 * @return the hint, or the allowed number without one
 	 */
-	public int likelyOutput() {
+	public int expectedOutputTokens() {
 		int hint = this.lengthHint.orElse(this.maxOutputTokens);
 		return (this.maxOutputTokens > 0) ? Math.min(hint, this.maxOutputTokens) : hint;
 	}
--- a/core/src/main/java/org/gullsaddle/serve/QueueBounds.java
+++ b/core/src/main/java/org/gullsaddle/serve/QueueBounds.java
@@ -22,10 +22,10 @@
 public final class QueueBounds {
 
 	/** The part of the shortest objective that the most urgent requests may queue. */
-	private static final double FIRST_PART = 0.6;
+	private static final double FIRST_RANK_RATIO = 0.6;
 
 	/** How much shorter the queue is that the next rank may join. */
-	private static final double NEXT_PART = 2.0 / 3;
+	private static final double NEXT_RANK_RATIO = 2.0 / 3;
 
 	private final TreeMap<Integer, Double> byRank;
 
@@ -41,18 +41,18 @@
 	public static QueueBounds of(Collection<Route> routes) {
 		TreeMap<Integer, Double> byRank = new TreeMap<>();
 		double shortest = Double.MAX_VALUE;
-		double part = FIRST_PART;
-		for (Map.Entry<Integer, List<Route>> rank : byRank(routes).entrySet()) {
+		double part = FIRST_RANK_RATIO;
+		for (Map.Entry<Integer, List<Route>> rank : groupByRank(routes).entrySet()) {
 			for (Route route : rank.getValue()) {
 				shortest = Math.min(shortest, route.targetMillis());
 			}
 			byRank.put(rank.getKey(), part * shortest);
-			part *= NEXT_PART;
+			part *= NEXT_RANK_RATIO;
 		}
 		return new QueueBounds(byRank);
 	}
 
-	private static TreeMap<Integer, List<Route>> byRank(Collection<Route> routes) {
+	private static TreeMap<Integer, List<Route>> groupByRank(Collection<Route> routes) {
 		return routes.stream()
 			.filter((route) -> route.models().size() > 1)
 			.collect(Collectors.groupingBy(QueueBounds::rank, TreeMap::new, Collectors.toList()));
@@ -67,7 +67,7 @@
 	 * @param rank the rank of a request that would join it, 0 is the most urgent
 	 * @return the time in milliseconds
 	 */
-	public double millis(int rank) {
+	public double maxQueueMillis(int rank) {
 		Map.Entry<Integer, Double> known = this.byRank.floorEntry(rank);
 		if (known == null) {
 			known = this.byRank.firstEntry();
--- a/core/src/main/java/org/gullsaddle/serve/ReplicaEligibility.java
+++ b/core/src/main/java/org/gullsaddle/serve/ReplicaEligibility.java
@@ -27,7 +27,7 @@
 
 	private final NodeLocation location;
 
-	private final ColdPace coldLimiter;
+	private final ColdReplicaLimiter coldLimiter;
 
 	private final BackpressureBook backpressure;
 
@@ -41,7 +41,7 @@
 	 * @param backpressure what it may send to replicas that ask for fewer requests
 	 * @param crashes what is refused as it crashes replicas
 	 */
-	public ReplicaEligibility(ReplicaDirectory directory, NodeLocation place, ColdPace pace,
+	public ReplicaEligibility(ReplicaDirectory directory, NodeLocation place, ColdReplicaLimiter pace,
 			BackpressureBook backpressure, CrashBook crashes) {
 		this.directory = directory;
 		this.location = place;
@@ -157,7 +157,7 @@
 	 */
 	public void onSent(long now, Requirements wanted, Replica replica) {
 		if (isCold(now, wanted, replica)) {
-			this.coldLimiter.sent(now, replica);
+			this.coldLimiter.onSent(now, replica);
 		}
 	}
 
@@ -184,7 +184,7 @@
 
 	private boolean hasColdCapacity(long now, Requirements wanted, Replica replica) {
 		return wanted.nodeCount().isPresent()
-				&& this.coldLimiter.room(now, replica, wanted.coldStart().perSecond(), wanted.nodeCount().get());
+				&& this.coldLimiter.canSend(now, replica, wanted.coldStart().perSecond(), wanted.nodeCount().get());
 	}
 
 	private List<Replica> openReplicas(long now, Requirements wanted) {
--- a/core/src/main/java/org/gullsaddle/serve/ReplicaSelector.java
+++ b/core/src/main/java/org/gullsaddle/serve/ReplicaSelector.java
@@ -48,11 +48,11 @@
 	 */
 	private final Map<String, Double> meanWork = new HashMap<>();
 
-	private final Homes partition;
+	private final ModelSizePartition partition;
 
 	private final DelayEstimator delayEstimator = new DelayEstimator();
 
-	private final ReplicaPaces slowdowns = new ReplicaPaces();
+	private final SlowdownTracker slowdowns = new SlowdownTracker();
 
 	private final NodeLocation location;
 
@@ -73,7 +73,7 @@
 	 */
 	public ReplicaSelector(NodeLocation here, List<Loss> losses) {
 		this.location = here;
-		this.partition = new Homes(here);
+		this.partition = new ModelSizePartition(here);
 		this.losses = List.copyOf(losses);
 	}
 
@@ -82,7 +82,7 @@
 	 * short.
 	 */
 	public void separateModelSizes() {
-		this.partition.keepApart();
+		this.partition.separateStrictly();
 	}
 
 	/**
@@ -109,7 +109,7 @@
 	 * @return the replicas, none if what is known is enough
 	 */
 	public List<Replica> replicasToQuery(long now, List<Replica> usable, Set<ReplicaId> tried, ReplicaTask task) {
-		if (task.slowdown() <= 1 && (task.isPlainCall() || !this.partition.keptApart())) {
+		if (task.slowdown() <= 1 && (task.isPlainCall() || !this.partition.isStrict())) {
 			return List.of();
 		}
 		return bestChoices(now, usable, tried, task, MAX_QUERIED_REPLICAS).stream()
@@ -141,10 +141,10 @@
 			.map(this::stateOf)
 			.toList();
 		List<ReplicaState> sound = able.stream().filter((state) -> !state.isEjected(now)).toList();
-		Set<ReplicaId> away = this.partition.away(usable, task);
-		Others others = Others.of(now, able, away);
+		Set<ReplicaId> away = this.partition.nonDedicatedReplicas(usable, task);
+		PeerLoad others = PeerLoad.of(now, able, away);
 		double meanRequests = able.stream()
-			.mapToDouble((state) -> state.estimateRequests(now, others.at(state).requests()))
+			.mapToDouble((state) -> state.estimateRequests(now, others.meanFor(state).requests()))
 			.average()
 			.orElse(0);
 		return eligibleStates(able, sound, away).stream()
@@ -158,28 +158,28 @@
 	 */
 	private List<ReplicaState> eligibleStates(List<ReplicaState> able, List<ReplicaState> sound, Set<ReplicaId> away) {
 		List<ReplicaState> usual = sound.isEmpty() ? able : sound;
-		if (!this.partition.keptApart()) {
+		if (!this.partition.isStrict()) {
 			return usual;
 		}
 		List<ReplicaState> home = usual.stream().filter((state) -> !away.contains(state.replica().id())).toList();
 		return home.isEmpty() ? usual : home;
 	}
 
-	private ReplicaCandidate createCandidate(long now, ReplicaState state, ReplicaTask task, Others others,
+	private ReplicaCandidate createCandidate(long now, ReplicaState state, ReplicaTask task, PeerLoad others,
 			double meanRequests) {
-		Others.Usual usual = others.at(state);
+		PeerLoad.MeanLoad usual = others.meanFor(state);
 		Replica replica = state.replica();
 		Distance reach = this.location.distance(replica.dataCenter());
 		double requests = state.estimateRequests(now, usual.requests());
-		double before = task.isPlainCall() ? estimateQueueRounds(replica, requests)
-				: state.estimateBacklogTokens(now, usual.unread(), this.meanWork.getOrDefault(task.model(), 0.0));
+		double before = task.isPlainCall() ? estimateQueueRounds(replica, requests) : state.estimateBacklogTokens(now,
+				usual.unreadRequests(), this.meanWork.getOrDefault(task.model(), 0.0));
 		EngineLoad load = new EngineLoad(unreadTokens(state, task), before, requests, reach == Distance.OTHER_REGION);
-		DelayModel delays = this.delayEstimator.of(replica, task);
-		DelayEstimate first = delays.first(load);
-		Slowdown pace = this.slowdowns.at(now, state, first.expectedMillis());
+		DelayModel delays = this.delayEstimator.modelFor(replica, task);
+		DelayEstimate first = delays.estimate(load);
+		Slowdown pace = this.slowdowns.estimate(now, state, first.expectedMillis());
 		return new ReplicaCandidate(replica, task, load, first.scaledBy(pace.factor()),
 				pace.factor() * delays.readMillis(load.unreadTokens()), pace, reach, state.failureShare(),
-				others.home(state), meanRequests);
+				others.isDedicated(state), meanRequests);
 	}
 
 	/**
@@ -206,7 +206,7 @@
 	 * @param task what the replica is to do
 	 */
 	public void onSent(long now, ReplicaChoice choice, ReplicaTask task) {
-		this.partition.sent(now, task, choice.unreadTokens());
+		this.partition.recordWork(now, task, choice.unreadTokens());
 		long kept = Math.round(task.cacheTokens() * CACHE_RATIO);
 		double work = choice.unreadTokens() * task.slowdown();
 		stateOf(choice.replica()).onSent(task, work, kept);
@@ -234,12 +234,12 @@
 	public void recordFirstEventDelay(ReplicaChoice choice, ReplicaTask task, long millis, boolean begun) {
 		double usual = millis / choice.slowdown().factor();
 		if (begun) {
-			this.delayEstimator.of(choice.replica(), task).seen(choice.load(), usual);
+			this.delayEstimator.modelFor(choice.replica(), task).recordFirstEvent(choice.load(), usual);
 		}
 		else {
-			this.delayEstimator.of(choice.replica(), task).notSeen(choice.load(), usual);
+			this.delayEstimator.modelFor(choice.replica(), task).recordNoFirstEvent(choice.load(), usual);
 		}
-		this.slowdowns.took(stateOf(choice.replica()), choice, millis, begun);
+		this.slowdowns.recordAnswerDelay(stateOf(choice.replica()), choice, millis, begun);
 	}
 
 	/**
@@ -297,7 +297,7 @@
 	 */
 	public DelayEstimate estimateDelay(long now, List<Replica> usable, Replica replica, ReplicaTask task) {
 		List<ReplicaState> states = usable.stream().map(this::stateOf).toList();
-		Others others = Others.of(now, states, this.partition.away(usable, task));
+		PeerLoad others = PeerLoad.of(now, states, this.partition.nonDedicatedReplicas(usable, task));
 		return createCandidate(now, stateOf(replica), task, others, 0).delay();
 	}
 
@@ -358,7 +358,7 @@
 	 * @param percent how long work takes there now, 100 as usual
 	 */
 	public void onSlowdownReport(long now, Replica replica, int percent) {
-		this.slowdowns.told(now, stateOf(replica), percent);
+		this.slowdowns.onReported(now, stateOf(replica), percent);
 	}
 
 	/**
@@ -366,7 +366,7 @@
 	 * @return the number
 	 */
 	public int countReportedSlowdowns() {
-		return (int) this.states.values().stream().filter((state) -> state.slowdown().told()).count();
+		return (int) this.states.values().stream().filter((state) -> state.slowdown().reported()).count();
 	}
 
 	/**
@@ -380,7 +380,7 @@
 	}
 
 	boolean hasReportWithin(long now, Replica replica, long millis) {
-		return stateOf(replica).peerRequests().age(now) <= millis;
+		return stateOf(replica).peerRequests().ageMillis(now) <= millis;
 	}
 
 	/**
--- a/core/src/main/java/org/gullsaddle/serve/ReplicaState.java
+++ b/core/src/main/java/org/gullsaddle/serve/ReplicaState.java
@@ -16,16 +16,16 @@
 	/** The weight from which a count of unread requests is not replaced by a guess. */
 	private static final double MIN_REPORT_WEIGHT = 0.5;
 
-	private final KeptParts promptCache = new KeptParts();
+	private final PrefixCacheModel promptCache = new PrefixCacheModel();
 
 	/** The requests of other nodes there, and how many of them are still to be read. */
 	private final ReportedLoad peerRequests = new ReportedLoad();
 
 	private final ReportedLoad peerUnreadRequests = new ReportedLoad();
 
-	private final Ejection ejection = new Ejection();
+	private final OutlierEjection ejection = new OutlierEjection();
 
-	private final ReplicaPace slowdown = new ReplicaPace();
+	private final ReplicaSlowdownTracker slowdown = new ReplicaSlowdownTracker();
 
 	private Replica replica;
 
@@ -57,7 +57,7 @@
 		this.running++;
 		this.unreadRequests++;
 		this.unreadTokens += unread;
-		this.promptCache.read(task.model(), task.prompt().parts(), capacity);
+		this.promptCache.onPromptRead(task.model(), task.prompt().parts(), capacity);
 	}
 
 	/**
@@ -74,17 +74,17 @@
 
 	void onLoadReport(long now, LoadReport report) {
 		double count = report.running() + report.waiting() - this.running;
-		this.peerRequests.report(now, count);
+		this.peerRequests.onReport(now, count);
 		if (this.peerUnreadRequests.weight(now) < MIN_REPORT_WEIGHT) {
 			// A plain report does not tell, so the others' are taken to be as this
 			// node's.
-			this.peerUnreadRequests.report(now, (this.running > 0) ? count * this.unreadRequests / this.running : 0);
+			this.peerUnreadRequests.onReport(now, (this.running > 0) ? count * this.unreadRequests / this.running : 0);
 		}
 	}
 
 	void onLoadReport(long now, EngineReport report) {
-		this.peerRequests.report(now, report.requests() - this.running);
-		this.peerUnreadRequests.report(now, report.unread() - this.unreadRequests);
+		this.peerRequests.onReport(now, report.requests() - this.running);
+		this.peerUnreadRequests.onReport(now, report.unreadRequests() - this.unreadRequests);
 	}
 
 	void onBytes(long now) {
@@ -96,29 +96,29 @@
 	}
 
 	void onSuccess() {
-		this.ejection.succeeded();
+		this.ejection.onSuccess();
 		this.failureShare -= FAILURE_SMOOTHING * this.failureShare;
 	}
 
 	void onFailure(long now) {
-		this.ejection.failed(now);
+		this.ejection.onFailure(now);
 		this.failureShare += FAILURE_SMOOTHING * (1 - this.failureShare);
 	}
 
 	void onUnreachable(long now) {
-		this.ejection.failed(now);
+		this.ejection.onFailure(now);
 		this.ejection.eject(now, UNREACHABLE_EJECTION_MILLIS);
 	}
 
 	boolean isEjected(long now) {
-		return this.ejection.ejected(now);
+		return this.ejection.isEjected(now);
 	}
 
 	double failureShare() {
 		return this.failureShare;
 	}
 
-	ReplicaPace slowdown() {
+	ReplicaSlowdownTracker slowdown() {
 		return this.slowdown;
 	}
 
@@ -135,7 +135,7 @@
 	 * @param usual how many other nodes have at a replica on the mean
 	 */
 	double estimateRequests(long now, double usual) {
-		return this.running + this.peerRequests.at(now, usual);
+		return this.running + this.peerRequests.estimate(now, usual);
 	}
 
 	/**
@@ -145,11 +145,11 @@
 	 * @param tokens how much a request of this node has to be read, in such tokens
 	 */
 	double estimateBacklogTokens(long now, double usual, double tokens) {
-		return this.unreadTokens + tokens * this.peerUnreadRequests.at(now, usual);
+		return this.unreadTokens + tokens * this.peerUnreadRequests.estimate(now, usual);
 	}
 
 	int cachedTokens(ReplicaTask task) {
-		return this.promptCache.kept(task.model(), task.prompt().parts());
+		return this.promptCache.cachedTokens(task.model(), task.prompt().parts());
 	}
 
 }
--- a/core/src/main/java/org/gullsaddle/serve/ReportedLoad.java
+++ b/core/src/main/java/org/gullsaddle/serve/ReportedLoad.java
@@ -11,7 +11,7 @@
 final class ReportedLoad {
 
 	/** How long a count stays about as it was, in milliseconds. */
-	private static final double HOLDS_MILLIS = 1500;
+	private static final double DECAY_MILLIS = 1500;
 
 	private double count;
 
@@ -22,7 +22,7 @@
 	 * @param now the time in milliseconds
 	 * @param newCount how many requests are not this node's
 	 */
-	void report(long now, double newCount) {
+	void onReport(long now, double newCount) {
 		this.count = Math.max(0, newCount);
 		this.at = now;
 	}
@@ -31,7 +31,7 @@
 	 * Returns how old the report is, in milliseconds, or the longest time if there is
 	 * none.
 	 */
-	long age(long now) {
+	long ageMillis(long now) {
 		return (this.at != Long.MIN_VALUE) ? now - this.at : Long.MAX_VALUE;
 	}
 
@@ -39,14 +39,14 @@
 	 * Says how much the report still tells, from 1 for a new one to 0.
 	 */
 	double weight(long now) {
-		return (this.at != Long.MIN_VALUE) ? Math.exp(-(now - this.at) / HOLDS_MILLIS) : 0;
+		return (this.at != Long.MIN_VALUE) ? Math.exp(-(now - this.at) / DECAY_MILLIS) : 0;
 	}
 
 	/**
 	 * Returns how many are likely there.
 	 * @param usual how many are there on the mean of all replicas
 	 */
-	double at(long now, double usual) {
+	double estimate(long now, double usual) {
 		double weight = weight(now);
 		return weight * this.count + (1 - weight) * usual;
 	}
--- a/core/src/main/java/org/gullsaddle/serve/SilencePatience.java
+++ b/core/src/main/java/org/gullsaddle/serve/SilentReplicaPolicy.java
@@ -15,26 +15,26 @@
  * elsewhere, behind others that were moved as well: the queues stay as long, and much of
  * the work is done twice.
  */
-public final class SilencePatience {
+public final class SilentReplicaPolicy {
 
 	/**
 	 * How often one replica is asked at most, in milliseconds; questions are paid for.
 	 */
-	private static final long ASK_EVERY_MILLIS = 1000;
+	private static final long MIN_QUERY_INTERVAL_MILLIS = 1000;
 
 	/**
 	 * How long before the end of a request's patience its replica is asked, in
 	 * milliseconds, so that one that went dark is left no later than without a question.
 	 */
-	public static final long ANSWER_MILLIS = 150;
+	public static final long LOAD_QUERY_MILLIS = 150;
 
 	/**
 	 * What part of the wait here another replica may take to be clearly sooner: a request
 	 * that waits is half through its queue on the mean.
 	 */
-	private static final double CLEARLY = 0.5;
+	private static final double CLEARLY_SOONER_RATIO = 0.5;
 
-	private final Map<ReplicaId, Question> questions = new HashMap<>();
+	private final Map<ReplicaId, LoadQuery> queries = new HashMap<>();
 
 	/**
 	 * Decides what a request does.
@@ -44,42 +44,42 @@
 	 * @param patienceMillis how long that may last, in milliseconds
 	 * @return what it does
 	 */
-	public Advice look(long now, ReplicaId replica, long silentSince, long patienceMillis) {
+	public Action decideAction(long now, ReplicaId replica, long silentSince, long patienceMillis) {
 		long patienceEnds = silentSince + patienceMillis;
-		if (now < patienceEnds - ANSWER_MILLIS) {
-			return Advice.WAIT;
+		if (now < patienceEnds - LOAD_QUERY_MILLIS) {
+			return Action.WAIT;
 		}
-		return switch (this.questions.get(replica)) {
-			case null -> Advice.ASK;
-			case Question.Open open -> Advice.WAIT;
-			case Question.Queues queues -> queues(now, queues.at(), patienceEnds, patienceMillis);
-			case Question.NoQueue noQueue -> noQueue(now, noQueue.at(), silentSince, patienceEnds);
+		return switch (this.queries.get(replica)) {
+			case null -> Action.QUERY_LOAD;
+			case LoadQuery.Pending open -> Action.WAIT;
+			case LoadQuery.Queued queues -> decideWithQueue(now, queues.reportedAt(), patienceEnds, patienceMillis);
+			case LoadQuery.NoQueue noQueue -> decideWithoutQueue(now, noQueue.endedAt(), silentSince, patienceEnds);
 		};
 	}
 
 	/**
 	 * What it told counts as heard: it is asked again a whole patience later.
 	 */
-	private static Advice queues(long now, long toldAt, long patienceEnds, long patienceMillis) {
-		if (now >= toldAt + Math.max(ASK_EVERY_MILLIS, patienceMillis - ANSWER_MILLIS)) {
-			return Advice.ASK;
+	private static Action decideWithQueue(long now, long toldAt, long patienceEnds, long patienceMillis) {
+		if (now >= toldAt + Math.max(MIN_QUERY_INTERVAL_MILLIS, patienceMillis - LOAD_QUERY_MILLIS)) {
+			return Action.QUERY_LOAD;
 		}
-		return (now > patienceEnds) ? Advice.STAY : Advice.WAIT;
+		return (now > patienceEnds) ? Action.STAY : Action.WAIT;
 	}
 
-	private static Advice noQueue(long now, long at, long silentSince, long patienceEnds) {
-		if (now >= at + ASK_EVERY_MILLIS) {
-			return Advice.ASK;
+	private static Action decideWithoutQueue(long now, long at, long silentSince, long patienceEnds) {
+		if (now >= at + MIN_QUERY_INTERVAL_MILLIS) {
+			return Action.QUERY_LOAD;
 		}
-		return (now > patienceEnds && at > silentSince) ? Advice.LEAVE : Advice.WAIT;
+		return (now > patienceEnds && at > silentSince) ? Action.LEAVE : Action.WAIT;
 	}
 
 	/**
 	 * Notes that a replica is asked for its load.
 	 * @param replica the replica
 	 */
-	public void asked(ReplicaId replica) {
-		this.questions.put(replica, new Question.Open());
+	public void onLoadQuery(ReplicaId replica) {
+		this.queries.put(replica, new LoadQuery.Pending());
 	}
 
 	/**
@@ -88,9 +88,10 @@
 	 * @param replica the replica
 	 * @param report its load
 	 */
-	public void told(long now, ReplicaId replica, EngineReport report) {
+	public void onLoadReport(long now, ReplicaId replica, EngineReport report) {
 		// Without prompts to be read, no request waits for its turn there.
-		this.questions.put(replica, (report.unread() > 0) ? new Question.Queues(now) : new Question.NoQueue(now));
+		this.queries.put(replica,
+				(report.unreadRequests() > 0) ? new LoadQuery.Queued(now) : new LoadQuery.NoQueue(now));
 	}
 
 	/**
@@ -98,8 +99,8 @@
 	 * @param now the time in milliseconds
 	 * @param replica the replica
 	 */
-	public void notTold(long now, ReplicaId replica) {
-		this.questions.put(replica, new Question.NoQueue(now));
+	public void onNoLoadReport(long now, ReplicaId replica) {
+		this.queries.put(replica, new LoadQuery.NoQueue(now));
 	}
 
 	/**
@@ -107,7 +108,7 @@
 	 * @param known those to remember
 	 */
 	public void retain(Set<ReplicaId> known) {
-		this.questions.keySet().retainAll(known);
+		this.queries.keySet().retainAll(known);
 	}
 
 	/**
@@ -117,20 +118,20 @@
 	 * @param there when it would begin at the other replica
 	 * @return true if the request is better moved
 	 */
-	public static boolean sooner(DelayEstimate here, DelayEstimate there) {
-		return there.expectedMillis() + there.deviationMillis() < CLEARLY * here.expectedMillis();
+	public static boolean isClearlySooner(DelayEstimate here, DelayEstimate there) {
+		return there.expectedMillis() + there.deviationMillis() < CLEARLY_SOONER_RATIO * here.expectedMillis();
 	}
 
 	/**
 	 * What a request does.
 	 */
-	public enum Advice {
+	public enum Action {
 
 		/** It waits: its patience is not over, or an answer is expected. */
 		WAIT,
 
 		/** Its replica is asked for its load. */
-		ASK,
+		QUERY_LOAD,
 
 		/** It waits its turn, unless another replica would begin clearly sooner. */
 		STAY,
@@ -143,24 +144,24 @@
 	/**
 	 * The last question to a replica.
 	 */
-	private sealed interface Question {
+	private sealed interface LoadQuery {
 
 		/**
 		 * It was not answered yet.
 		 */
-		record Open() implements Question {
+		record Pending() implements LoadQuery {
 		}
 
 		/**
 		 * The replica told of requests that wait their turn.
 		 */
-		record Queues(long at) implements Question {
+		record Queued(long reportedAt) implements LoadQuery {
 		}
 
 		/**
 		 * It told of none, or nothing at all.
 		 */
-		record NoQueue(long at) implements Question {
+		record NoQueue(long endedAt) implements LoadQuery {
 		}
 
 	}
--- a/core/src/main/java/org/gullsaddle/serve/WorkShares.java
+++ b/core/src/main/java/org/gullsaddle/serve/WorkShares.java
@@ -107,7 +107,7 @@
 	 * @return the work, at least 1
 	 */
 	public static double work(int unreadTokens, ReplicaTask task) {
-		return Math.max(1, (unreadTokens + READ_PER_WRITTEN * task.prompt().likelyOutput()) * task.slowdown());
+		return Math.max(1, (unreadTokens + READ_PER_WRITTEN * task.prompt().expectedOutputTokens()) * task.slowdown());
 	}
 
 	/**
--- a/core/src/test/java/org/gullsaddle/fleet/EngineSpecTests.java
+++ b/core/src/test/java/org/gullsaddle/fleet/EngineSpecTests.java
@@ -19,15 +19,15 @@
 	 */
 	@Test
 	void requestFitsWithAllThatItMayGenerate() {
-		assertThat(this.engine.fits(new Prompt(900, 100, OptionalInt.of(5), List.of()).mostTokens())).isTrue();
-		assertThat(this.engine.fits(new Prompt(900, 101, OptionalInt.of(5), List.of()).mostTokens())).isFalse();
-		assertThat(this.engine.fits(Prompt.NONE.mostTokens())).isTrue();
+		assertThat(this.engine.fits(new Prompt(900, 100, OptionalInt.of(5), List.of()).maxTokens())).isTrue();
+		assertThat(this.engine.fits(new Prompt(900, 101, OptionalInt.of(5), List.of()).maxTokens())).isFalse();
+		assertThat(this.engine.fits(Prompt.NONE.maxTokens())).isTrue();
 	}
 
 	@Test
 	void tokensThatOverflowAnIntDoNotFit() {
 		Prompt prompt = new Prompt(Integer.MAX_VALUE, Integer.MAX_VALUE, OptionalInt.empty(), List.of());
-		assertThat(this.engine.fits(prompt.mostTokens())).isFalse();
+		assertThat(this.engine.fits(prompt.maxTokens())).isFalse();
 	}
 
 }
--- a/core/src/test/java/org/gullsaddle/serve/ColdPaceTests.java
+++ b/core/src/test/java/org/gullsaddle/serve/ColdReplicaLimiterTests.java
@@ -17,7 +17,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-class ColdPaceTests {
+class ColdReplicaLimiterTests {
 
 	private static final double PER_SECOND = 5;
 
@@ -29,10 +29,10 @@
 
 	@Test
 	void oneNodeAloneKeepsToItsPart() {
-		ColdPace pace = new ColdPace("node");
+		ColdReplicaLimiter pace = new ColdReplicaLimiter("node");
 		int sent = 0;
-		while (pace.room(0, REPLICA, PER_SECOND, 1)) {
-			pace.sent(0, REPLICA);
+		while (pace.canSend(0, REPLICA, PER_SECOND, 1)) {
+			pace.onSent(0, REPLICA);
 			sent++;
 		}
 		assertThat(sent).isBetween(1, 2);
@@ -87,18 +87,18 @@
 	 */
 	private static List<Long> sendings(int nodes, int believed, int seed, long millis) {
 		Random random = new Random(seed);
-		List<ColdPace> paces = new ArrayList<>();
+		List<ColdReplicaLimiter> paces = new ArrayList<>();
 		List<Long> clocks = new ArrayList<>();
 		for (int i = 0; i < nodes; i++) {
-			paces.add(new ColdPace("node-" + seed + '-' + i));
+			paces.add(new ColdReplicaLimiter("node-" + seed + '-' + i));
 			clocks.add(random.nextLong(100_000));
 		}
 		List<Long> sent = new ArrayList<>();
 		for (long now = 0; now < millis; now += 20) {
 			for (int i = 0; i < nodes; i++) {
 				long own = now + clocks.get(i);
-				if (paces.get(i).room(own, REPLICA, PER_SECOND, believed)) {
-					paces.get(i).sent(own, REPLICA);
+				if (paces.get(i).canSend(own, REPLICA, PER_SECOND, believed)) {
+					paces.get(i).onSent(own, REPLICA);
 					sent.add(now);
 				}
 			}
--- a/core/src/test/java/org/gullsaddle/serve/DelayEstimatorTests.java
+++ b/core/src/test/java/org/gullsaddle/serve/DelayEstimatorTests.java
@@ -46,12 +46,13 @@
 		for (int i = 0; i < count; i++) {
 			int tokens = 100 + this.random.nextInt(20_000);
 			double noise = 1 + 0.1 * this.random.nextGaussian();
-			this.delays.of(replica("v1"), LARGE).seen(unread(tokens), noise * (5 + millisPerToken * tokens));
+			this.delays.modelFor(replica("v1"), LARGE)
+				.recordFirstEvent(unread(tokens), noise * (5 + millisPerToken * tokens));
 		}
 	}
 
 	private double chanceInTime(ReplicaTask task, int tokens) {
-		return this.delays.of(replica("v1"), task).first(unread(tokens)).probabilityWithin(OBJECTIVE);
+		return this.delays.modelFor(replica("v1"), task).estimate(unread(tokens)).probabilityWithin(OBJECTIVE);
 	}
 
 	/**
@@ -71,21 +72,23 @@
 	@Test
 	void modelsAreLearnedApart() {
 		answers(60, 0.5);
-		assertThat(this.delays.of(replica("v1"), SMALL).first(unread(10_000)).expectedMillis()).isLessThan(500);
+		assertThat(this.delays.modelFor(replica("v1"), SMALL).estimate(unread(10_000)).expectedMillis())
+			.isLessThan(500);
 	}
 
 	@Test
 	void newReleaseIsExpectedToRunAsTheOneBefore() {
 		answers(60, 0.02);
-		double old = this.delays.of(replica("v1"), LARGE).first(unread(10_000)).expectedMillis();
-		assertThat(this.delays.of(replica("v2"), LARGE).first(unread(10_000)).expectedMillis()).isEqualTo(old);
+		double old = this.delays.modelFor(replica("v1"), LARGE).estimate(unread(10_000)).expectedMillis();
+		assertThat(this.delays.modelFor(replica("v2"), LARGE).estimate(unread(10_000)).expectedMillis()).isEqualTo(old);
 	}
 
 	@Test
 	void estimateBecomesSurerWithAnswers() {
-		double before = this.delays.of(replica("v1"), LARGE).first(unread(10_000)).deviationMillis();
+		double before = this.delays.modelFor(replica("v1"), LARGE).estimate(unread(10_000)).deviationMillis();
 		answers(60, 0.1);
-		assertThat(this.delays.of(replica("v1"), LARGE).first(unread(10_000)).deviationMillis()).isLessThan(before);
+		assertThat(this.delays.modelFor(replica("v1"), LARGE).estimate(unread(10_000)).deviationMillis())
+			.isLessThan(before);
 	}
 
 	/**
@@ -97,8 +100,10 @@
 			double exponent = this.random.nextInt(9);
 			EngineLoad load = new EngineLoad(this.random.nextInt(Integer.MAX_VALUE), Math.pow(10, exponent),
 					this.random.nextInt(100_000), this.random.nextBoolean());
-			this.delays.of(replica("v1"), LARGE).seen(load, this.random.nextDouble() * Math.pow(10, exponent));
-			DelayEstimate delay = this.delays.of(replica("v1"), LARGE).first(unread(this.random.nextInt(100_000)));
+			this.delays.modelFor(replica("v1"), LARGE)
+				.recordFirstEvent(load, this.random.nextDouble() * Math.pow(10, exponent));
+			DelayEstimate delay = this.delays.modelFor(replica("v1"), LARGE)
+				.estimate(unread(this.random.nextInt(100_000)));
 			assertThat(delay.expectedMillis()).isFinite().isNotNegative();
 			assertThat(delay.deviationMillis()).isFinite().isPositive();
 		}
@@ -113,7 +118,7 @@
 		void teachesThatItTakesLongerThanExpected() {
 			double before = chanceInTime(LARGE, 1000);
 			for (int i = 0; i < 20; i++) {
-				DelayEstimatorTests.this.delays.of(replica("v1"), LARGE).notSeen(unread(1000), 10_000);
+				DelayEstimatorTests.this.delays.modelFor(replica("v1"), LARGE).recordNoFirstEvent(unread(1000), 10_000);
 			}
 			assertThat(chanceInTime(LARGE, 1000)).isLessThan(before);
 		}
@@ -121,7 +126,7 @@
 		@Test
 		void teachesNothingIfItWasGivenUpEarly() {
 			double before = chanceInTime(LARGE, 10_000);
-			DelayEstimatorTests.this.delays.of(replica("v1"), LARGE).notSeen(unread(10_000), 1);
+			DelayEstimatorTests.this.delays.modelFor(replica("v1"), LARGE).recordNoFirstEvent(unread(10_000), 1);
 			assertThat(chanceInTime(LARGE, 10_000)).isEqualTo(before);
 		}
 
--- a/core/src/test/java/org/gullsaddle/serve/HomesTests.java
+++ b/core/src/test/java/org/gullsaddle/serve/ModelSizePartitionTests.java
@@ -15,13 +15,14 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-class HomesTests {
+class ModelSizePartitionTests {
 
 	private static final ReplicaTask SMALL = task("small", 1, ModelSizeClass.SMALL);
 
 	private static final ReplicaTask LARGE = task("large", 15, ModelSizeClass.LARGE);
 
-	private final Homes homes = new Homes(new NodeLocation("a", Map.of("a", "north", "b", "north", "c", "south")));
+	private final ModelSizePartition homes = new ModelSizePartition(
+			new NodeLocation("a", Map.of("a", "north", "b", "north", "c", "south")));
 
 	private static ReplicaTask task(String model, double pace, ModelSizeClass scale) {
 		Prompt prompt = new Prompt(1000, 10, OptionalInt.empty(), List.of(new PromptPart("p", 1000)));
@@ -43,15 +44,15 @@
 	}
 
 	private int smallHomes(int replicas) {
-		return replicas - this.homes.away(replicas(replicas), SMALL).size();
+		return replicas - this.homes.nonDedicatedReplicas(replicas(replicas), SMALL).size();
 	}
 
 	/** Guards against an engine that stays idle where there is only one model. */
 	@Test
 	void modelThatIsAloneIsAtHomeEverywhere() {
 		ReplicaTask only = task("only", 1, ModelSizeClass.SIMILAR);
-		this.homes.sent(0, only, 8000);
-		assertThat(this.homes.away(replicas(4), only)).isEmpty();
+		this.homes.recordWork(0, only, 8000);
+		assertThat(this.homes.nonDedicatedReplicas(replicas(4), only)).isEmpty();
 	}
 
 	@Nested
@@ -65,9 +66,10 @@
 
 		@Test
 		void everyReplicaIsAtHomeForOneSizeOnly() {
-			assertThat(HomesTests.this.homes.away(replicas(8), SMALL))
-				.doesNotContainAnyElementsOf(HomesTests.this.homes.away(replicas(8), LARGE));
-			assertThat(HomesTests.this.homes.away(replicas(8), LARGE)).hasSize(2);
+			assertThat(ModelSizePartitionTests.this.homes.nonDedicatedReplicas(replicas(8), SMALL))
+				.doesNotContainAnyElementsOf(
+						ModelSizePartitionTests.this.homes.nonDedicatedReplicas(replicas(8), LARGE));
+			assertThat(ModelSizePartitionTests.this.homes.nonDedicatedReplicas(replicas(8), LARGE)).hasSize(2);
 		}
 
 		/**
@@ -77,19 +79,22 @@
 		 */
 		@Test
 		void replicasOfARegionAreSharedOutTogether() {
-			assertThat(HomesTests.this.homes.away(replicas(4, "a", "b"), SMALL)).hasSize(3);
-			assertThat(HomesTests.this.homes.away(replicas(4, "a", "b"), LARGE)).hasSize(1);
+			assertThat(ModelSizePartitionTests.this.homes.nonDedicatedReplicas(replicas(4, "a", "b"), SMALL))
+				.hasSize(3);
+			assertThat(ModelSizePartitionTests.this.homes.nonDedicatedReplicas(replicas(4, "a", "b"), LARGE))
+				.hasSize(1);
 		}
 
 		@Test
 		void everyRegionHasHomesForBothSizes() {
-			assertThat(HomesTests.this.homes.away(replicas(4, "a", "c"), SMALL)).hasSize(2);
+			assertThat(ModelSizePartitionTests.this.homes.nonDedicatedReplicas(replicas(4, "a", "c"), SMALL))
+				.hasSize(2);
 		}
 
 		@Test
 		void singleReplicaIsAtHomeForAll() {
-			assertThat(HomesTests.this.homes.away(replicas(1), SMALL)).isEmpty();
-			assertThat(HomesTests.this.homes.away(replicas(1), LARGE)).isEmpty();
+			assertThat(ModelSizePartitionTests.this.homes.nonDedicatedReplicas(replicas(1), SMALL)).isEmpty();
+			assertThat(ModelSizePartitionTests.this.homes.nonDedicatedReplicas(replicas(1), LARGE)).isEmpty();
 		}
 
 	}
@@ -105,7 +110,7 @@
 		@Test
 		void smallModelsGetMostReplicas() {
 			for (int i = 0; i < 2000; i++) {
-				HomesTests.this.homes.sent(i, SMALL, 8000);
+				ModelSizePartitionTests.this.homes.recordWork(i, SMALL, 8000);
 			}
 			assertThat(smallHomes(8)).isEqualTo(7);
 		}
@@ -113,10 +118,10 @@
 		@Test
 		void theyGiveThemBackAsLargeWorkReturns() {
 			for (int i = 0; i < 2000; i++) {
-				HomesTests.this.homes.sent(i, SMALL, 8000);
+				ModelSizePartitionTests.this.homes.recordWork(i, SMALL, 8000);
 			}
 			for (int i = 0; i < 2000; i++) {
-				HomesTests.this.homes.sent(30_000 + 10 * i, LARGE, 8000);
+				ModelSizePartitionTests.this.homes.recordWork(30_000 + 10 * i, LARGE, 8000);
 			}
 			assertThat(smallHomes(8)).isEqualTo(1);
 		}
@@ -131,17 +136,17 @@
 
 		@Test
 		void workMovesNoHome() {
-			HomesTests.this.homes.keepApart();
+			ModelSizePartitionTests.this.homes.separateStrictly();
 			int before = smallHomes(20);
 			for (int i = 0; i < 1000; i++) {
-				HomesTests.this.homes.sent(0, SMALL, 20_000);
+				ModelSizePartitionTests.this.homes.recordWork(0, SMALL, 20_000);
 			}
 			assertThat(smallHomes(20)).isEqualTo(before);
 		}
 
 		@Test
 		void bothSizesHaveAHomeWhereTwoReplicasAreLeft() {
-			HomesTests.this.homes.keepApart();
+			ModelSizePartitionTests.this.homes.separateStrictly();
 			assertThat(smallHomes(2)).isEqualTo(1);
 			assertThat(smallHomes(14)).isBetween(2, 7);
 		}
--- a/core/src/test/java/org/gullsaddle/serve/QueueBoundsTests.java
+++ b/core/src/test/java/org/gullsaddle/serve/QueueBoundsTests.java
@@ -39,47 +39,47 @@
 	@Test
 	void lessUrgentRanksMayJoinShorterQueuesOnly() {
 		QueueBounds bounds = bounds(choosing(0, 1000), choosing(1, 1000), choosing(2, 1000));
-		assertThat(bounds.millis(0)).isGreaterThan(bounds.millis(1));
-		assertThat(bounds.millis(1)).isGreaterThan(bounds.millis(2));
-		assertThat(bounds.millis(2)).isPositive();
+		assertThat(bounds.maxQueueMillis(0)).isGreaterThan(bounds.maxQueueMillis(1));
+		assertThat(bounds.maxQueueMillis(1)).isGreaterThan(bounds.maxQueueMillis(2));
+		assertThat(bounds.maxQueueMillis(2)).isPositive();
 	}
 
 	/** Guards against patient callers that fill the queue of those who cannot wait. */
 	@Test
 	void longObjectiveOfALessUrgentRouteDoesNotLengthenItsQueue() {
 		QueueBounds bounds = bounds(choosing(0, 1000), choosing(2, 8000));
-		assertThat(bounds.millis(2)).isLessThan(bounds.millis(0));
+		assertThat(bounds.maxQueueMillis(2)).isLessThan(bounds.maxQueueMillis(0));
 	}
 
 	@Test
 	void shortObjectiveOfALessUrgentRouteDoesNotShortenOthersQueue() {
-		assertThat(bounds(choosing(0, 4000), choosing(2, 500)).millis(0))
-			.isEqualTo(bounds(choosing(0, 4000)).millis(0));
+		assertThat(bounds(choosing(0, 4000), choosing(2, 500)).maxQueueMillis(0))
+			.isEqualTo(bounds(choosing(0, 4000)).maxQueueMillis(0));
 	}
 
 	@Test
 	void queueOfTheMostUrgentLeavesThemTimeToBeRead() {
-		assertThat(bounds(choosing(0, 1000)).millis(0)).isBetween(100.0, 900.0);
+		assertThat(bounds(choosing(0, 1000)).maxQueueMillis(0)).isBetween(100.0, 900.0);
 	}
 
 	@Test
 	void routesThatChooseNoModelDoNotCount() {
 		QueueBounds bounds = bounds(choosing(1, 4000), route(0, 100), route(0, 100, "only"));
-		assertThat(bounds.millis(1)).isEqualTo(bounds(choosing(1, 4000)).millis(1));
+		assertThat(bounds.maxQueueMillis(1)).isEqualTo(bounds(choosing(1, 4000)).maxQueueMillis(1));
 	}
 
 	/** Teams have ranks of their own, which no route needs to have. */
 	@Test
 	void rankBetweenThoseOfRoutesCountsAsTheNextMoreUrgent() {
 		QueueBounds bounds = bounds(choosing(1, 1000), choosing(5, 1000));
-		assertThat(bounds.millis(3)).isEqualTo(bounds.millis(1));
-		assertThat(bounds.millis(9)).isEqualTo(bounds.millis(5));
-		assertThat(bounds.millis(0)).isEqualTo(bounds.millis(1));
+		assertThat(bounds.maxQueueMillis(3)).isEqualTo(bounds.maxQueueMillis(1));
+		assertThat(bounds.maxQueueMillis(9)).isEqualTo(bounds.maxQueueMillis(5));
+		assertThat(bounds.maxQueueMillis(0)).isEqualTo(bounds.maxQueueMillis(1));
 	}
 
 	@Test
 	void withoutSuchRoutesNoQueueIsJoined() {
-		assertThat(bounds().millis(0)).isZero();
+		assertThat(bounds().maxQueueMillis(0)).isZero();
 	}
 
 	/**
--- a/core/src/test/java/org/gullsaddle/serve/ReplicaEligibilityTests.java
+++ b/core/src/test/java/org/gullsaddle/serve/ReplicaEligibilityTests.java
@@ -46,8 +46,8 @@
 	private final BackpressureBook book = new BackpressureBook(NODE, this.place,
 			() -> Optional.of(List.of(new Peer(NODE, "a"))), new Random(1));
 
-	private final ReplicaEligibility rules = new ReplicaEligibility(this.directory, this.place, new ColdPace("node"),
-			this.book, new CrashBook());
+	private final ReplicaEligibility rules = new ReplicaEligibility(this.directory, this.place,
+			new ColdReplicaLimiter("node"), this.book, new CrashBook());
 
 	private static Replica replica(String dataCenter, String release) {
 		return new Replica(new ReplicaId(dataCenter + '-' + release), ENGINES, new Address("10.0.0.1", 80), dataCenter,
--- a/core/src/test/java/org/gullsaddle/serve/ReplicaPaceTests.java
+++ b/core/src/test/java/org/gullsaddle/serve/ReplicaSlowdownTrackerTests.java
@@ -23,7 +23,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.within;
 
-class ReplicaPaceTests {
+class ReplicaSlowdownTrackerTests {
 
 	private static final int USUAL = 100;
 
@@ -133,14 +133,14 @@
 		@Test
 		void delaysOfOneReplicaCountForAll() {
 			for (int i = 0; i < 20; i++) {
-				ReplicaChoice slow = choice(i, ReplicaPaceTests.this.replicas.get(2));
-				ReplicaPaceTests.this.picker.recordFirstEventDelay(slow, task(10_000, "x"), 3000, true);
+				ReplicaChoice slow = choice(i, ReplicaSlowdownTrackerTests.this.replicas.get(2));
+				ReplicaSlowdownTrackerTests.this.picker.recordFirstEventDelay(slow, task(10_000, "x"), 3000, true);
 			}
-			ReplicaChoice other = choice(20, ReplicaPaceTests.this.replicas.get(0));
-			ReplicaChoice slow = choice(20, ReplicaPaceTests.this.replicas.get(2));
+			ReplicaChoice other = choice(20, ReplicaSlowdownTrackerTests.this.replicas.get(0));
+			ReplicaChoice slow = choice(20, ReplicaSlowdownTrackerTests.this.replicas.get(2));
 			assertThat(other.delay()).isEqualTo(slow.delay());
 			assertThat(slow.slowdown()).isEqualTo(Slowdown.NONE);
-			assertThat(ReplicaPaceTests.this.picker.countReportedSlowdowns()).isZero();
+			assertThat(ReplicaSlowdownTrackerTests.this.picker.countReportedSlowdowns()).isZero();
 		}
 
 	}
@@ -203,7 +203,7 @@
 		}
 
 		private void end(Attempt attempt) {
-			ReplicaSelector picker = ReplicaPaceTests.this.picker;
+			ReplicaSelector picker = ReplicaSlowdownTrackerTests.this.picker;
 			int number = number(attempt.choice.replica());
 			double figure = slowed(number, attempt.end) * (this.figureHasSpeed ? speed(number) : 1);
 			if (this.toldFigure) {
@@ -219,7 +219,7 @@
 		 */
 		private double lost() {
 			Random random = new Random(1);
-			ReplicaSelector picker = ReplicaPaceTests.this.picker;
+			ReplicaSelector picker = ReplicaSlowdownTrackerTests.this.picker;
 			for (int i = 0; i < REPLICAS; i++) {
 				this.all.add(replica(i, 1));
 			}
@@ -250,7 +250,7 @@
 		}
 
 		private double lostWith(boolean speedInFigure) {
-			AmongUnequalReplicas told = new ReplicaPaceTests().new AmongUnequalReplicas();
+			AmongUnequalReplicas told = new ReplicaSlowdownTrackerTests().new AmongUnequalReplicas();
 			told.toldFigure = true;
 			told.figureHasSpeed = speedInFigure;
 			return told.lost();
--- a/daemon/src/main/java/org/gullsaddle/gateway/Cascade.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/Cascade.java
@@ -135,8 +135,8 @@
 		int rank = this.request.rank() + (this.turn.over() ? 1 : 0);
 		boolean joined = this.decisions.models().canJoinQueue(bounds, rank, choice, left);
 		this.telemetry.count(joined ? "larger.model.queues.joined" : "larger.model.queues.too.long");
-		return joined ? "" : "queue of " + Math.round(choice.queueMillis()) + " ms, " + Math.round(bounds.millis(rank))
-				+ " ms for rank " + rank;
+		return joined ? "" : "queue of " + Math.round(choice.queueMillis()) + " ms, "
+				+ Math.round(bounds.maxQueueMillis(rank)) + " ms for rank " + rank;
 	}
 
 }
--- a/daemon/src/main/java/org/gullsaddle/gateway/DecisionLog.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/DecisionLog.java
@@ -186,7 +186,7 @@
 			Optional<LoadReport> told = Optional.ofNullable(attempt.answer()).flatMap(ReplicaAnswer::load);
 			LOG.atInfo()
 				.addKeyValue("id", request.id())
-				.addKeyValue("parts", request.caller().prompt().sharedParts())
+				.addKeyValue("parts", request.caller().prompt().sharedPartIds())
 				.addKeyValue("content", request.content().toString())
 				.addKeyValue("releaseKey", request.releaseKey().value())
 				.addKeyValue("confidence", attempt.confidence())
--- a/daemon/src/main/java/org/gullsaddle/gateway/Decisions.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/Decisions.java
@@ -19,7 +19,7 @@
 import org.gullsaddle.serve.ReplicaEligibility;
 import org.gullsaddle.serve.ReplicaSelector;
 import org.gullsaddle.serve.RetryBudget;
-import org.gullsaddle.serve.SilencePatience;
+import org.gullsaddle.serve.SilentReplicaPolicy;
 import org.gullsaddle.serve.WorkShares;
 
 /**
@@ -66,7 +66,7 @@
 
 	private final FairShare shares = new FairShare();
 
-	private final SilencePatience patience = new SilencePatience();
+	private final SilentReplicaPolicy patience = new SilentReplicaPolicy();
 
 	/** The shares of work that count in place of requests, if any do. */
 	private final Optional<WorkShares> work;
@@ -109,7 +109,7 @@
 		this.picker.onBytes(now, replica);
 	}
 
-	SilencePatience patience() {
+	SilentReplicaPolicy patience() {
 		return this.patience;
 	}
 
--- a/daemon/src/main/java/org/gullsaddle/gateway/Gateway.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/Gateway.java
@@ -18,7 +18,7 @@
 import org.gullsaddle.fleet.RouteKind;
 import org.gullsaddle.serve.AttemptEnd;
 import org.gullsaddle.serve.BackpressureBook;
-import org.gullsaddle.serve.ColdPace;
+import org.gullsaddle.serve.ColdReplicaLimiter;
 import org.gullsaddle.serve.ReplicaEligibility;
 import org.gullsaddle.store.Store;
 import org.gullsaddle.telemetry.Telemetry;
@@ -65,7 +65,7 @@
 
 	private final Returns returns;
 
-	private final ColdPace coldPace;
+	private final ColdReplicaLimiter coldPace;
 
 	private final ChannelPool pool;
 
@@ -106,7 +106,7 @@
 		this.decisions = new Decisions(this.settings.place(), this.settings.retryShare(),
 				this.settings.load().pressure());
 		this.returns = new Returns(this.settings.load().pressure(), this.telemetry);
-		this.coldPace = new ColdPace(this.settings.node());
+		this.coldPace = new ColdReplicaLimiter(this.settings.node());
 		this.pool = new ChannelPool(vertx);
 		this.nodes = new NodeRegister(vertx, builder.store, this.settings, () -> this.fleet.directory().storeAway());
 		BackpressureBook book = new BackpressureBook(new NodeId(this.settings.node()), this.settings.place(),
--- a/daemon/src/main/java/org/gullsaddle/gateway/ServedRequest.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/ServedRequest.java
@@ -138,7 +138,7 @@
 	 * turned away by each of them, or crashes it.
 	 */
 	boolean fits() {
-		return engine().map((engine) -> engine.fits(this.caller.prompt().mostTokens())).orElse(true);
+		return engine().map((engine) -> engine.fits(this.caller.prompt().maxTokens())).orElse(true);
 	}
 
 	/**
@@ -204,7 +204,7 @@
 	 */
 	List<Trait> partTraits(String model) {
 		List<Trait> traits = new ArrayList<>();
-		for (String part : this.caller.prompt().sharedParts()) {
+		for (String part : this.caller.prompt().sharedPartIds()) {
 			traits.add(Trait.part(part));
 			traits.add(Trait.part(part, model));
 		}
--- a/daemon/src/main/java/org/gullsaddle/gateway/Silence.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/Silence.java
@@ -12,7 +12,7 @@
 import org.gullsaddle.serve.ReplicaSelector;
 import org.gullsaddle.serve.ReplicaTask;
 import org.gullsaddle.serve.RetryRule;
-import org.gullsaddle.serve.SilencePatience;
+import org.gullsaddle.serve.SilentReplicaPolicy;
 
 /**
  * Has one request leave a replica that sends nothing.
@@ -70,7 +70,7 @@
 		switch (advice(now, attempt)) {
 			case WAIT -> {
 			}
-			case ASK -> ask(attempt.choice().replica());
+			case QUERY_LOAD -> ask(attempt.choice().replica());
 			case STAY -> compare(now, attempt, tried, task);
 			case LEAVE -> leave(now, attempt, tried, task);
 		}
@@ -79,27 +79,28 @@
 	/**
 	 * Where callers press, engines have queues, and are asked before they are left.
 	 */
-	private SilencePatience.Advice advice(long now, Attempt attempt) {
+	private SilentReplicaPolicy.Action advice(long now, Attempt attempt) {
 		Replica replica = attempt.choice().replica();
 		boolean asks = this.gateway.settings().load().pressure() && this.serving.request().engine().isPresent()
 				&& this.replicas.mayAsk(replica);
 		if (!asks) {
-			return silent(now, attempt) ? SilencePatience.Advice.LEAVE : SilencePatience.Advice.WAIT;
+			return silent(now, attempt) ? SilentReplicaPolicy.Action.LEAVE : SilentReplicaPolicy.Action.WAIT;
 		}
 		long patience = picker().maxSilenceMillis(attempt.choice(), attempt.answer() == null, patience());
 		return this.gateway.decisions()
 			.patience()
-			.look(now, replica.id(), picker().silentSince(attempt.choice(), since(attempt)), patience);
+			.decideAction(now, replica.id(), picker().silentSince(attempt.choice(), since(attempt)), patience);
 	}
 
 	private void ask(Replica replica) {
-		SilencePatience patience = this.gateway.decisions().patience();
-		patience.asked(replica.id());
+		SilentReplicaPolicy patience = this.gateway.decisions().patience();
+		patience.onLoadQuery(replica.id());
 		this.gateway.telemetry().count("silent.replicas.asked");
 		this.gateway.probe()
-			.ask(replica, SilencePatience.ANSWER_MILLIS)
-			.onSuccess((told) -> told.ifPresentOrElse((report) -> patience.told(Clock.millis(), replica.id(), report),
-					() -> patience.notTold(Clock.millis(), replica.id())));
+			.ask(replica, SilentReplicaPolicy.LOAD_QUERY_MILLIS)
+			.onSuccess((told) -> told.ifPresentOrElse(
+					(report) -> patience.onLoadReport(Clock.millis(), replica.id(), report),
+					() -> patience.onNoLoadReport(Clock.millis(), replica.id())));
 	}
 
 	/**
@@ -113,7 +114,7 @@
 		Optional<ReplicaChoice> other = mayGoOn() ? this.replicas.known(task, tried) : Optional.empty();
 		DelayEstimate here = this.replicas.delayAt(attempt.choice().replica(), task);
 		Optional<DelayEstimate> there = other.map((choice) -> this.replicas.delayAt(choice.replica(), task));
-		if (there.isPresent() && SilencePatience.sooner(here, there.get())) {
+		if (there.isPresent() && SilentReplicaPolicy.isClearlySooner(here, there.get())) {
 			String why = "begins in " + Math.round(there.get().expectedMillis()) + " ms elsewhere, in "
 					+ Math.round(here.expectedMillis()) + " ms here";
 			leave(attempt, new AttemptEnd.Withdrawn(why), other);
--- a/measure/src/main/java/org/gullsaddle/measure/EngineModel.java
+++ b/measure/src/main/java/org/gullsaddle/measure/EngineModel.java
@@ -4,7 +4,7 @@
 import java.util.List;
 
 import org.gullsaddle.serve.EngineReport;
-import org.gullsaddle.serve.KeptParts;
+import org.gullsaddle.serve.PrefixCacheModel;
 
 /**
  * A model engine on a timeline: it batches requests, steps at the pace of the slowest
@@ -19,7 +19,7 @@
 
 	private final List<EngineJob> jobs = new ArrayList<>();
 
-	private final KeptParts kept = new KeptParts();
+	private final PrefixCacheModel kept = new PrefixCacheModel();
 
 	private long readTokens;
 
@@ -138,11 +138,11 @@
 			return;
 		}
 		job.begin(unread(job));
-		this.kept.read(job.model(), job.parts(), this.shape.memoryTokens());
+		this.kept.onPromptRead(job.model(), job.parts(), this.shape.memoryTokens());
 	}
 
 	private int unread(EngineJob job) {
-		return Math.max(1, job.promptTokens() - this.kept.kept(job.model(), job.parts()));
+		return Math.max(1, job.promptTokens() - this.kept.cachedTokens(job.model(), job.parts()));
 	}
 
 	private double stepMillis(int running) {
