--- a/core/src/main/java/org/gullsaddle/serve/ColdReplicaLimiter.java
+++ b/core/src/main/java/org/gullsaddle/serve/ColdReplicaLimiter.java
@@ -34,7 +34,7 @@
 
 	private final String node;
 
-	private final Map<ReplicaId, SentCount> sent = new HashMap<>();
+	private final Map<ReplicaId, SentCount> sentCounts = new HashMap<>();
 
 	/**
 	 * Makes a pace.
@@ -67,7 +67,7 @@
 	 */
 	public void onSent(long now, Replica replica) {
 		long second = Math.floorDiv(now, SECOND_MILLIS);
-		this.sent.put(replica.id(), new SentCount(second, sentInSecond(second, replica.id()) + 1));
+		this.sentCounts.put(replica.id(), new SentCount(second, sentInSecond(second, replica.id()) + 1));
 	}
 
 	/**
@@ -75,11 +75,11 @@
 	 * @param known those to remember
 	 */
 	public void retain(Set<ReplicaId> known) {
-		this.sent.keySet().retainAll(known);
+		this.sentCounts.keySet().retainAll(known);
 	}
 
 	private int sentInSecond(long second, ReplicaId replica) {
-		SentCount last = this.sent.get(replica);
+		SentCount last = this.sentCounts.get(replica);
 		return (last != null && last.second == second) ? last.count : 0;
 	}
 
--- a/core/src/main/java/org/gullsaddle/serve/ModelSelector.java
+++ b/core/src/main/java/org/gullsaddle/serve/ModelSelector.java
@@ -81,7 +81,7 @@
 
 	private final ConfidenceGains gains = new ConfidenceGains();
 
-	private final boolean bounded;
+	private final boolean queueBounded;
 
 	private double sufficientConfidence = INITIAL_SUFFICIENT_CONFIDENCE;
 
@@ -95,7 +95,7 @@
 	}
 
 	private ModelSelector(boolean bounded) {
-		this.bounded = bounded;
+		this.queueBounded = bounded;
 	}
 
 	/**
@@ -183,7 +183,7 @@
 	 * @return true if it does
 	 */
 	public boolean hasQueueBounds() {
-		return this.bounded;
+		return this.queueBounded;
 	}
 
 	/**
@@ -213,7 +213,7 @@
 	 * @return 0 to 100
 	 */
 	public double sufficientConfidence() {
-		return this.bounded ? BOUNDED_SUFFICIENT_CONFIDENCE : this.sufficientConfidence;
+		return this.queueBounded ? BOUNDED_SUFFICIENT_CONFIDENCE : this.sufficientConfidence;
 	}
 
 	private static String largestModel(Route route) {
--- a/core/src/main/java/org/gullsaddle/serve/ReplicaSlowdownTracker.java
+++ b/core/src/main/java/org/gullsaddle/serve/ReplicaSlowdownTracker.java
@@ -42,10 +42,10 @@
 
 	private double lastReported = 1;
 
-	private long at = Long.MIN_VALUE;
+	private long reportedAt = Long.MIN_VALUE;
 
 	boolean reported() {
-		return this.at != Long.MIN_VALUE;
+		return this.reportedAt != Long.MIN_VALUE;
 	}
 
 	/**
@@ -60,7 +60,7 @@
 		this.lastReported = Math.clamp(percent / PERCENT, MIN_SLOWDOWN, MAX_REPORTED_SLOWDOWN);
 		this.reportedMean.add(this.lastReported, weight);
 		peers.recordReported(this.lastReported, weight);
-		this.at = now;
+		this.reportedAt = now;
 	}
 
 	/**
@@ -102,7 +102,7 @@
 	}
 
 	private double remainingWeight(long now, double holds) {
-		return reported() ? Math.exp(-Math.max(0, now - this.at) / holds) : 0;
+		return reported() ? Math.exp(-Math.max(0, now - this.reportedAt) / holds) : 0;
 	}
 
 }
--- a/core/src/main/java/org/gullsaddle/serve/ReportedLoad.java
+++ b/core/src/main/java/org/gullsaddle/serve/ReportedLoad.java
@@ -15,7 +15,7 @@
 
 	private double count;
 
-	private long at = Long.MIN_VALUE;
+	private long reportedAt = Long.MIN_VALUE;
 
 	/**
 	 * Takes in a count.
@@ -24,7 +24,7 @@
 	 */
 	void onReport(long now, double newCount) {
 		this.count = Math.max(0, newCount);
-		this.at = now;
+		this.reportedAt = now;
 	}
 
 	/**
@@ -32,14 +32,14 @@
 	 * none.
 	 */
 	long ageMillis(long now) {
-		return (this.at != Long.MIN_VALUE) ? now - this.at : Long.MAX_VALUE;
+		return (this.reportedAt != Long.MIN_VALUE) ? now - this.reportedAt : Long.MAX_VALUE;
 	}
 
 	/**
 	 * Says how much the report still tells, from 1 for a new one to 0.
 	 */
 	double weight(long now) {
-		return (this.at != Long.MIN_VALUE) ? Math.exp(-(now - this.at) / DECAY_MILLIS) : 0;
+		return (this.reportedAt != Long.MIN_VALUE) ? Math.exp(-(now - this.reportedAt) / DECAY_MILLIS) : 0;
 	}
 
 	/**
--- a/core/src/main/java/org/gullsaddle/serve/SilentReplicaPolicy.java
+++ b/core/src/main/java/org/gullsaddle/serve/SilentReplicaPolicy.java
@@ -53,7 +53,7 @@
 			case null -> Action.QUERY_LOAD;
 			case LoadQuery.Pending open -> Action.WAIT;
 			case LoadQuery.Queued queues -> decideWithQueue(now, queues.reportedAt(), patienceEnds, patienceMillis);
-			case LoadQuery.NoQueue noQueue -> decideWithoutQueue(now, noQueue.endedAt(), silentSince, patienceEnds);
+			case LoadQuery.Unqueued noQueue -> decideWithoutQueue(now, noQueue.endedAt(), silentSince, patienceEnds);
 		};
 	}
 
@@ -91,7 +91,7 @@
 	public void onLoadReport(long now, ReplicaId replica, EngineReport report) {
 		// Without prompts to be read, no request waits for its turn there.
 		this.queries.put(replica,
-				(report.unreadRequests() > 0) ? new LoadQuery.Queued(now) : new LoadQuery.NoQueue(now));
+				(report.unreadRequests() > 0) ? new LoadQuery.Queued(now) : new LoadQuery.Unqueued(now));
 	}
 
 	/**
@@ -100,7 +100,7 @@
 	 * @param replica the replica
 	 */
 	public void onNoLoadReport(long now, ReplicaId replica) {
-		this.queries.put(replica, new LoadQuery.NoQueue(now));
+		this.queries.put(replica, new LoadQuery.Unqueued(now));
 	}
 
 	/**
@@ -161,7 +161,7 @@
 		/**
 		 * It told of none, or nothing at all.
 		 */
-		record NoQueue(long endedAt) implements LoadQuery {
+		record Unqueued(long endedAt) implements LoadQuery {
 		}
 
 	}
--- a/core/src/test/java/org/gullsaddle/serve/ColdReplicaLimiterTests.java
+++ b/core/src/test/java/org/gullsaddle/serve/ColdReplicaLimiterTests.java
@@ -22,13 +22,13 @@
 	private static final double PER_SECOND = 5;
 
 	/** What a replica bears in any one second before it crashes. */
-	private static final int BEARABLE = 12;
+	private static final int MAX_REQUESTS_IN_ONE_SECOND = 12;
 
 	private static final Replica REPLICA = new Replica(new ReplicaId("cold"), new ServiceName("engines"),
 			new Address("10.0.0.1", 80), "a", "v1", 8, false, 1);
 
 	@Test
-	void oneNodeAloneKeepsToItsPart() {
+	void singleNodeStaysWithinItsShare() {
 		ColdReplicaLimiter pace = new ColdReplicaLimiter("node");
 		int sent = 0;
 		while (pace.canSend(0, REPLICA, PER_SECOND, 1)) {
@@ -44,18 +44,19 @@
 	 */
 	@ParameterizedTest
 	@ValueSource(ints = { 4, 31, 100, 340 })
-	void nodesTogetherSendNoMoreThanAReplicaBears(int nodes) {
+	void nodesTogetherStayWithinTheReplicasLimit(int nodes) {
 		for (int seed = 0; seed < 100; seed++) {
-			assertThat(mostInASecond(nodes, nodes, seed)).as("seed " + seed).isLessThanOrEqualTo(BEARABLE);
+			assertThat(maxSentInOneSecond(nodes, nodes, seed)).as("seed " + seed)
+				.isLessThanOrEqualTo(MAX_REQUESTS_IN_ONE_SECOND);
 		}
 	}
 
 	@ParameterizedTest
 	@ValueSource(ints = { 4, 31, 340 })
-	void nodesThatMissedAFewOthersSendNoMoreEither(int nodes) {
+	void nodesThatUndercountTheirPeersStayWithinTheLimit(int nodes) {
 		for (int seed = 0; seed < 100; seed++) {
-			assertThat(mostInASecond(nodes, Math.max(1, nodes * 4 / 5), seed)).as("seed " + seed)
-				.isLessThanOrEqualTo(BEARABLE);
+			assertThat(maxSentInOneSecond(nodes, Math.max(1, nodes * 4 / 5), seed)).as("seed " + seed)
+				.isLessThanOrEqualTo(MAX_REQUESTS_IN_ONE_SECOND);
 		}
 	}
 
@@ -65,14 +66,14 @@
 	 */
 	@ParameterizedTest
 	@ValueSource(ints = { 4, 31, 340 })
-	void replicasGetAQuarterOfWhatTheyBear(int nodes) {
-		assertThat(sendings(nodes, nodes, 1, 60_000)).hasSizeGreaterThan((int) (60 * PER_SECOND / 4));
+	void replicasReceiveAtLeastAQuarterOfTheirLimit(int nodes) {
+		assertThat(simulateSends(nodes, nodes, 1, 60_000)).hasSizeGreaterThan((int) (60 * PER_SECOND / 4));
 	}
 
-	private static int mostInASecond(int nodes, int believed, int seed) {
+	private static int maxSentInOneSecond(int nodes, int believed, int seed) {
 		Deque<Long> window = new ArrayDeque<>();
 		int most = 0;
-		for (long at : sendings(nodes, believed, seed, 5000)) {
+		for (long at : simulateSends(nodes, believed, seed, 5000)) {
 			window.addLast(at);
 			while (window.getFirst() <= at - 1000) {
 				window.removeFirst();
@@ -85,7 +86,7 @@
 	/**
 	 * Lets nodes that always have a request waiting send as soon as they may.
 	 */
-	private static List<Long> sendings(int nodes, int believed, int seed, long millis) {
+	private static List<Long> simulateSends(int nodes, int believed, int seed, long millis) {
 		Random random = new Random(seed);
 		List<ColdReplicaLimiter> paces = new ArrayList<>();
 		List<Long> clocks = new ArrayList<>();
--- a/core/src/test/java/org/gullsaddle/serve/LossTests.java
+++ b/core/src/test/java/org/gullsaddle/serve/LossTests.java
@@ -15,7 +15,7 @@
 
 class LossTests {
 
-	private static final long OBJECTIVE = 3000;
+	private static final long OBJECTIVE_MILLIS = 3000;
 
 	private DelayEstimate delay = new DelayEstimate(100, 10);
 
@@ -23,11 +23,11 @@
 
 	private double readMillis;
 
-	private Distance reach = Distance.SAME_DATA_CENTER;
+	private Distance distance = Distance.SAME_DATA_CENTER;
 
 	private double failureShare;
 
-	private boolean atHome = true;
+	private boolean dedicated = true;
 
 	private double meanRequests;
 
@@ -36,8 +36,9 @@
 		return new ReplicaCandidate(
 				new Replica(new ReplicaId(replica), new ServiceName("engines"), new Address("10.0.0.1", 80), "a", "v1",
 						8, false, 1),
-				new ReplicaTask("large", prompt, 15, ModelSizeClass.LARGE, 100_000, OBJECTIVE), this.load, this.delay,
-				this.readMillis, Slowdown.NONE, this.reach, this.failureShare, this.atHome, this.meanRequests);
+				new ReplicaTask("large", prompt, 15, ModelSizeClass.LARGE, 100_000, OBJECTIVE_MILLIS), this.load,
+				this.delay, this.readMillis, Slowdown.NONE, this.distance, this.failureShare, this.dedicated,
+				this.meanRequests);
 	}
 
 	private double loss(Loss loss) {
@@ -45,40 +46,40 @@
 	}
 
 	@Test
-	void readingCostsByTokensAndModel() {
+	void unreadTokensCauseAReadingLoss() {
 		assertThat(loss(new Loss.Reading())).isZero();
 		this.load = new EngineLoad(10_000, 0, 0, false);
 		assertThat(loss(new Loss.Reading())).isPositive();
 	}
 
 	@Test
-	void farRegionCostsMoreThanTheNextDataCenter() {
+	void otherRegionCostsMoreThanOtherDataCenter() {
 		assertThat(loss(new Loss.Distance())).isZero();
-		this.reach = Distance.SAME_REGION;
+		this.distance = Distance.SAME_REGION;
 		double next = loss(new Loss.Distance());
-		this.reach = Distance.OTHER_REGION;
+		this.distance = Distance.OTHER_REGION;
 		assertThat(loss(new Loss.Distance())).isGreaterThan(next);
 	}
 
 	@Test
-	void replicaThatFailsCostsByItsShareOfFailures() {
+	void failureLossIsProportionalToTheFailureShare() {
 		this.failureShare = 0.5;
 		assertThat(loss(new Loss.Failures())).isEqualTo(0.25);
 	}
 
 	@Test
-	void nodesPreferTheSameReplicaForTheSameParts() {
+	void preferenceIsStableForTheSamePartsAndReplica() {
 		Loss preference = new Loss.Preference();
 		assertThat(preference.estimate(candidate("e"))).isEqualTo(preference.estimate(candidate("e")))
 			.isNotEqualTo(preference.estimate(candidate("f")));
 	}
 
 	@Nested
-	class OfLateness {
+	class LatenessLoss {
 
 		@Test
-		void answerThatComesTooLateLosesMostOfItsWorth() {
-			LossTests.this.delay = new DelayEstimate(2 * OBJECTIVE, 10);
+		void lateAnswerLosesMostOfItsValue() {
+			LossTests.this.delay = new DelayEstimate(2 * OBJECTIVE_MILLIS, 10);
 			assertThat(loss(new Loss.Lateness())).isGreaterThan(0.5);
 		}
 
@@ -90,7 +91,7 @@
 		}
 
 		@Test
-		void unsureEstimateCountsByItsChance() {
+		void uncertainEstimateRaisesTheLoss() {
 			LossTests.this.delay = new DelayEstimate(2500, 10);
 			double sure = loss(new Loss.Lateness());
 			LossTests.this.delay = new DelayEstimate(2500, 1000);
@@ -100,10 +101,10 @@
 	}
 
 	@Nested
-	class OfMixedSizes {
+	class MixedSizesLoss {
 
 		@Test
-		void homeCostsNothing() {
+		void dedicatedReplicaCostsNothing() {
 			LossTests.this.meanRequests = 10;
 			assertThat(loss(new Loss.MixedSizes())).isZero();
 		}
@@ -113,17 +114,17 @@
 		 * only home of the small one, where dozens of short requests wait behind it.
 		 */
 		@Test
-		void longPromptAwayFromHomeCostsMoreThanWaitingAtHome() {
-			LossTests.this.atHome = false;
+		void longPromptOnANonDedicatedReplicaCostsMoreThanWaiting() {
+			LossTests.this.dedicated = false;
 			LossTests.this.meanRequests = 5;
 			LossTests.this.readMillis = 2000;
-			LossTests.this.delay = new DelayEstimate(OBJECTIVE, 300);
+			LossTests.this.delay = new DelayEstimate(OBJECTIVE_MILLIS, 300);
 			assertThat(loss(new Loss.MixedSizes())).isGreaterThan(loss(new Loss.Lateness()));
 		}
 
 		@Test
-		void costsMoreTheMoreRequestsThereAre() {
-			LossTests.this.atHome = false;
+		void growsWithTheNumberOfRequests() {
+			LossTests.this.dedicated = false;
 			double idle = loss(new Loss.MixedSizes());
 			LossTests.this.meanRequests = 10;
 			assertThat(loss(new Loss.MixedSizes())).isGreaterThan(idle);
--- a/core/src/test/java/org/gullsaddle/serve/ModelSelectorTests.java
+++ b/core/src/test/java/org/gullsaddle/serve/ModelSelectorTests.java
@@ -26,15 +26,15 @@
 		.maxAttempts(3)
 		.build();
 
-	private final ModelSelector chooser = new ModelSelector();
+	private final ModelSelector selector = new ModelSelector();
 
 	@Test
-	void smallestIsAskedFirstAndTheLargestWhereItDoubts() {
-		assertThat(this.chooser.firstModel(ROUTE)).isEqualTo("small");
-		assertThat(this.chooser.findLargerModel(ROUTE, "small", OptionalInt.of(10), false)).contains("large");
-		assertThat(this.chooser.findLargerModel(ROUTE, "small", OptionalInt.of(90), false)).isEmpty();
-		assertThat(this.chooser.findLargerModel(ROUTE, "small", OptionalInt.empty(), false)).isEmpty();
-		assertThat(this.chooser.findLargerModel(ROUTE, "large", OptionalInt.of(1), false)).isEmpty();
+	void largestModelIsAskedIfTheSmallestHasLowConfidence() {
+		assertThat(this.selector.firstModel(ROUTE)).isEqualTo("small");
+		assertThat(this.selector.findLargerModel(ROUTE, "small", OptionalInt.of(10), false)).contains("large");
+		assertThat(this.selector.findLargerModel(ROUTE, "small", OptionalInt.of(90), false)).isEmpty();
+		assertThat(this.selector.findLargerModel(ROUTE, "small", OptionalInt.empty(), false)).isEmpty();
+		assertThat(this.selector.findLargerModel(ROUTE, "large", OptionalInt.of(1), false)).isEmpty();
 	}
 
 	/**
@@ -44,79 +44,79 @@
 	 * before.
 	 */
 	@Test
-	void lateAnswersOfTheLargestMakeItBeAskedLessUntilTheyAreInTimeAgain() {
-		double before = this.chooser.sufficientConfidence();
+	void lateAnswersOfTheLargestModelLowerTheThresholdUntilTheyAreInTimeAgain() {
+		double before = this.selector.sufficientConfidence();
 		for (int i = 0; i < 40; i++) {
-			this.chooser.recordAnswer(ROUTE, "large", 3900, 100);
+			this.selector.recordAnswer(ROUTE, "large", 3900, 100);
 		}
-		assertThat(this.chooser.findLargerModel(ROUTE, "small", OptionalInt.of(30), false)).isEmpty();
-		assertThat(this.chooser.findLargerModel(ROUTE, "small", OptionalInt.of(0), false)).contains("large");
+		assertThat(this.selector.findLargerModel(ROUTE, "small", OptionalInt.of(30), false)).isEmpty();
+		assertThat(this.selector.findLargerModel(ROUTE, "small", OptionalInt.of(0), false)).contains("large");
 		for (int i = 0; i < 100; i++) {
-			this.chooser.recordAnswer(ROUTE, "large", 500, 100);
+			this.selector.recordAnswer(ROUTE, "large", 500, 100);
 		}
-		assertThat(this.chooser.sufficientConfidence()).isGreaterThanOrEqualTo(before);
+		assertThat(this.selector.sufficientConfidence()).isGreaterThanOrEqualTo(before);
 	}
 
 	@Test
 	void longPauseBetweenEventsCountsAsLate() {
-		double before = this.chooser.sufficientConfidence();
-		this.chooser.recordAnswer(ROUTE, "large", 100, 1001);
-		assertThat(this.chooser.sufficientConfidence()).isLessThan(before);
+		double before = this.selector.sufficientConfidence();
+		this.selector.recordAnswer(ROUTE, "large", 100, 1001);
+		assertThat(this.selector.sufficientConfidence()).isLessThan(before);
 	}
 
-	private boolean asks(int confidence, DelayEstimate delay) {
-		return this.chooser.isWorthAsking(ROUTE, confidence, delay, 15_000);
+	private boolean isWorthAsking(int confidence, DelayEstimate delay) {
+		return this.selector.isWorthAsking(ROUTE, confidence, delay, 15_000);
 	}
 
 	@Test
-	void largestIsNotAskedWhereItWouldBeginTooLate() {
-		assertThat(asks(10, new DelayEstimate(3000, 300))).isTrue();
-		assertThat(asks(10, new DelayEstimate(3900, 300))).isFalse();
-		assertThat(this.chooser.isWorthAsking(ROUTE, 10, new DelayEstimate(3000, 300), 3000)).isFalse();
+	void largestModelIsNotAskedIfItWouldStartTooLate() {
+		assertThat(isWorthAsking(10, new DelayEstimate(3000, 300))).isTrue();
+		assertThat(isWorthAsking(10, new DelayEstimate(3900, 300))).isFalse();
+		assertThat(this.selector.isWorthAsking(ROUTE, 10, new DelayEstimate(3000, 300), 3000)).isFalse();
 	}
 
 	@Nested
-	class WhileTheLargestIsInTime {
+	class WhileTheLargestModelIsInTime {
 
-		private static final DelayEstimate MAYBE_LATE = new DelayEstimate(3900, 600);
+		private static final DelayEstimate POSSIBLY_LATE = new DelayEstimate(3900, 600);
 
 		@BeforeEach
-		void answersInTime() {
+		void recordAnswersInTime() {
 			for (int i = 0; i < 40; i++) {
-				ModelSelectorTests.this.chooser.recordAnswer(ROUTE, "large", 500, 100);
+				ModelSelectorTests.this.selector.recordAnswer(ROUTE, "large", 500, 100);
 			}
 		}
 
 		/** Guards against answers that are surely wrong though engines have room. */
 		@Test
-		void whatIsSurelyWrongIsReplacedByWhatMayBeLate() {
-			assertThat(asks(10, MAYBE_LATE)).isTrue();
-			assertThat(asks(10, new DelayEstimate(8000, 600))).isFalse();
+		void wrongAnswerIsReplacedEvenIfTheNewOneMayBeLate() {
+			assertThat(isWorthAsking(10, POSSIBLY_LATE)).isTrue();
+			assertThat(isWorthAsking(10, new DelayEstimate(8000, 600))).isFalse();
 		}
 
 		@Test
-		void whatIsPerhapsGoodIsKept() {
-			assertThat(asks(48, MAYBE_LATE)).isFalse();
-			assertThat(asks(48, new DelayEstimate(3000, 300))).isTrue();
+		void possiblyGoodAnswerIsKept() {
+			assertThat(isWorthAsking(48, POSSIBLY_LATE)).isFalse();
+			assertThat(isWorthAsking(48, new DelayEstimate(3000, 300))).isTrue();
 		}
 
 		/** Guards against large answers that make each other late under load. */
 		@Test
-		void lateAnswersMakeItBeAskedOnlyWhereItIsLikelyInTime() {
+		void lateAnswersRaiseTheRequiredProbability() {
 			for (int i = 0; i < 3; i++) {
-				ModelSelectorTests.this.chooser.recordAnswer(ROUTE, "large", 4500, 100);
+				ModelSelectorTests.this.selector.recordAnswer(ROUTE, "large", 4500, 100);
 			}
-			assertThat(asks(10, MAYBE_LATE)).isFalse();
-			assertThat(asks(10, new DelayEstimate(3000, 300))).isTrue();
+			assertThat(isWorthAsking(10, POSSIBLY_LATE)).isFalse();
+			assertThat(isWorthAsking(10, new DelayEstimate(3000, 300))).isTrue();
 		}
 
 	}
 
 	@Nested
-	class BetweenTheSmallestAndTheLargest {
+	class WithAMiddleModel {
 
-		private Optional<String> after(int confidence) {
-			return ModelSelectorTests.this.chooser.findLargerModel(ROUTE, "small", OptionalInt.of(confidence), false);
+		private Optional<String> modelAfter(int confidence) {
+			return ModelSelectorTests.this.selector.findLargerModel(ROUTE, "small", OptionalInt.of(confidence), false);
 		}
 
 		/**
@@ -125,40 +125,40 @@
 		 * just too hard for the smallest.
 		 */
 		@Test
-		void answerThatIsNearlyTrustedGoesToTheMiddleModel() {
-			assertThat(after(48)).contains("middle");
-			assertThat(after(20)).contains("large");
+		void nearlySufficientAnswerGoesToTheMiddleModel() {
+			assertThat(modelAfter(48)).contains("middle");
+			assertThat(modelAfter(20)).contains("large");
 		}
 
 		@Test
-		void middleModelIsAskedWhereItsOwnOpinionsWereHighEnough() {
+		void middleModelIsAskedIfItsConfidenceWasHighEnough() {
 			for (int i = 0; i < 60; i++) {
-				ModelSelectorTests.this.chooser.recordComparison("small", 30, "middle", 60);
+				ModelSelectorTests.this.selector.recordComparison("small", 30, "middle", 60);
 			}
-			assertThat(after(25)).contains("middle");
+			assertThat(modelAfter(25)).contains("middle");
 			for (int i = 0; i < 200; i++) {
-				ModelSelectorTests.this.chooser.recordComparison("small", 45, "middle", 46);
+				ModelSelectorTests.this.selector.recordComparison("small", 45, "middle", 46);
 			}
-			assertThat(after(48)).contains("large");
+			assertThat(modelAfter(48)).contains("large");
 		}
 
 		@Test
-		void opinionsAtTheEndsOfTheScaleTeachNothing() {
+		void confidenceAtTheEndsOfTheScaleIsIgnored() {
 			for (int i = 0; i < 60; i++) {
-				ModelSelectorTests.this.chooser.recordComparison("small", 0, "middle", 100);
+				ModelSelectorTests.this.selector.recordComparison("small", 0, "middle", 100);
 			}
-			assertThat(after(20)).contains("large");
+			assertThat(modelAfter(20)).contains("large");
 		}
 
 		@Test
-		void lastAttemptIsTheLargestModels() {
-			assertThat(ModelSelectorTests.this.chooser.findLargerModel(ROUTE, "small", OptionalInt.of(48), true))
+		void lastAttemptGoesToTheLargestModel() {
+			assertThat(ModelSelectorTests.this.selector.findLargerModel(ROUTE, "small", OptionalInt.of(48), true))
 				.contains("large");
 		}
 
 		@Test
-		void middleModelsOwnDoubtGoesToTheLargest() {
-			assertThat(ModelSelectorTests.this.chooser.findLargerModel(ROUTE, "middle", OptionalInt.of(30), true))
+		void lowConfidenceOfTheMiddleModelGoesToTheLargest() {
+			assertThat(ModelSelectorTests.this.selector.findLargerModel(ROUTE, "middle", OptionalInt.of(30), true))
 				.contains("large");
 		}
 
--- a/core/src/test/java/org/gullsaddle/serve/ModelSizePartitionTests.java
+++ b/core/src/test/java/org/gullsaddle/serve/ModelSizePartitionTests.java
@@ -21,7 +21,7 @@
 
 	private static final ReplicaTask LARGE = task("large", 15, ModelSizeClass.LARGE);
 
-	private final ModelSizePartition homes = new ModelSizePartition(
+	private final ModelSizePartition partition = new ModelSizePartition(
 			new NodeLocation("a", Map.of("a", "north", "b", "north", "c", "south")));
 
 	private static ReplicaTask task(String model, double pace, ModelSizeClass scale) {
@@ -43,33 +43,33 @@
 			.toList();
 	}
 
-	private int smallHomes(int replicas) {
-		return replicas - this.homes.nonDedicatedReplicas(replicas(replicas), SMALL).size();
+	private int smallReplicaCount(int replicas) {
+		return replicas - this.partition.nonDedicatedReplicas(replicas(replicas), SMALL).size();
 	}
 
 	/** Guards against an engine that stays idle where there is only one model. */
 	@Test
-	void modelThatIsAloneIsAtHomeEverywhere() {
+	void singleModelMayUseEveryReplica() {
 		ReplicaTask only = task("only", 1, ModelSizeClass.SIMILAR);
-		this.homes.recordWork(0, only, 8000);
-		assertThat(this.homes.nonDedicatedReplicas(replicas(4), only)).isEmpty();
+		this.partition.recordWork(0, only, 8000);
+		assertThat(this.partition.nonDedicatedReplicas(replicas(4), only)).isEmpty();
 	}
 
 	@Nested
 	class BeforeAnyWork {
 
 		@Test
-		void smallModelsHaveAQuarter() {
-			assertThat(smallHomes(4)).isEqualTo(1);
-			assertThat(smallHomes(8)).isEqualTo(2);
+		void smallModelsGetAQuarterOfTheReplicas() {
+			assertThat(smallReplicaCount(4)).isEqualTo(1);
+			assertThat(smallReplicaCount(8)).isEqualTo(2);
 		}
 
 		@Test
-		void everyReplicaIsAtHomeForOneSizeOnly() {
-			assertThat(ModelSizePartitionTests.this.homes.nonDedicatedReplicas(replicas(8), SMALL))
+		void everyReplicaIsDedicatedToOneSize() {
+			assertThat(ModelSizePartitionTests.this.partition.nonDedicatedReplicas(replicas(8), SMALL))
 				.doesNotContainAnyElementsOf(
-						ModelSizePartitionTests.this.homes.nonDedicatedReplicas(replicas(8), LARGE));
-			assertThat(ModelSizePartitionTests.this.homes.nonDedicatedReplicas(replicas(8), LARGE)).hasSize(2);
+						ModelSizePartitionTests.this.partition.nonDedicatedReplicas(replicas(8), LARGE));
+			assertThat(ModelSizePartitionTests.this.partition.nonDedicatedReplicas(replicas(8), LARGE)).hasSize(2);
 		}
 
 		/**
@@ -78,23 +78,23 @@
 		 * half, and take longer than callers wait.
 		 */
 		@Test
-		void replicasOfARegionAreSharedOutTogether() {
-			assertThat(ModelSizePartitionTests.this.homes.nonDedicatedReplicas(replicas(4, "a", "b"), SMALL))
+		void replicasOfARegionArePartitionedTogether() {
+			assertThat(ModelSizePartitionTests.this.partition.nonDedicatedReplicas(replicas(4, "a", "b"), SMALL))
 				.hasSize(3);
-			assertThat(ModelSizePartitionTests.this.homes.nonDedicatedReplicas(replicas(4, "a", "b"), LARGE))
+			assertThat(ModelSizePartitionTests.this.partition.nonDedicatedReplicas(replicas(4, "a", "b"), LARGE))
 				.hasSize(1);
 		}
 
 		@Test
-		void everyRegionHasHomesForBothSizes() {
-			assertThat(ModelSizePartitionTests.this.homes.nonDedicatedReplicas(replicas(4, "a", "c"), SMALL))
+		void everyRegionHasReplicasForBothSizes() {
+			assertThat(ModelSizePartitionTests.this.partition.nonDedicatedReplicas(replicas(4, "a", "c"), SMALL))
 				.hasSize(2);
 		}
 
 		@Test
-		void singleReplicaIsAtHomeForAll() {
-			assertThat(ModelSizePartitionTests.this.homes.nonDedicatedReplicas(replicas(1), SMALL)).isEmpty();
-			assertThat(ModelSizePartitionTests.this.homes.nonDedicatedReplicas(replicas(1), LARGE)).isEmpty();
+		void singleReplicaServesBothSizes() {
+			assertThat(ModelSizePartitionTests.this.partition.nonDedicatedReplicas(replicas(1), SMALL)).isEmpty();
+			assertThat(ModelSizePartitionTests.this.partition.nonDedicatedReplicas(replicas(1), LARGE)).isEmpty();
 		}
 
 	}
@@ -110,20 +110,20 @@
 		@Test
 		void smallModelsGetMostReplicas() {
 			for (int i = 0; i < 2000; i++) {
-				ModelSizePartitionTests.this.homes.recordWork(i, SMALL, 8000);
+				ModelSizePartitionTests.this.partition.recordWork(i, SMALL, 8000);
 			}
-			assertThat(smallHomes(8)).isEqualTo(7);
+			assertThat(smallReplicaCount(8)).isEqualTo(7);
 		}
 
 		@Test
-		void theyGiveThemBackAsLargeWorkReturns() {
+		void largeModelsGetReplicasBackWhenTheirWorkReturns() {
 			for (int i = 0; i < 2000; i++) {
-				ModelSizePartitionTests.this.homes.recordWork(i, SMALL, 8000);
+				ModelSizePartitionTests.this.partition.recordWork(i, SMALL, 8000);
 			}
 			for (int i = 0; i < 2000; i++) {
-				ModelSizePartitionTests.this.homes.recordWork(30_000 + 10 * i, LARGE, 8000);
+				ModelSizePartitionTests.this.partition.recordWork(30_000 + 10 * i, LARGE, 8000);
 			}
-			assertThat(smallHomes(8)).isEqualTo(1);
+			assertThat(smallReplicaCount(8)).isEqualTo(1);
 		}
 
 	}
@@ -132,23 +132,23 @@
 	 * Room is short: nodes that see different work must agree on every home.
 	 */
 	@Nested
-	class WhereSizesAreKeptApart {
+	class WithStrictSeparation {
 
 		@Test
-		void workMovesNoHome() {
-			ModelSizePartitionTests.this.homes.separateStrictly();
-			int before = smallHomes(20);
+		void workDoesNotMoveReplicas() {
+			ModelSizePartitionTests.this.partition.separateStrictly();
+			int before = smallReplicaCount(20);
 			for (int i = 0; i < 1000; i++) {
-				ModelSizePartitionTests.this.homes.recordWork(0, SMALL, 20_000);
+				ModelSizePartitionTests.this.partition.recordWork(0, SMALL, 20_000);
 			}
-			assertThat(smallHomes(20)).isEqualTo(before);
+			assertThat(smallReplicaCount(20)).isEqualTo(before);
 		}
 
 		@Test
-		void bothSizesHaveAHomeWhereTwoReplicasAreLeft() {
-			ModelSizePartitionTests.this.homes.separateStrictly();
-			assertThat(smallHomes(2)).isEqualTo(1);
-			assertThat(smallHomes(14)).isBetween(2, 7);
+		void bothSizesKeepAReplicaWhenTwoAreLeft() {
+			ModelSizePartitionTests.this.partition.separateStrictly();
+			assertThat(smallReplicaCount(2)).isEqualTo(1);
+			assertThat(smallReplicaCount(14)).isBetween(2, 7);
 		}
 
 	}
--- a/core/src/test/java/org/gullsaddle/serve/ModelSlowdownTests.java
+++ b/core/src/test/java/org/gullsaddle/serve/ModelSlowdownTests.java
@@ -14,7 +14,7 @@
 			new ModelSize("two", 2));
 
 	@Test
-	void paceIsThePriceAgainstTheCheapestModels() {
+	void slowdownIsThePriceRelativeToTheCheapestModel() {
 		assertThat(ModelSlowdown.of("half", THREE)).isEqualTo(1);
 		assertThat(ModelSlowdown.of("two", THREE)).isEqualTo(4);
 		assertThat(ModelSlowdown.of("unknown", THREE)).isEqualTo(1);
@@ -22,14 +22,14 @@
 
 	/** Guards against sizes that are told apart by the prices of one deployment. */
 	@Test
-	void scaleComesFromTheModelsThatThereAre() {
+	void sizeClassDependsOnTheModelsOfTheService() {
 		assertThat(ModelSlowdown.sizeClass("half", THREE)).isEqualTo(ModelSizeClass.SMALL);
 		assertThat(ModelSlowdown.sizeClass("one", THREE)).isEqualTo(ModelSizeClass.LARGE);
 		assertThat(ModelSlowdown.sizeClass("two", THREE)).isEqualTo(ModelSizeClass.LARGE);
 	}
 
 	@Test
-	void modelsThatTakeAboutAsLongAreAlike() {
+	void modelsWithAboutTheSamePriceAreSimilar() {
 		assertThat(ModelSlowdown.sizeClass("only", List.of(new ModelSize("only", 7))))
 			.isEqualTo(ModelSizeClass.SIMILAR);
 		assertThat(ModelSlowdown.sizeClass("b", List.of(new ModelSize("a", 1), new ModelSize("b", 1.2))))
--- a/core/src/test/java/org/gullsaddle/serve/QueueBoundsTests.java
+++ b/core/src/test/java/org/gullsaddle/serve/QueueBoundsTests.java
@@ -32,13 +32,14 @@
 		return QueueBounds.of(Arrays.asList(routes));
 	}
 
-	private static Route choosing(int rank, long objectiveMillis) {
+	private static Route routeWithTwoModels(int rank, long objectiveMillis) {
 		return route(rank, objectiveMillis, "small", "large");
 	}
 
 	@Test
 	void lessUrgentRanksMayJoinShorterQueuesOnly() {
-		QueueBounds bounds = bounds(choosing(0, 1000), choosing(1, 1000), choosing(2, 1000));
+		QueueBounds bounds = bounds(routeWithTwoModels(0, 1000), routeWithTwoModels(1, 1000),
+				routeWithTwoModels(2, 1000));
 		assertThat(bounds.maxQueueMillis(0)).isGreaterThan(bounds.maxQueueMillis(1));
 		assertThat(bounds.maxQueueMillis(1)).isGreaterThan(bounds.maxQueueMillis(2));
 		assertThat(bounds.maxQueueMillis(2)).isPositive();
@@ -47,38 +48,38 @@
 	/** Guards against patient callers that fill the queue of those who cannot wait. */
 	@Test
 	void longObjectiveOfALessUrgentRouteDoesNotLengthenItsQueue() {
-		QueueBounds bounds = bounds(choosing(0, 1000), choosing(2, 8000));
+		QueueBounds bounds = bounds(routeWithTwoModels(0, 1000), routeWithTwoModels(2, 8000));
 		assertThat(bounds.maxQueueMillis(2)).isLessThan(bounds.maxQueueMillis(0));
 	}
 
 	@Test
 	void shortObjectiveOfALessUrgentRouteDoesNotShortenOthersQueue() {
-		assertThat(bounds(choosing(0, 4000), choosing(2, 500)).maxQueueMillis(0))
-			.isEqualTo(bounds(choosing(0, 4000)).maxQueueMillis(0));
+		assertThat(bounds(routeWithTwoModels(0, 4000), routeWithTwoModels(2, 500)).maxQueueMillis(0))
+			.isEqualTo(bounds(routeWithTwoModels(0, 4000)).maxQueueMillis(0));
 	}
 
 	@Test
-	void queueOfTheMostUrgentLeavesThemTimeToBeRead() {
-		assertThat(bounds(choosing(0, 1000)).maxQueueMillis(0)).isBetween(100.0, 900.0);
+	void queueOfTheMostUrgentLeavesTimeToReadThePrompt() {
+		assertThat(bounds(routeWithTwoModels(0, 1000)).maxQueueMillis(0)).isBetween(100.0, 900.0);
 	}
 
 	@Test
-	void routesThatChooseNoModelDoNotCount() {
-		QueueBounds bounds = bounds(choosing(1, 4000), route(0, 100), route(0, 100, "only"));
-		assertThat(bounds.maxQueueMillis(1)).isEqualTo(bounds(choosing(1, 4000)).maxQueueMillis(1));
+	void routesWithoutAChoiceOfModelsDoNotCount() {
+		QueueBounds bounds = bounds(routeWithTwoModels(1, 4000), route(0, 100), route(0, 100, "only"));
+		assertThat(bounds.maxQueueMillis(1)).isEqualTo(bounds(routeWithTwoModels(1, 4000)).maxQueueMillis(1));
 	}
 
 	/** Teams have ranks of their own, which no route needs to have. */
 	@Test
 	void rankBetweenThoseOfRoutesCountsAsTheNextMoreUrgent() {
-		QueueBounds bounds = bounds(choosing(1, 1000), choosing(5, 1000));
+		QueueBounds bounds = bounds(routeWithTwoModels(1, 1000), routeWithTwoModels(5, 1000));
 		assertThat(bounds.maxQueueMillis(3)).isEqualTo(bounds.maxQueueMillis(1));
 		assertThat(bounds.maxQueueMillis(9)).isEqualTo(bounds.maxQueueMillis(5));
 		assertThat(bounds.maxQueueMillis(0)).isEqualTo(bounds.maxQueueMillis(1));
 	}
 
 	@Test
-	void withoutSuchRoutesNoQueueIsJoined() {
+	void noQueueMayBeJoinedWithoutRoutes() {
 		assertThat(bounds().maxQueueMillis(0)).isZero();
 	}
 
@@ -88,43 +89,44 @@
 	@Nested
 	class WhileAQueueGrowsAndShrinks {
 
-		private final ModelSelector chooser = ModelSelector.withQueueBounds();
+		private final ModelSelector selector = ModelSelector.withQueueBounds();
 
-		private final QueueBounds bounds = bounds(choosing(0, 1500), choosing(1, 2000), choosing(2, 4000));
+		private final QueueBounds bounds = bounds(routeWithTwoModels(0, 1500), routeWithTwoModels(1, 2000),
+				routeWithTwoModels(2, 4000));
 
-		private boolean joins(int rank, double queueMillis) {
+		private boolean canJoin(int rank, double queueMillis) {
 			Replica replica = new Replica(new ReplicaId("engine"), new ServiceName("engines"),
 					new Address("10.0.0.1", 80), "a", "v1", 64, false, 1);
 			double readMillis = 300;
 			ReplicaChoice choice = new ReplicaChoice(replica, new EngineLoad(4000, 0, 1, false),
 					new DelayEstimate(queueMillis + readMillis, 100), readMillis, Slowdown.NONE, 0);
-			return this.chooser.canJoinQueue(this.bounds, rank, choice, 8000);
+			return this.selector.canJoinQueue(this.bounds, rank, choice, 8000);
 		}
 
 		@Test
-		void leastUrgentStopJoiningFirstAndJoinAgainWhenItIsGone() {
-			assertThat(List.of(joins(0, 50), joins(1, 50), joins(2, 50))).containsOnly(true);
-			assertThat(List.of(joins(0, 500), joins(1, 500), joins(2, 500))).containsExactly(true, true, false);
-			assertThat(List.of(joins(0, 800), joins(1, 800), joins(2, 800))).containsExactly(true, false, false);
-			assertThat(List.of(joins(0, 2000), joins(1, 2000), joins(2, 2000))).containsOnly(false);
-			assertThat(joins(2, 50)).isTrue();
+		void leastUrgentRankStopsJoiningFirstAndResumesWhenTheQueueIsGone() {
+			assertThat(List.of(canJoin(0, 50), canJoin(1, 50), canJoin(2, 50))).containsOnly(true);
+			assertThat(List.of(canJoin(0, 500), canJoin(1, 500), canJoin(2, 500))).containsExactly(true, true, false);
+			assertThat(List.of(canJoin(0, 800), canJoin(1, 800), canJoin(2, 800))).containsExactly(true, false, false);
+			assertThat(List.of(canJoin(0, 2000), canJoin(1, 2000), canJoin(2, 2000))).containsOnly(false);
+			assertThat(canJoin(2, 50)).isTrue();
 		}
 
 		/** Guards against work for callers who will have left. */
 		@Test
-		void nobodyJoinsWithoutTimeLeft() {
+		void noRequestJoinsWithTooLittleTimeLeft() {
 			ReplicaChoice slow = new ReplicaChoice(null, new EngineLoad(40_000, 0, 1, false),
 					new DelayEstimate(5000, 100), 4900, Slowdown.NONE, 0);
-			assertThat(this.chooser.canJoinQueue(this.bounds, 0, slow, 3000)).isFalse();
+			assertThat(this.selector.canJoinQueue(this.bounds, 0, slow, 3000)).isFalse();
 		}
 
 		@Test
-		void lateAnswersDoNotChangeWhatIsEnough() {
-			double before = this.chooser.sufficientConfidence();
+		void lateAnswersDoNotChangeTheSufficientConfidence() {
+			double before = this.selector.sufficientConfidence();
 			for (int i = 0; i < 50; i++) {
-				this.chooser.recordAnswer(choosing(0, 1500), "large", 4000, 0);
+				this.selector.recordAnswer(routeWithTwoModels(0, 1500), "large", 4000, 0);
 			}
-			assertThat(this.chooser.sufficientConfidence()).isEqualTo(before);
+			assertThat(this.selector.sufficientConfidence()).isEqualTo(before);
 		}
 
 	}
--- a/core/src/test/java/org/gullsaddle/serve/ReplicaEligibilityTests.java
+++ b/core/src/test/java/org/gullsaddle/serve/ReplicaEligibilityTests.java
@@ -43,22 +43,22 @@
 
 	private final NodeLocation place = new NodeLocation("a", Map.of("a", "north", "b", "north", "c", "south"));
 
-	private final BackpressureBook book = new BackpressureBook(NODE, this.place,
+	private final BackpressureBook backpressure = new BackpressureBook(NODE, this.place,
 			() -> Optional.of(List.of(new Peer(NODE, "a"))), new Random(1));
 
-	private final ReplicaEligibility rules = new ReplicaEligibility(this.directory, this.place,
-			new ColdReplicaLimiter("node"), this.book, new CrashBook());
+	private final ReplicaEligibility eligibility = new ReplicaEligibility(this.directory, this.place,
+			new ColdReplicaLimiter("node"), this.backpressure, new CrashBook());
 
 	private static Replica replica(String dataCenter, String release) {
 		return new Replica(new ReplicaId(dataCenter + '-' + release), ENGINES, new Address("10.0.0.1", 80), dataCenter,
 				release, 8, false, 1);
 	}
 
-	private static Requirements wanted(RegionLimit limit) {
+	private static Requirements requirements(RegionLimit limit) {
 		return new Requirements(ENGINES, limit, COLD_START, Optional.of(1), Optional.empty(), KEY, List.of());
 	}
 
-	private static RegionLimit limit(String regions) {
+	private static RegionLimit regionLimit(String regions) {
 		return RegionLimit.to(words(regions));
 	}
 
@@ -66,8 +66,8 @@
 		return (text != null) ? Arrays.asList(text.split(" ")) : List.of();
 	}
 
-	private String usable(Requirements wanted) {
-		return this.rules.eligibleReplicas(0, wanted, Set.of())
+	private String eligible(Requirements wanted) {
+		return this.eligibility.eligibleReplicas(0, wanted, Set.of())
 			.stream()
 			.map((replica) -> replica.id().value())
 			.collect(Collectors.joining(" "));
@@ -83,11 +83,11 @@
 	 * nothing.
 	 */
 	@Test
-	void onlyColdReplicasThatMayServeTheRequestCount() {
+	void onlyColdReplicasOfAllowedRegionsCount() {
 		this.directory.cold(0, replica("c", "v1"), 1000);
-		assertThat(this.rules.hasColdReplica(0, wanted(RegionLimit.ANYWHERE))).isTrue();
-		assertThat(this.rules.hasColdReplica(0, wanted(limit("north")))).isFalse();
-		assertThat(this.rules.hasColdReplica(2000, wanted(RegionLimit.ANYWHERE))).isFalse();
+		assertThat(this.eligibility.hasColdReplica(0, requirements(RegionLimit.ANYWHERE))).isTrue();
+		assertThat(this.eligibility.hasColdReplica(0, requirements(regionLimit("north")))).isFalse();
+		assertThat(this.eligibility.hasColdReplica(2000, requirements(RegionLimit.ANYWHERE))).isFalse();
 	}
 
 	/** Guards against a way past one rule where another one binds too. */
@@ -96,64 +96,65 @@
 			"'', a, '', b-v1 c-v1", "'', a c, '', b-v1", "'', a b c, '', ''", "south, c, '', ''",
 			"north, c, '', a-v1 b-v1", "'', '', a, b-v1 c-v1", "north, a, b, b-v1", "south, '', c, c-v1",
 			"north, a b, a b, ''", "'', nowhere, '', a-v1 b-v1 c-v1" })
-	void regionsEvacuationsAndColdReplicasBindTogether(String regions, String evacuated, String cold, String expected) {
+	void regionsEvacuationsAndColdReplicasApplyTogether(String regions, String evacuated, String cold,
+			String expected) {
 		words(evacuated.isEmpty() ? null : evacuated).forEach(this.directory::evacuate);
 		words(cold.isEmpty() ? null : cold)
 			.forEach((dataCenter) -> this.directory.cold(0, replica(dataCenter, "v1"), 1000));
-		assertThat(usable(wanted(limit(regions.isEmpty() ? null : regions)))).isEqualTo(expected);
+		assertThat(eligible(requirements(regionLimit(regions.isEmpty() ? null : regions)))).isEqualTo(expected);
 	}
 
 	@Nested
-	class WhereThereIsNoReplica {
+	class WithoutAnEligibleReplica {
 
-		private NoReplica why(RegionLimit limit) {
-			return ReplicaEligibilityTests.this.rules.noReplicaReason(0, wanted(limit));
+		private NoReplica reasonFor(RegionLimit limit) {
+			return ReplicaEligibilityTests.this.eligibility.noReplicaReason(0, requirements(limit));
 		}
 
 		@Test
-		void anEvacuationIsTold() {
+		void evacuationIsTheReason() {
 			ReplicaEligibilityTests.this.directory.evacuate("c");
-			assertThat(why(limit("south"))).isEqualTo(NoReplica.EVACUATED);
+			assertThat(reasonFor(regionLimit("south"))).isEqualTo(NoReplica.EVACUATED);
 		}
 
 		@Test
-		void aRegionWithoutReplicasIsTold() {
-			assertThat(why(limit("west"))).isEqualTo(NoReplica.OTHER_REGION);
+		void regionWithoutReplicasIsTheReason() {
+			assertThat(reasonFor(regionLimit("west"))).isEqualTo(NoReplica.OTHER_REGION);
 		}
 
 		@Test
-		void anEmptyRegistryIsTold() {
+		void emptyDirectoryIsTheReason() {
 			List.of("a", "b", "c")
 				.forEach((dataCenter) -> ReplicaEligibilityTests.this.directory.remove(0,
 						replica(dataCenter, "v1").id()));
-			assertThat(why(RegionLimit.ANYWHERE)).isEqualTo(NoReplica.NONE);
+			assertThat(reasonFor(RegionLimit.ANYWHERE)).isEqualTo(NoReplica.NONE);
 		}
 
 		@Test
-		void coldReplicasAreTold() {
+		void coldReplicasAreTheReason() {
 			ReplicaEligibilityTests.this.directory.cold(0, replica("c", "v1"), 1000);
-			assertThat(why(limit("south"))).isEqualTo(NoReplica.COLD);
+			assertThat(reasonFor(regionLimit("south"))).isEqualTo(NoReplica.COLD);
 		}
 
 	}
 
 	@Nested
-	class WhereAllReplicasAreCold {
+	class WithColdReplicasOnly {
 
-		private final Requirements south = wanted(limit("south"));
+		private final Requirements south = requirements(regionLimit("south"));
 
 		private final Replica cold = replica("c", "v1");
 
 		@BeforeEach
-		void coolDown() {
+		void makeReplicaCold() {
 			ReplicaEligibilityTests.this.directory.cold(0, this.cold, 1000);
 		}
 
 		@Test
-		void theyGetNoMoreThanTheyBear() {
+		void replicaReceivesNoMoreThanItsColdStartLimit() {
 			int sent = 0;
-			while (!ReplicaEligibilityTests.this.rules.eligibleReplicas(0, this.south, Set.of()).isEmpty()) {
-				ReplicaEligibilityTests.this.rules.onSent(0, this.south, this.cold);
+			while (!ReplicaEligibilityTests.this.eligibility.eligibleReplicas(0, this.south, Set.of()).isEmpty()) {
+				ReplicaEligibilityTests.this.eligibility.onSent(0, this.south, this.cold);
 				sent++;
 			}
 			assertThat(sent).isBetween(1, 20);
@@ -161,37 +162,37 @@
 
 		/** Guards against nodes that all take the whole of what a replica bears. */
 		@Test
-		void theyGetNothingFromANodeThatTheOthersMayNotCount() {
-			Requirements uncounted = new Requirements(ENGINES, limit("south"), COLD_START, Optional.empty(),
+		void replicaReceivesNothingIfTheNodeCountIsUnknown() {
+			Requirements uncounted = new Requirements(ENGINES, regionLimit("south"), COLD_START, Optional.empty(),
 					Optional.empty(), KEY, List.of());
-			assertThat(usable(uncounted)).isEmpty();
+			assertThat(eligible(uncounted)).isEmpty();
 		}
 
 		@Test
-		void theyAreUsedAsUsualIfTheyBearAsMuchAsWarmOnes() {
-			Requirements unlimited = new Requirements(ENGINES, limit("south"), ColdStart.NONE, Optional.empty(),
+		void replicaIsUsedAsUsualWithoutAColdStartLimit() {
+			Requirements unlimited = new Requirements(ENGINES, regionLimit("south"), ColdStart.NONE, Optional.empty(),
 					Optional.empty(), KEY, List.of());
-			assertThat(usable(unlimited)).isEqualTo("c-v1");
+			assertThat(eligible(unlimited)).isEqualTo("c-v1");
 		}
 
 		@Test
-		void oneThatTurnsWarmIsUsed() {
-			assertThat(ReplicaEligibilityTests.this.rules.isCold(1000, this.south, this.cold)).isFalse();
+		void replicaIsUsedOnceItIsWarm() {
+			assertThat(ReplicaEligibilityTests.this.eligibility.isCold(1000, this.south, this.cold)).isFalse();
 		}
 
 	}
 
 	@Nested
-	class WhereReplicasAskForFewerRequests {
+	class WithBackpressure {
 
-		private final Requirements north = wanted(limit("north"));
+		private final Requirements north = requirements(regionLimit("north"));
 
-		private Set<ReplicaId> leftOut(Requirements wanted) {
-			return ReplicaEligibilityTests.this.rules.excludedReplicas(0, wanted, Set.of());
+		private Set<ReplicaId> excluded(Requirements wanted) {
+			return ReplicaEligibilityTests.this.eligibility.excludedReplicas(0, wanted, Set.of());
 		}
 
-		private void rest(String dataCenter, String release) {
-			ReplicaEligibilityTests.this.book.heard(0, replica(dataCenter, release),
+		private void askForBackOff(String dataCenter, String release) {
+			ReplicaEligibilityTests.this.backpressure.heard(0, replica(dataCenter, release),
 					new Backpressure(new RateLimit.None(), 3000));
 		}
 
@@ -199,29 +200,32 @@
 		 * Guards against models whose homes move each time that a replica has no room.
 		 */
 		@Test
-		void theyAreLeftOutButStillBelongToTheRequest() {
-			rest("a", "v1");
-			assertThat(leftOut(this.north)).containsExactly(replica("a", "v1").id());
-			assertThat(usable(this.north)).isEqualTo("a-v1 b-v1");
+		void backingOffReplicaIsExcludedButStillEligible() {
+			askForBackOff("a", "v1");
+			assertThat(excluded(this.north)).containsExactly(replica("a", "v1").id());
+			assertThat(eligible(this.north)).isEqualTo("a-v1 b-v1");
 		}
 
 		@Test
-		void theReasonIsToldIfAllDo() {
-			rest("a", "v1");
-			assertThat(ReplicaEligibilityTests.this.rules.noReplicaReason(0, this.north)).isEqualTo(NoReplica.TRIED);
-			rest("b", "v1");
-			assertThat(ReplicaEligibilityTests.this.rules.noReplicaReason(0, this.north)).isEqualTo(NoReplica.RESTING);
-			ReplicaEligibilityTests.this.book.heard(3000, replica("a", "v1"), Backpressure.of(new RateLimit.Named(0)));
-			assertThat(ReplicaEligibilityTests.this.rules.noReplicaReason(2000, this.north))
+		void backOffIsTheReasonIfAllReplicasAskForIt() {
+			askForBackOff("a", "v1");
+			assertThat(ReplicaEligibilityTests.this.eligibility.noReplicaReason(0, this.north))
+				.isEqualTo(NoReplica.TRIED);
+			askForBackOff("b", "v1");
+			assertThat(ReplicaEligibilityTests.this.eligibility.noReplicaReason(0, this.north))
+				.isEqualTo(NoReplica.RESTING);
+			ReplicaEligibilityTests.this.backpressure.heard(3000, replica("a", "v1"),
+					Backpressure.of(new RateLimit.Named(0)));
+			assertThat(ReplicaEligibilityTests.this.eligibility.noReplicaReason(2000, this.north))
 				.isEqualTo(NoReplica.RESTING);
 		}
 
 		/** Guards against cold replicas that stand idle while all warm ones rest. */
 		@Test
-		void coldReplicasGetAFewRequestsIfAllWarmOnesDo() {
+		void coldReplicasGetAFewRequestsIfAllWarmOnesBackOff() {
 			ReplicaEligibilityTests.this.directory.cold(0, replica("b", "v1"), 1000);
-			rest("a", "v1");
-			assertThat(ReplicaEligibilityTests.this.rules.eligibleReplicas(0, this.north, leftOut(this.north)))
+			askForBackOff("a", "v1");
+			assertThat(ReplicaEligibilityTests.this.eligibility.eligibleReplicas(0, this.north, excluded(this.north)))
 				.contains(replica("b", "v1"));
 		}
 
@@ -229,28 +233,28 @@
 		 * Guards against callers who are exposed to a new release as the old one rests.
 		 */
 		@Test
-		void requestsOfTheOldReleaseNeverGoToTheNewOneForIt() {
+		void requestsOfTheOldReleaseDoNotMoveToTheNewOneOnBackOff() {
 			List.of("a", "b", "c").forEach((dataCenter) -> {
 				ReplicaEligibilityTests.this.directory.put(replica(dataCenter, "v2"));
-				rest(dataCenter, "v1");
+				askForBackOff(dataCenter, "v1");
 			});
 			Rollout justBegun = new Rollout(0, new RolloutOrder(ENGINES, "v2", 10_000), 1);
 			ReleaseKey session = new ReleaseKey("session", true);
 			Requirements wanted = new Requirements(ENGINES, RegionLimit.ANYWHERE, COLD_START, Optional.of(1),
 					Optional.of(justBegun), session, List.of());
-			Set<ReplicaId> leftOut = leftOut(wanted);
-			assertThat(ReplicaEligibilityTests.this.rules.eligibleReplicas(0, wanted, leftOut))
+			Set<ReplicaId> leftOut = excluded(wanted);
+			assertThat(ReplicaEligibilityTests.this.eligibility.eligibleReplicas(0, wanted, leftOut))
 				.allMatch((replica) -> leftOut.contains(replica.id()));
 		}
 
 		@Test
-		void requestsOfTheNewReleaseGoToTheOldOneForIt() {
+		void requestsOfTheNewReleaseMoveToTheOldOneOnBackOff() {
 			ReplicaEligibilityTests.this.directory.put(replica("a", "v2"));
-			rest("a", "v2");
+			askForBackOff("a", "v2");
 			Rollout done = new Rollout(-9900, new RolloutOrder(ENGINES, "v2", 10_000), 1);
 			Requirements wanted = new Requirements(ENGINES, RegionLimit.ANYWHERE, COLD_START, Optional.of(1),
 					Optional.of(done), KEY, List.of());
-			assertThat(ReplicaEligibilityTests.this.rules.eligibleReplicas(0, wanted, leftOut(wanted)))
+			assertThat(ReplicaEligibilityTests.this.eligibility.eligibleReplicas(0, wanted, excluded(wanted)))
 				.extracting(Replica::release)
 				.containsOnly("v1");
 		}
@@ -272,9 +276,9 @@
 			Rollout rollout = new Rollout(-9000, new RolloutOrder(ENGINES, "v2", 10_000), 1);
 			Requirements wanted = new Requirements(ENGINES, RegionLimit.ANYWHERE, COLD_START, Optional.of(1),
 					Optional.of(rollout), KEY, List.of());
-			assertThat(usable(wanted)).isEqualTo("a-v1 b-v1 c-v1");
+			assertThat(eligible(wanted)).isEqualTo("a-v1 b-v1 c-v1");
 			ReplicaEligibilityTests.this.directory.cold(0, fresh, 0);
-			assertThat(usable(wanted)).isEqualTo("a-v2");
+			assertThat(eligible(wanted)).isEqualTo("a-v2");
 		}
 
 	}
--- a/core/src/test/java/org/gullsaddle/serve/ReplicaSelectorTests.java
+++ b/core/src/test/java/org/gullsaddle/serve/ReplicaSelectorTests.java
@@ -20,9 +20,9 @@
 
 class ReplicaSelectorTests {
 
-	private static final long CACHE = 400_000;
+	private static final long CACHE_TOKENS = 400_000;
 
-	private final ReplicaSelector picker = new ReplicaSelector(
+	private final ReplicaSelector selector = new ReplicaSelector(
 			new NodeLocation("a", Map.of("a", "north", "b", "north", "c", "south")));
 
 	private final List<Replica> replicas = new ArrayList<>();
@@ -42,30 +42,30 @@
 	private static ReplicaTask task(String model, double pace, String part) {
 		List<PromptPart> parts = List.of(new PromptPart(part, 12_000), new PromptPart(part + "-own", 500));
 		return new ReplicaTask(model, new Prompt(12_500, 100, OptionalInt.empty(), parts), pace,
-				(pace > 1) ? ModelSizeClass.LARGE : ModelSizeClass.SMALL, CACHE, 4000);
+				(pace > 1) ? ModelSizeClass.LARGE : ModelSizeClass.SMALL, CACHE_TOKENS, 4000);
 	}
 
 	private ReplicaChoice send(ReplicaTask task) {
-		ReplicaChoice choice = pick(task);
-		this.picker.onSent(0, choice, task);
+		ReplicaChoice choice = choose(task);
+		this.selector.onSent(0, choice, task);
 		return choice;
 	}
 
-	private ReplicaChoice pick(ReplicaTask task) {
-		return this.picker.chooseReplica(0, this.replicas, Set.of(), task).orElseThrow();
+	private ReplicaChoice choose(ReplicaTask task) {
+		return this.selector.chooseReplica(0, this.replicas, Set.of(), task).orElseThrow();
 	}
 
 	@Test
 	void nearReplicaIsChosenWhileItIsFree() {
-		assertThat(pick(task("small", 1, "x")).replica().dataCenter()).isEqualTo("a");
+		assertThat(choose(task("small", 1, "x")).replica().dataCenter()).isEqualTo("a");
 	}
 
 	@Test
-	void promptGoesWhereItsSharedPartIsKept() {
+	void promptGoesToTheReplicaThatCachesItsSharedPart() {
 		ReplicaChoice first = send(task("small", 1, "x"));
-		this.picker.onPromptRead(first, task("small", 1, "x"));
-		this.picker.onAttemptEnded(0, first, new AttemptEnd.Answered(200));
-		ReplicaChoice second = pick(task("small", 1, "x"));
+		this.selector.onPromptRead(first, task("small", 1, "x"));
+		this.selector.onAttemptEnded(0, first, new AttemptEnd.Answered(200));
+		ReplicaChoice second = choose(task("small", 1, "x"));
 		assertThat(second.replica()).isEqualTo(first.replica());
 		assertThat(second.unreadTokens()).isZero();
 	}
@@ -75,43 +75,43 @@
 	 * sent there for its kept parts would be read whole.
 	 */
 	@Test
-	void replicaThatStartedAnewKeepsNothing() {
+	void restartedReplicaHasAnEmptyPromptCache() {
 		ReplicaChoice first = send(task("small", 1, "x"));
 		Replica again = new Replica(first.replica().id(), first.replica().service(), first.replica().address(), "a",
 				"v1", 64, false, 2);
-		ReplicaChoice second = this.picker.chooseReplica(0, List.of(again), Set.of(), task("small", 1, "x"))
+		ReplicaChoice second = this.selector.chooseReplica(0, List.of(again), Set.of(), task("small", 1, "x"))
 			.orElseThrow();
 		assertThat(second.unreadTokens()).isEqualTo(12_500);
 	}
 
 	@Test
-	void replicaThatCannotBeReachedIsLeftOutForAWhile() {
+	void unreachableReplicaIsExcludedForAWhile() {
 		ReplicaChoice first = send(task("small", 1, "x"));
-		this.picker.onAttemptEnded(0, first, new AttemptEnd.NotRun(true, "unreachable"));
-		assertThat(pick(task("small", 1, "x")).replica()).isNotEqualTo(first.replica());
+		this.selector.onAttemptEnded(0, first, new AttemptEnd.NotRun(true, "unreachable"));
+		assertThat(choose(task("small", 1, "x")).replica()).isNotEqualTo(first.replica());
 	}
 
 	@Test
-	void answerIsExpectedLaterWhereMoreWaits() {
+	void expectedDelayGrowsWithTheQueue() {
 		Replica idle = this.replicas.get(0);
 		Replica full = this.replicas.get(2);
 		ReplicaTask task = task("small", 1, "x");
 		send(task);
-		this.picker.onLoadReport(0, idle, new EngineReport(2, 0, 0));
-		this.picker.onLoadReport(0, full, new EngineReport(64, 10, 40));
-		double soon = this.picker.estimateDelay(0, this.replicas, idle, task).expectedMillis();
-		assertThat(this.picker.estimateDelay(0, this.replicas, full, task).expectedMillis()).isGreaterThan(2 * soon);
+		this.selector.onLoadReport(0, idle, new EngineReport(2, 0, 0));
+		this.selector.onLoadReport(0, full, new EngineReport(64, 10, 40));
+		double soon = this.selector.estimateDelay(0, this.replicas, idle, task).expectedMillis();
+		assertThat(this.selector.estimateDelay(0, this.replicas, full, task).expectedMillis()).isGreaterThan(2 * soon);
 	}
 
 	/** Guards against a dark replica that draws requests as none can leave it. */
 	@Test
-	void replicaThatIsSilentGetsNoNewRequestsThoughItsOwnStay() {
-		Replica dark = pick(task("small", 1, "x")).replica();
-		assertThat(pick(task("small", 1, "x")).replica()).isEqualTo(dark);
+	void silentReplicaGetsNoNewRequests() {
+		Replica dark = choose(task("small", 1, "x")).replica();
+		assertThat(choose(task("small", 1, "x")).replica()).isEqualTo(dark);
 		for (int i = 0; i < 3; i++) {
-			this.picker.onSilent(0, dark);
+			this.selector.onSilent(0, dark);
 		}
-		assertThat(pick(task("small", 1, "x")).replica()).isNotEqualTo(dark);
+		assertThat(choose(task("small", 1, "x")).replica()).isNotEqualTo(dark);
 	}
 
 	/**
@@ -128,20 +128,20 @@
 	}
 
 	@Nested
-	class BesideManyOtherNodes {
+	class WithManyPeers {
 
 		private static final EngineReport BUSY = new EngineReport(8, 6, 0);
 
 		private final ReplicaTask task = task("large", 15, "x");
 
-		private void tell(long now, String id, EngineReport report) {
+		private void report(long now, String id, EngineReport report) {
 			ReplicaSelectorTests.this.replicas.stream()
 				.filter((replica) -> replica.id().value().equals(id))
-				.forEach((replica) -> ReplicaSelectorTests.this.picker.onLoadReport(now, replica, report));
+				.forEach((replica) -> ReplicaSelectorTests.this.selector.onLoadReport(now, replica, report));
 		}
 
-		private EngineLoad load(long now, String id) {
-			return ReplicaSelectorTests.this.picker
+		private EngineLoad loadOf(long now, String id) {
+			return ReplicaSelectorTests.this.selector
 				.bestChoices(now, ReplicaSelectorTests.this.replicas, Set.of(), this.task, 8)
 				.stream()
 				.filter((choice) -> choice.replica().id().value().equals(id))
@@ -154,65 +154,65 @@
 		 * Guards against all nodes sending to the one replica that they know nothing of.
 		 */
 		@Test
-		void replicaThatWasNeverMetIsNotTakenForIdle() {
+		void unknownReplicaIsNotAssumedIdle() {
 			ReplicaSelectorTests.this.replicas.stream()
 				.map((replica) -> replica.id().value())
 				.filter((id) -> !id.equals("near-3"))
-				.forEach((id) -> tell(0, id, BUSY));
-			assertThat(load(0, "near-3").requests()).isEqualTo(8);
+				.forEach((id) -> report(0, id, BUSY));
+			assertThat(loadOf(0, "near-3").requests()).isEqualTo(8);
 		}
 
 		/** Guards against an old queue, or an old lull, that is taken for today's. */
 		@Test
-		void oldReportGivesWayToTheMeanOfTheOthers() {
-			tell(0, "near-0", new EngineReport(0, 0, 0));
+		void oldReportIsReplacedByTheMeanOfOtherReplicas() {
+			report(0, "near-0", new EngineReport(0, 0, 0));
 			for (String id : List.of("near-1", "near-2", "near-3", "far-0", "far-1", "far-2", "far-3")) {
-				tell(10_000, id, BUSY);
+				report(10_000, id, BUSY);
 			}
-			assertThat(load(10_000, "near-0").requests()).isBetween(7.9, 8.0);
+			assertThat(loadOf(10_000, "near-0").requests()).isBetween(7.9, 8.0);
 		}
 
 		/** Guards against long prompts that wait behind those of other nodes. */
 		@Test
-		void promptGoesToTheReplicaThatSaysItIsFree() {
+		void promptGoesToTheReplicaThatReportsItIsIdle() {
 			ReplicaChoice first = send(this.task);
-			ReplicaSelectorTests.this.picker.onPromptRead(first, this.task);
-			Replica free = ReplicaSelectorTests.this.picker
+			ReplicaSelectorTests.this.selector.onPromptRead(first, this.task);
+			Replica free = ReplicaSelectorTests.this.selector
 				.bestChoices(0, ReplicaSelectorTests.this.replicas, Set.of(first.replica().id()), this.task, 1)
 				.get(0)
 				.replica();
-			ReplicaSelectorTests.this.replicas.forEach((replica) -> tell(0, replica.id().value(), BUSY));
-			tell(0, free.id().value(), new EngineReport(0, 0, 0));
-			assertThat(pick(this.task).replica()).isEqualTo(free);
+			ReplicaSelectorTests.this.replicas.forEach((replica) -> report(0, replica.id().value(), BUSY));
+			report(0, free.id().value(), new EngineReport(0, 0, 0));
+			assertThat(choose(this.task).replica()).isEqualTo(free);
 		}
 
 		@Test
-		void loadThatAnAnswerToldCountsAsToldLately() {
+		void loadInAnAnswerCountsAsARecentReport() {
 			Replica replica = ReplicaSelectorTests.this.replicas.get(0);
-			assertThat(ReplicaSelectorTests.this.picker.hasReportWithin(0, replica, 500)).isFalse();
-			ReplicaSelectorTests.this.picker.onLoadReport(1000, replica, new LoadReport(3, 0, 64));
-			assertThat(ReplicaSelectorTests.this.picker.hasReportWithin(1500, replica, 500)).isTrue();
-			assertThat(ReplicaSelectorTests.this.picker.hasReportWithin(1501, replica, 500)).isFalse();
+			assertThat(ReplicaSelectorTests.this.selector.hasReportWithin(0, replica, 500)).isFalse();
+			ReplicaSelectorTests.this.selector.onLoadReport(1000, replica, new LoadReport(3, 0, 64));
+			assertThat(ReplicaSelectorTests.this.selector.hasReportWithin(1500, replica, 500)).isTrue();
+			assertThat(ReplicaSelectorTests.this.selector.hasReportWithin(1501, replica, 500)).isFalse();
 		}
 
 		/** Guards against questions that are paid for and tell nothing new. */
 		@Test
-		void onlyReplicasOfTheRegionThatToldNothingLatelyAreAsked() {
-			List<Replica> asked = ReplicaSelectorTests.this.picker.replicasToQuery(0,
+		void onlyReplicasOfTheRegionWithoutARecentReportAreQueried() {
+			List<Replica> asked = ReplicaSelectorTests.this.selector.replicasToQuery(0,
 					ReplicaSelectorTests.this.replicas, Set.of(), this.task);
 			assertThat(asked).isNotEmpty()
 				.hasSizeLessThanOrEqualTo(3)
 				.allSatisfy((replica) -> assertThat(replica.dataCenter()).isEqualTo("a"));
-			tell(0, asked.get(0).id().value(), BUSY);
-			assertThat(ReplicaSelectorTests.this.picker.replicasToQuery(0, ReplicaSelectorTests.this.replicas, Set.of(),
-					this.task))
+			report(0, asked.get(0).id().value(), BUSY);
+			assertThat(ReplicaSelectorTests.this.selector.replicasToQuery(0, ReplicaSelectorTests.this.replicas,
+					Set.of(), this.task))
 				.doesNotContain(asked.get(0));
 		}
 
 		@Test
-		void nothingIsAskedForTheSmallestModel() {
-			assertThat(ReplicaSelectorTests.this.picker.replicasToQuery(0, ReplicaSelectorTests.this.replicas, Set.of(),
-					task("small", 1, "x")))
+		void noReplicaIsQueriedForTheSmallestModel() {
+			assertThat(ReplicaSelectorTests.this.selector.replicasToQuery(0, ReplicaSelectorTests.this.replicas,
+					Set.of(), task("small", 1, "x")))
 				.isEmpty();
 		}
 
@@ -221,21 +221,21 @@
 		 * queues they have heard nothing.
 		 */
 		@Test
-		void smallestModelsEnginesAreAskedWhereRoomIsShort() {
-			ReplicaSelectorTests.this.picker.separateModelSizes();
-			assertThat(ReplicaSelectorTests.this.picker.replicasToQuery(0, ReplicaSelectorTests.this.replicas, Set.of(),
-					task("small", 1, "x")))
+		void replicasAreQueriedForTheSmallestModelIfSizesAreSeparated() {
+			ReplicaSelectorTests.this.selector.separateModelSizes();
+			assertThat(ReplicaSelectorTests.this.selector.replicasToQuery(0, ReplicaSelectorTests.this.replicas,
+					Set.of(), task("small", 1, "x")))
 				.isNotEmpty();
-			assertThat(ReplicaSelectorTests.this.picker.replicasToQuery(0, ReplicaSelectorTests.this.replicas, Set.of(),
-					ReplicaTask.plainCall(500)))
+			assertThat(ReplicaSelectorTests.this.selector.replicasToQuery(0, ReplicaSelectorTests.this.replicas,
+					Set.of(), ReplicaTask.plainCall(500)))
 				.isEmpty();
 		}
 
 		@Test
-		void replicaThatDidNotAnswerIsLeftOutForAWhile() {
-			ReplicaChoice first = pick(this.task);
-			ReplicaSelectorTests.this.picker.onUnreachable(0, first.replica());
-			assertThat(pick(this.task).replica()).isNotEqualTo(first.replica());
+		void replicaThatDidNotAnswerAQueryIsExcludedForAWhile() {
+			ReplicaChoice first = choose(this.task);
+			ReplicaSelectorTests.this.selector.onUnreachable(0, first.replica());
+			assertThat(choose(this.task).replica()).isNotEqualTo(first.replica());
 		}
 
 	}
@@ -248,7 +248,7 @@
 		 * callers waited as long as the large one's.
 		 */
 		@Test
-		void smallAndLargeRunOnReplicasOfTheirOwn() {
+		void smallAndLargeModelsRunOnSeparateReplicas() {
 			Set<ReplicaId> small = new HashSet<>();
 			Set<ReplicaId> large = new HashSet<>();
 			for (int i = 0; i < 6; i++) {
@@ -258,10 +258,10 @@
 				ReplicaChoice second = send(big);
 				small.add(first.replica().id());
 				large.add(second.replica().id());
-				ReplicaSelectorTests.this.picker.onPromptRead(first, little);
-				ReplicaSelectorTests.this.picker.onPromptRead(second, big);
-				ReplicaSelectorTests.this.picker.onAttemptEnded(0, first, new AttemptEnd.Answered(200));
-				ReplicaSelectorTests.this.picker.onAttemptEnded(0, second, new AttemptEnd.Answered(200));
+				ReplicaSelectorTests.this.selector.onPromptRead(first, little);
+				ReplicaSelectorTests.this.selector.onPromptRead(second, big);
+				ReplicaSelectorTests.this.selector.onAttemptEnded(0, first, new AttemptEnd.Answered(200));
+				ReplicaSelectorTests.this.selector.onAttemptEnded(0, second, new AttemptEnd.Answered(200));
 			}
 			assertThat(small).doesNotContainAnyElementsOf(large);
 		}
@@ -271,25 +271,25 @@
 		 * slowed all that was read there.
 		 */
 		@Test
-		void burstOfOneSizeStaysAtItsHomesWhereSizesAreKeptApart() {
-			ReplicaSelectorTests.this.picker.separateModelSizes();
+		void burstOfOneSizeStaysOnItsReplicasIfSizesAreSeparated() {
+			ReplicaSelectorTests.this.selector.separateModelSizes();
 			Set<ReplicaId> small = new HashSet<>();
 			for (int i = 0; i < 200; i++) {
 				small.add(send(task("small", 1, "x" + i)).replica().id());
 			}
-			assertThat(small).doesNotContain(pick(task("large", 15, "y")).replica().id());
+			assertThat(small).doesNotContain(choose(task("large", 15, "y")).replica().id());
 		}
 
 		/**
 		 * Guards against requests without a replica when all homes of a size are lost.
 		 */
 		@Test
-		void otherHomesServeWhenThoseOfASizeAreAllTried() {
-			ReplicaSelectorTests.this.picker.separateModelSizes();
+		void replicasOfTheOtherSizeServeWhenTheDedicatedOnesAreTried() {
+			ReplicaSelectorTests.this.selector.separateModelSizes();
 			Set<ReplicaId> tried = new HashSet<>();
 			ReplicaTask little = task("small", 1, "x");
 			for (int i = 0; i < ReplicaSelectorTests.this.replicas.size(); i++) {
-				ReplicaChoice choice = ReplicaSelectorTests.this.picker
+				ReplicaChoice choice = ReplicaSelectorTests.this.selector
 					.chooseReplica(0, ReplicaSelectorTests.this.replicas, tried, little)
 					.orElseThrow();
 				assertThat(tried.add(choice.replica().id())).isTrue();
@@ -297,11 +297,11 @@
 		}
 
 		@Test
-		void onlyReplicaLeftRunsBoth() {
+		void onlyReplicaServesBothSizes() {
 			List<Replica> one = List.of(replica("near-0", "a"));
-			assertThat(ReplicaSelectorTests.this.picker.chooseReplica(0, one, Set.of(), task("small", 1, "x")))
+			assertThat(ReplicaSelectorTests.this.selector.chooseReplica(0, one, Set.of(), task("small", 1, "x")))
 				.isPresent();
-			assertThat(ReplicaSelectorTests.this.picker.chooseReplica(0, one, Set.of(), task("large", 15, "x")))
+			assertThat(ReplicaSelectorTests.this.selector.chooseReplica(0, one, Set.of(), task("large", 15, "x")))
 				.isPresent();
 		}
 
@@ -311,11 +311,12 @@
 	class WhenAReplicaIsSilent {
 
 		@Test
-		void itIsUnresponsiveOnlyIfItHadTimeToReadThePrompt() {
+		void isUnresponsiveOnlyAfterTimeToReadThePrompt() {
 			ReplicaChoice choice = send(task("large", 15, "x"));
 			long reading = Math.round(2 * choice.readMillis());
-			assertThat(ReplicaSelectorTests.this.picker.isUnresponsive(reading + 800, choice, 0, true, 800)).isFalse();
-			assertThat(ReplicaSelectorTests.this.picker.isUnresponsive(reading + 801, choice, 0, true, 800)).isTrue();
+			assertThat(ReplicaSelectorTests.this.selector.isUnresponsive(reading + 800, choice, 0, true, 800))
+				.isFalse();
+			assertThat(ReplicaSelectorTests.this.selector.isUnresponsive(reading + 801, choice, 0, true, 800)).isTrue();
 		}
 
 		/**
@@ -324,9 +325,9 @@
 		 * still.
 		 */
 		@Test
-		void oneThatHasBegunItsAnswerHasNoPromptToReadAnyMore() {
+		void getsNoReadingTimeOnceItsAnswerHasBegun() {
 			ReplicaChoice choice = send(task("large", 15, "x"));
-			assertThat(ReplicaSelectorTests.this.picker.isUnresponsive(801, choice, 0, false, 800)).isTrue();
+			assertThat(ReplicaSelectorTests.this.selector.isUnresponsive(801, choice, 0, false, 800)).isTrue();
 		}
 
 		/**
@@ -334,10 +335,10 @@
 		 * as were all others, and next to none was served.
 		 */
 		@Test
-		void oneThatAnswersOthersIsOnlyBusy() {
+		void isResponsiveWhileItAnswersOtherRequests() {
 			ReplicaChoice choice = send(task("small", 1, "x"));
-			ReplicaSelectorTests.this.picker.onBytes(9_500, choice.replica());
-			assertThat(ReplicaSelectorTests.this.picker.isUnresponsive(10_000, choice, 0, true, 800)).isFalse();
+			ReplicaSelectorTests.this.selector.onBytes(9_500, choice.replica());
+			assertThat(ReplicaSelectorTests.this.selector.isUnresponsive(10_000, choice, 0, true, 800)).isFalse();
 		}
 
 	}
