--- a/core/src/main/java/org/gullsaddle/serve/ColdReplicaLimiter.java
+++ b/core/src/main/java/org/gullsaddle/serve/ColdReplicaLimiter.java
@@ -9,26 +9,26 @@
 import org.gullsaddle.fleet.ReplicaId;
 
 /**
- * How many requests this node may send to cold replicas. Confined to one thread.
+ * Limits how many requests this node sends to cold replicas. Confined to one thread.
  * <p>
- * A cold replica bears a few requests a second from all nodes together. Nodes share no
- * counter, so each keeps to its part of what the replica bears. A part below one request
- * a second is one request in some seconds only; a hash draws them, so that nodes do not
- * send in the same second and need no common clock.
+ * A cold replica accepts a few requests a second from all nodes together. Nodes share no
+ * counter, so each keeps to its share of the limit. A share below one request a second is
+ * one request in some seconds only; a hash selects these seconds, so that nodes do not
+ * all send in the same second and need no common clock.
  */
 public final class ColdReplicaLimiter {
 
 	/**
-	 * The part of what a replica bears that is used: the sum of what nodes draw varies
-	 * from second to second.
+	 * The share of the limit that is used, because the sum over all nodes varies from
+	 * second to second.
 	 */
 	private static final double USED_RATIO = 0.35;
 
 	private static final long SECOND_MILLIS = 1000;
 
 	/**
-	 * The part of its second in which a node may send, in milliseconds: where many nodes
-	 * find at once that all replicas are cold, fewer of them have two turns in a row.
+	 * Nodes send only in this first part of a second: if many nodes find at once that all
+	 * replicas are cold, fewer of them send in two seconds in a row.
 	 */
 	private static final long SEND_WINDOW_MILLIS = 500;
 
@@ -37,7 +37,7 @@
 	private final Map<ReplicaId, SentCount> sentCounts = new HashMap<>();
 
 	/**
-	 * Makes a pace.
+	 * Creates a limiter.
 	 * @param node this node's name
 	 */
 	public ColdReplicaLimiter(String node) {
@@ -45,23 +45,24 @@
 	}
 
 	/**
-	 * Says whether a cold replica may get one more request from this node now.
+	 * Returns whether this node may send one more request to a cold replica now.
 	 * @param now the time in milliseconds
 	 * @param replica the replica
-	 * @param perSecond how many requests a second it bears from all nodes together
-	 * @param nodes how many nodes there are
+	 * @param perSecond how many requests a second it accepts from all nodes together
+	 * @param nodeCount how many nodes there are
 	 * @return true if it may
 	 */
-	public boolean canSend(long now, Replica replica, double perSecond, int nodes) {
+	public boolean canSend(long now, Replica replica, double perSecond, int nodeCount) {
 		if (Math.floorMod(now, SECOND_MILLIS) >= SEND_WINDOW_MILLIS) {
 			return false;
 		}
 		long second = Math.floorDiv(now, SECOND_MILLIS);
-		return sentInSecond(second, replica.id()) < maxRequests(second, replica.id(), USED_RATIO * perSecond / nodes);
+		return sentInSecond(second, replica.id()) < maxRequests(second, replica.id(),
+				USED_RATIO * perSecond / nodeCount);
 	}
 
 	/**
-	 * Notes that a request was sent to a cold replica.
+	 * Counts a request that was sent to a cold replica.
 	 * @param now the time in milliseconds
 	 * @param replica the replica
 	 */
@@ -71,8 +72,8 @@
 	}
 
 	/**
-	 * Forgets replicas that are gone.
-	 * @param known those to remember
+	 * Removes the counts of replicas that are gone.
+	 * @param known the replicas to keep
 	 */
 	public void retain(Set<ReplicaId> known) {
 		this.sentCounts.keySet().retainAll(known);
@@ -84,9 +85,9 @@
 	}
 
 	private long maxRequests(long second, ReplicaId replica, double share) {
-		double whole = Math.floor(share);
-		boolean oneMore = Spread.unit(this.node + '/' + replica + '/' + second) < share - whole;
-		return (long) whole + (oneMore ? 1 : 0);
+		double wholeRequests = Math.floor(share);
+		boolean oneMore = Spread.unit(this.node + '/' + replica + '/' + second) < share - wholeRequests;
+		return (long) wholeRequests + (oneMore ? 1 : 0);
 	}
 
 	private record SentCount(long second, int count) {
--- a/core/src/main/java/org/gullsaddle/serve/ConfidenceGains.java
+++ b/core/src/main/java/org/gullsaddle/serve/ConfidenceGains.java
@@ -4,24 +4,22 @@
 import java.util.Map;
 
 /**
- * Learns how much more a larger model trusts its answer than a smaller one does, for the
- * same request.
- * <p>
- * Confidence falls with how hard a request is for a model, so that the smaller model's
- * opinion also tells what the larger one's will be. Confined to one thread.
+ * Learns how much more confident a larger model is of its answer than a smaller one is,
+ * for the same request. Confidence falls with the difficulty of a request, so the smaller
+ * model's confidence predicts the larger one's. Confined to one thread.
  */
 final class ConfidenceGains {
 
 	/**
-	 * The gain that is taken for granted before anything was compared: little, so that a
-	 * model between the smallest and the largest is tried where it is nearly enough.
+	 * The gain assumed before any comparison. It is small, so that a model between the
+	 * smallest and the largest is tried if the smallest is nearly confident enough.
 	 */
 	private static final double PRIOR_GAIN = 10;
 
-	/** How many comparisons the first gain weighs. */
+	/** The prior gain counts as this many comparisons. */
 	private static final double PRIOR_WEIGHT = 4;
 
-	/** How many comparisons are remembered, so that a new release is learned anew. */
+	/** The mean covers about this many comparisons, so that it adapts to new releases. */
 	private static final double MAX_WEIGHT = 60;
 
 	private static final int MIN_CONFIDENCE = 0;
@@ -31,8 +29,8 @@
 	private final Map<Pair, Mean> means = new HashMap<>();
 
 	/**
-	 * Takes in two opinions of one request. Those at the ends of the scale say only that
-	 * the gain is at least, or at most, so much, and are left out.
+	 * Records two models' confidence for one request. Values at the ends of the scale
+	 * only bound the gain, so they are ignored.
 	 */
 	void recordComparison(String smaller, int confidence, String larger, int largerConfidence) {
 		if (confidence <= MIN_CONFIDENCE || largerConfidence >= MAX_CONFIDENCE || largerConfidence < 0) {
--- a/core/src/main/java/org/gullsaddle/serve/DecayingMean.java
+++ b/core/src/main/java/org/gullsaddle/serve/DecayingMean.java
@@ -1,14 +1,14 @@
 package org.gullsaddle.serve;
 
 /**
- * A mean of which the usual counts for a part: all while nothing was seen, and the less
- * the more was. Confined to one thread.
+ * A weighted mean that includes a prior: it equals the prior without observations, and
+ * follows them more the greater their weight. Confined to one thread.
  */
 final class DecayingMean {
 
 	/**
-	 * The most that values count beside the usual, which counts 1, so that what has
-	 * changed for good is learned anew.
+	 * The largest weight of all observations, where the prior has the weight 1, so that
+	 * lasting changes are learned.
 	 */
 	private static final double MAX_WEIGHT = 8;
 
@@ -24,21 +24,21 @@
 	}
 
 	/**
-	 * Has what was seen count less.
-	 * @param share how much of its weight remains, 0 to 1
+	 * Reduces the weight of the observations.
+	 * @param remainingShare how much of the weight remains, 0 to 1
 	 */
-	void decay(double share) {
-		this.weight *= share;
+	void decay(double remainingShare) {
+		this.weight *= remainingShare;
 	}
 
 	/**
-	 * Returns the mean as if it had been faded.
-	 * @param usual what is expected without having seen anything
-	 * @param share how much of its weight would remain
+	 * Returns the mean as if its observations had decayed.
+	 * @param prior the expected value without observations
+	 * @param remainingShare how much of the weight would remain
 	 */
-	double estimate(double usual, double share) {
-		double faded = this.weight * share;
-		return (usual + faded * this.mean) / (1 + faded);
+	double estimate(double prior, double remainingShare) {
+		double decayedWeight = this.weight * remainingShare;
+		return (prior + decayedWeight * this.mean) / (1 + decayedWeight);
 	}
 
 }
--- a/core/src/main/java/org/gullsaddle/serve/DelayEstimate.java
+++ b/core/src/main/java/org/gullsaddle/serve/DelayEstimate.java
@@ -1,24 +1,24 @@
 package org.gullsaddle.serve;
 
 /**
- * When a first event is expected, and how sure that is.
+ * The expected delay of a first event, and its uncertainty.
  *
- * @param expectedMillis how long it is expected to take, in milliseconds
- * @param deviationMillis the standard deviation from that, in milliseconds
+ * @param expectedMillis the expected delay, in milliseconds
+ * @param deviationMillis the standard deviation from it, in milliseconds
  */
 public record DelayEstimate(double expectedMillis, double deviationMillis) {
 
 	/**
-	 * Returns the delay where all takes longer.
+	 * Returns the estimate where everything takes longer.
 	 * @param factor how many times longer
-	 * @return the delay there
+	 * @return the scaled estimate
 	 */
 	DelayEstimate scaledBy(double factor) {
 		return new DelayEstimate(factor * this.expectedMillis, factor * this.deviationMillis);
 	}
 
 	/**
-	 * Returns the chance that it comes in time.
+	 * Returns the probability that the first event is in time.
 	 * @param millis the time that it has, in milliseconds
 	 * @return 0 to 1
 	 */
--- a/core/src/main/java/org/gullsaddle/serve/DelayEstimator.java
+++ b/core/src/main/java/org/gullsaddle/serve/DelayEstimator.java
@@ -7,16 +7,16 @@
 import org.gullsaddle.fleet.ServiceName;
 
 /**
- * Tells when the first event of an answer comes, by what was seen of the same service,
- * model and release. Confined to one thread.
+ * Estimates when the first event of an answer comes, from earlier answers of the same
+ * service, model and release. Confined to one thread.
  * <p>
- * Engines differ by more than ten times in how fast they read, and no settings tell. A
- * router that takes one engine's figures for another's keeps the small model's answers
- * for fear of waits that never come, or queues for seconds where it expects none.
+ * Engines differ more than tenfold in how fast they read, and no setting states it. A
+ * router with one engine's figures for all either keeps the small model's answers for
+ * fear of waits that never come, or queues for seconds where it expects no wait.
  */
 final class DelayEstimator {
 
-	/** How many services, models and releases are remembered. */
+	/** How many combinations of service, model and release are kept. */
 	private static final int MAX_KEYS = 128;
 
 	private final Map<Key, DelayModel> models = new LinkedHashMap<>(16, 0.75f, true) {
@@ -27,7 +27,7 @@
 	};
 
 	/**
-	 * Returns what is known of a replica's delays in a task.
+	 * Returns the delay model of a replica for a task.
 	 */
 	DelayModel modelFor(Replica replica, ReplicaTask task) {
 		Key key = new Key(replica.service(), task.model(), replica.release());
@@ -40,7 +40,7 @@
 	}
 
 	/**
-	 * A new release most likely runs as the one before it does.
+	 * Creates a model. A new release is expected to behave as the one before it.
 	 */
 	private DelayModel createModel(Key key, ReplicaTask task) {
 		for (Map.Entry<Key, DelayModel> each : this.models.entrySet()) {
--- a/core/src/main/java/org/gullsaddle/serve/DelayModel.java
+++ b/core/src/main/java/org/gullsaddle/serve/DelayModel.java
@@ -1,26 +1,27 @@
 package org.gullsaddle.serve;
 
 /**
- * How long answers of one service, model and release take to begin, learned from those
- * that were seen. Confined to one thread.
+ * Models how long answers of one service, model and release take to begin, learned from
+ * observed answers. Confined to one thread.
  */
 final class DelayModel {
 
 	private static final double TOKENS_PER_UNIT = 1000;
 
 	/**
-	 * What is expected of a generation before any was seen, in milliseconds: a
-	 * connection's time, the reading of 1,000 tokens by the smallest model, the same for
-	 * prompts before it, one more request in the batch, and the way to another region and
-	 * back.
+	 * The expected delays of a generation before any observation, in milliseconds: for a
+	 * connection, for the smallest model to read 1,000 tokens, for 1,000 tokens of
+	 * prompts before it, for each other request in the batch, and for the round trip to
+	 * another region.
 	 */
 	private static final double[] GENERATION_PRIOR = { 10, 8, 8, 3, 90 };
 
 	private static final double[] GENERATION_DEVIATIONS = { 20, 8, 8, 5, 60 };
 
 	/**
-	 * The same of a call to a plain service: its work, nothing to read, the work of all
-	 * slots before it, one more request, and the way to another region and back.
+	 * The expected delays of a call to a plain service: for its work, nothing to read,
+	 * for the work of all slots before it, for each other request, and for the round trip
+	 * to another region.
 	 */
 	private static final double[] CALL_PRIOR = { 40, 0, 60, 1, 90 };
 
@@ -28,14 +29,17 @@
 
 	private static final int READ_COEFFICIENT = 1;
 
-	/** The noise of a delay: a part of a step, and a share of the whole. */
+	/**
+	 * The noise of a delay: a constant part for the engine's steps, and a share of the
+	 * expected delay.
+	 */
 	private static final double NOISE_MILLIS = 15;
 
 	private static final double NOISE_RATIO = 0.3;
 
 	private final OnlineRegression regression;
 
-	/** What a backlog is counted in. */
+	/** The unit that a backlog is counted in. */
 	private final double backlogUnit;
 
 	private DelayModel(OnlineRegression relation, double backlogUnit) {
@@ -48,26 +52,27 @@
 	}
 
 	/**
-	 * Begins with what is expected of a model.
-	 * @param pace how many times longer it takes over a token than the smallest
+	 * Creates a model that starts with the expected delays of generations.
+	 * @param slowdown how many times longer the model takes over a token than the
+	 * smallest
 	 */
-	static DelayModel forGenerations(double pace) {
+	static DelayModel forGenerations(double slowdown) {
 		double[] prior = GENERATION_PRIOR.clone();
 		double[] deviations = GENERATION_DEVIATIONS.clone();
-		prior[READ_COEFFICIENT] *= pace;
-		deviations[READ_COEFFICIENT] *= pace;
+		prior[READ_COEFFICIENT] *= slowdown;
+		deviations[READ_COEFFICIENT] *= slowdown;
 		return new DelayModel(new OnlineRegression(prior, deviations), TOKENS_PER_UNIT);
 	}
 
 	/**
-	 * Returns a model that expects what this one does, and has yet to learn.
+	 * Returns a model that starts with this one's estimates, and is uncertain of them.
 	 */
 	DelayModel asPrior() {
 		return new DelayModel(this.regression.asPrior(), this.backlogUnit);
 	}
 
 	/**
-	 * Returns how long the first event takes.
+	 * Estimates the delay of a first event.
 	 */
 	DelayEstimate estimate(EngineLoad load) {
 		double[] features = features(load);
@@ -76,14 +81,14 @@
 	}
 
 	/**
-	 * Returns how long tokens take to be read, in milliseconds.
+	 * Returns how long it takes to read tokens, in milliseconds.
 	 */
 	double readMillis(int tokens) {
 		return this.regression.coefficient(READ_COEFFICIENT) * tokens / TOKENS_PER_UNIT;
 	}
 
 	/**
-	 * Learns how long a first event took.
+	 * Records the delay of a first event.
 	 */
 	void recordFirstEvent(EngineLoad load, double millis) {
 		double[] features = features(load);
@@ -91,8 +96,8 @@
 	}
 
 	/**
-	 * Learns that a first event had not come yet when the request was given up, which
-	 * says something only if it was expected by then.
+	 * Records that a request was given up before its first event. That is informative
+	 * only if the event was overdue.
 	 */
 	void recordNoFirstEvent(EngineLoad load, double millis) {
 		if (millis > this.regression.predict(features(load))) {
--- a/core/src/main/java/org/gullsaddle/serve/Distance.java
+++ b/core/src/main/java/org/gullsaddle/serve/Distance.java
@@ -1,17 +1,17 @@
 package org.gullsaddle.serve;
 
 /**
- * How far away a replica is.
+ * The location of a replica relative to a node.
  */
 public enum Distance {
 
-	/** In the same data center. */
+	/** Both are in the same data center. */
 	SAME_DATA_CENTER,
 
-	/** In another data center of the region. */
+	/** They are in different data centers of one region. */
 	SAME_REGION,
 
-	/** In another region. */
+	/** They are in different regions. */
 	OTHER_REGION
 
 }
--- a/core/src/main/java/org/gullsaddle/serve/EngineReport.java
+++ b/core/src/main/java/org/gullsaddle/serve/EngineReport.java
@@ -3,7 +3,7 @@
 import org.gullsaddle.base.Check;
 
 /**
- * What an engine says of itself when it is asked.
+ * The load that an engine reports when it is queried.
  *
  * @param running how many requests it runs
  * @param reading how many of these have generated nothing yet
@@ -21,7 +21,7 @@
 	}
 
 	/**
-	 * Returns how many requests have their prompt, or a part of it, still to be read.
+	 * Returns how many requests have a prompt that is not fully read.
 	 */
 	int unreadRequests() {
 		return this.reading + this.waiting;
--- a/core/src/main/java/org/gullsaddle/serve/Loss.java
+++ b/core/src/main/java/org/gullsaddle/serve/Loss.java
@@ -5,35 +5,35 @@
 import org.gullsaddle.base.Spread;
 
 /**
- * What may be lost of a request's worth at a replica, as a share of that worth. The
- * replica with the least loss is picked. Delays count by the chance that they make the
- * answer late, so that prices and delays are never added up.
+ * An expected loss of sending a request to a replica, as a share of the request's value.
+ * The replica with the smallest sum is selected. Delays count by the probability that
+ * they make the answer late, so prices and delays are never added directly.
  */
 public sealed interface Loss {
 
-	/** All losses, as nodes weigh them. */
+	/** All losses that nodes consider. */
 	List<Loss> ALL = List.of(new Lateness(), new Reading(), new Distance(), new Failures(), new MixedSizes(),
 			new Preference());
 
 	/**
-	 * Returns the share that is lost.
-	 * @param candidate the replica, and what is known of it
+	 * Estimates the share that is lost.
+	 * @param candidate the replica with what is known about it
 	 * @return 0 or more
 	 */
 	double estimate(ReplicaCandidate candidate);
 
 	/**
-	 * The answer may begin too late. Among replicas that are all in time the sooner one
-	 * is still a little better: less waits there.
+	 * The answer may begin too late. Among replicas that are all in time, a sooner one is
+	 * preferred slightly: fewer requests wait there.
 	 */
 	record Lateness() implements Loss {
 
-		/** What a late answer loses: teams still have some use for it. */
+		/** The loss of a late answer, which is still of some use to teams. */
 		private static final double LATE_LOSS = 0.6;
 
 		/**
-		 * What waiting until the end of the objective loses: the request itself is in
-		 * time, but what waits before it makes others late.
+		 * The loss of a wait as long as the whole objective: this request is in time, but
+		 * the queue before it makes others late.
 		 */
 		private static final double WAITING_LOSS = 0.5;
 
@@ -48,7 +48,7 @@
 	}
 
 	/**
-	 * Reading a prompt is paid for, and takes the engine's time from others.
+	 * Reading a prompt costs money and delays the engine's other requests.
 	 */
 	record Reading() implements Loss {
 
@@ -63,7 +63,7 @@
 	}
 
 	/**
-	 * Bytes between data centers are paid for, most between regions.
+	 * Traffic between data centers costs money, most of all between regions.
 	 */
 	record Distance() implements Loss {
 
@@ -83,11 +83,11 @@
 	}
 
 	/**
-	 * A replica that failed lately may fail again.
+	 * A replica that failed recently may fail again.
 	 */
 	record Failures() implements Loss {
 
-		/** What a failed attempt loses: mostly it can be made again. */
+		/** The loss of a failed attempt, which can mostly be retried. */
 		private static final double FAILURE_LOSS = 0.5;
 
 		@Override
@@ -98,11 +98,11 @@
 	}
 
 	/**
-	 * A batch steps at the pace of its slowest model: one request of the largest beside
-	 * many of the smallest makes all of them ten times slower, and a long prompt of the
-	 * largest holds up the short ones behind it. The more requests there are, the more of
-	 * them are slowed; near the engines' limit sizes that mix make the queues grow for
-	 * good.
+	 * Engines run requests in batches, and each step takes as long as its slowest model:
+	 * one request of the largest model makes many of the smallest ten times slower, and a
+	 * long prompt of the largest delays the short ones behind it. The more requests there
+	 * are, the more of them are slowed; near the engines' limit, mixed sizes make the
+	 * queues grow without bound.
 	 */
 	record MixedSizes() implements Loss {
 
@@ -110,7 +110,7 @@
 
 		private static final double LOSS_PER_REQUEST = 0.04;
 
-		/** How long a prompt may be read until it holds up others, in milliseconds. */
+		/** Reading a prompt for longer than this delays other requests. */
 		private static final double SHORT_READ_MILLIS = 100;
 
 		@Override
@@ -118,15 +118,15 @@
 			if (candidate.dedicated()) {
 				return 0;
 			}
-			double slowed = Math.max(MIN_LOSS, LOSS_PER_REQUEST * candidate.meanRequests());
-			return slowed * Math.max(1, candidate.readMillis() / SHORT_READ_MILLIS);
+			double loss = Math.max(MIN_LOSS, LOSS_PER_REQUEST * candidate.meanRequests());
+			return loss * Math.max(1, candidate.readMillis() / SHORT_READ_MILLIS);
 		}
 
 	}
 
 	/**
-	 * Nodes that do not tell each other what is kept where meet at the same replica if
-	 * all prefer it for the same parts.
+	 * Gives nodes, which do not exchange the contents of prompt caches, the same
+	 * preferred replica for the same prompt parts.
 	 */
 	record Preference() implements Loss {
 
--- a/core/src/main/java/org/gullsaddle/serve/ModelSelector.java
+++ b/core/src/main/java/org/gullsaddle/serve/ModelSelector.java
@@ -7,76 +7,77 @@
 import org.gullsaddle.fleet.Route;
 
 /**
- * Chooses among a route's models: the smallest first, and a larger one if the smallest
- * doubts its own answer. Confined to one thread.
+ * Selects among a route's models: the smallest first, and a larger one if the smallest
+ * reports low confidence in its answer. Confined to one thread.
  * <p>
- * The largest takes many times as long. When many ask for it, its queues make all answers
- * late, also those of the small model that run beside it. So the confidence that is
- * enough falls by a part with each late answer of the largest, and rises a little with
- * each in time: under load only the answers that are most likely wrong are replaced.
+ * The largest model is many times slower. Under load its queues make all answers late,
+ * also those of the small model that run beside it. So the confidence that counts as
+ * sufficient falls by a ratio with each late answer of the largest model, and rises a
+ * little with each that is in time: under load only the answers that are most likely
+ * wrong are replaced.
  * <p>
- * A doubted answer is replaced if the larger model's is likely in time. How likely it
- * must be is learned too: while its answers are in time, one that may be late is still
- * worth more than one that is surely wrong; where they are late, asking for more of them
- * makes others late.
+ * An answer with low confidence is replaced if the larger model's answer is likely enough
+ * to be in time. The required probability is learned as well: while the larger model's
+ * answers are in time, one that may be late is worth more than one that is surely wrong;
+ * once they are late, further requests would delay others.
  */
 public final class ModelSelector {
 
-	/** The confidence that is always enough: most answers told with it are good. */
+	/** Always sufficient: most answers with this confidence are good. */
 	private static final double MAX_SUFFICIENT_CONFIDENCE = 60;
 
-	/** The answers that are surely wrong lie below it. */
+	/** Never sufficient: answers below are surely wrong. */
 	private static final double MIN_SUFFICIENT_CONFIDENCE = 4;
 
 	private static final double CONFIDENCE_RISE = 0.8;
 
 	private static final double CONFIDENCE_FALL_RATIO = 0.85;
 
-	/** The part of the objective after which a first event counts as late. */
+	/** A first event later than this share of the objective counts as late. */
 	private static final double LATE_RATIO = 0.75;
 
 	/**
-	 * The chance to begin in time that a larger model must have where its answers were
-	 * late: below it the large answers queue behind each other, and the caller is better
-	 * served by what is there.
+	 * The probability to start in time that a larger model needs while its answers are
+	 * late. Below it, the large model's answers queue behind each other, and the caller
+	 * is better served by the answer at hand.
 	 */
 	private static final double MAX_REQUIRED_PROBABILITY = 0.8;
 
-	/** The same where they were all in time. */
+	/** The probability that it needs while all its answers are in time. */
 	private static final double MIN_REQUIRED_PROBABILITY = 0.2;
 
-	/** By how much that chance falls with an answer in time. */
+	/** How much that probability falls with each answer in time. */
 	private static final double PROBABILITY_FALL = 0.02;
 
-	/** By how much it rises with a late one. */
+	/** How much it rises with each late answer. */
 	private static final double PROBABILITY_RISE = 0.2;
 
 	/**
-	 * How much more likely in time the larger model's answer must be than the doubted one
-	 * is to be good.
+	 * By how much the larger model's probability to be in time must exceed the
+	 * probability that the present answer is good.
 	 */
 	private static final double MIN_PROBABILITY_GAIN = 0.25;
 
 	/**
-	 * Where a node begins that knows nothing of the load, as after a restart, when many
-	 * callers come back at once.
+	 * Applies before a node has observed any load, as after a restart, when many callers
+	 * retry at once.
 	 */
 	private static final double INITIAL_SUFFICIENT_CONFIDENCE = 55;
 
 	/**
-	 * The confidence that is expected of a model between the smallest and the largest
-	 * where it is asked. A little over a half: if it doubts its answer too, a quarter of
-	 * the largest model's time was spent in vain; if not, three quarters are saved.
+	 * The expected confidence from which a model between the smallest and the largest is
+	 * asked. A little over one half: if its confidence is low as well, a quarter of the
+	 * largest model's time was wasted; if not, three quarters are saved.
 	 */
 	private static final double MIN_EXPECTED_CONFIDENCE = 52;
 
 	/**
-	 * The confidence that is enough where a queue's bound decides who gets a larger
-	 * model: an answer that is told with it is as likely good as not.
+	 * Sufficient where queue bounds decide which requests get a larger model: such an
+	 * answer is as likely good as not.
 	 */
 	private static final double BOUNDED_SUFFICIENT_CONFIDENCE = 50;
 
-	/** The chance to begin before the deadline that a larger model must have there. */
+	/** The probability to start before the deadline that a larger model needs there. */
 	private static final double BOUNDED_MIN_PROBABILITY = 0.5;
 
 	private final ConfidenceGains gains = new ConfidenceGains();
@@ -88,7 +89,7 @@
 	private double requiredProbability = MAX_REQUIRED_PROBABILITY;
 
 	/**
-	 * Makes a chooser that learns what is enough from answers that are late.
+	 * Creates a selector that adapts the sufficient confidence to late answers.
 	 */
 	public ModelSelector() {
 		this(false);
@@ -99,9 +100,9 @@
 	}
 
 	/**
-	 * Makes a chooser for load that competes for too little room: the larger model's
-	 * queue decides, and how urgent a request is.
-	 * @return the chooser
+	 * Creates a selector for load above the capacity: the larger model's queue and the
+	 * rank of a request decide.
+	 * @return the selector
 	 */
 	public static ModelSelector withQueueBounds() {
 		return new ModelSelector(true);
@@ -110,29 +111,30 @@
 	/**
 	 * Returns the model to ask first.
 	 * @param route the route, with one model or more
-	 * @return the model
+	 * @return the smallest model
 	 */
 	public String firstModel(Route route) {
 		return route.models().get(0);
 	}
 
 	/**
-	 * Returns the model to ask in place of one that doubts its answer: the smallest that
-	 * will likely trust its own, or the largest.
+	 * Returns the model to ask in place of one that reported low confidence: the smallest
+	 * that is expected to be confident of its answer, or the largest.
 	 * @param route the route
 	 * @param model the model that answered
-	 * @param confidence its own opinion of the answer, 0 to 100, if it told
-	 * @param last whether the next attempt is the last one, which only the largest makes
+	 * @param confidence its confidence, 0 to 100, if it reported one
+	 * @param lastAttempt whether the next attempt is the last one, which always goes to
+	 * the largest model
 	 * @return the larger model, or empty if the answer is to be kept
 	 */
-	public Optional<String> findLargerModel(Route route, String model, OptionalInt confidence, boolean last) {
+	public Optional<String> findLargerModel(Route route, String model, OptionalInt confidence, boolean lastAttempt) {
 		List<String> models = route.models();
-		int asked = models.indexOf(model);
-		if (confidence.isEmpty() || confidence.getAsInt() >= sufficientConfidence() || asked < 0
-				|| asked == models.size() - 1) {
+		int index = models.indexOf(model);
+		if (confidence.isEmpty() || confidence.getAsInt() >= sufficientConfidence() || index < 0
+				|| index == models.size() - 1) {
 			return Optional.empty();
 		}
-		for (int i = asked + 1; i < models.size() - 1 && !last; i++) {
+		for (int i = index + 1; i < models.size() - 1 && !lastAttempt; i++) {
 			if (confidence.getAsInt() + this.gains.expectedGain(model, models.get(i)) >= MIN_EXPECTED_CONFIDENCE) {
 				return Optional.of(models.get(i));
 			}
@@ -141,53 +143,54 @@
 	}
 
 	/**
-	 * Learns from two models' opinions of one request.
+	 * Records the confidence of two models in their answers to the same request.
 	 * @param model the model that was asked first
-	 * @param confidence its opinion, 0 to 100
+	 * @param confidence its confidence, 0 to 100
 	 * @param larger the model that was asked next
-	 * @param largerConfidence its opinion, 0 to 100, negative if it told none
+	 * @param largerConfidence its confidence, 0 to 100, negative if it reported none
 	 */
 	public void recordComparison(String model, int confidence, String larger, int largerConfidence) {
 		this.gains.recordComparison(model, confidence, larger, largerConfidence);
 	}
 
 	/**
-	 * Says whether a larger model's answer is worth more than a doubted one.
+	 * Returns whether a larger model's answer is worth more than the present one.
 	 * @param route the route
-	 * @param confidence the opinion that the doubted answer's model has of it
+	 * @param confidence the confidence of the present answer's model
 	 * @param delay when the larger model's first event is expected
-	 * @param leftMillis the time left, in milliseconds
+	 * @param remainingMillis the time left, in milliseconds
 	 * @return true if it is worth asking
 	 */
-	public boolean isWorthAsking(Route route, int confidence, DelayEstimate delay, long leftMillis) {
-		double inTime = delay.probabilityWithin(Math.min(route.targetMillis(), leftMillis));
+	public boolean isWorthAsking(Route route, int confidence, DelayEstimate delay, long remainingMillis) {
+		double inTime = delay.probabilityWithin(Math.min(route.targetMillis(), remainingMillis));
 		return inTime >= Math.max(this.requiredProbability,
 				Math.min(MAX_REQUIRED_PROBABILITY, Confidence.probabilityGood(confidence) + MIN_PROBABILITY_GAIN));
 	}
 
 	/**
-	 * Says whether a request may join a larger model's queue.
+	 * Returns whether a request may join a larger model's queue.
 	 * @param bounds how long that queue may be
 	 * @param rank the request's rank
-	 * @param choice where the larger model would run
-	 * @param leftMillis the time left, in milliseconds
+	 * @param choice the replica that would run the larger model
+	 * @param remainingMillis the time left, in milliseconds
 	 * @return true if it may
 	 */
-	public boolean canJoinQueue(QueueBounds bounds, int rank, ReplicaChoice choice, long leftMillis) {
+	public boolean canJoinQueue(QueueBounds bounds, int rank, ReplicaChoice choice, long remainingMillis) {
 		return choice.queueMillis() <= bounds.maxQueueMillis(rank)
-				&& choice.delay().probabilityWithin(leftMillis) >= BOUNDED_MIN_PROBABILITY;
+				&& choice.delay().probabilityWithin(remainingMillis) >= BOUNDED_MIN_PROBABILITY;
 	}
 
 	/**
-	 * Says whether a queue's bound decides who gets a larger model.
-	 * @return true if it does
+	 * Returns whether queue bounds decide which requests get a larger model.
+	 * @return true if they do
 	 */
 	public boolean hasQueueBounds() {
 		return this.queueBounded;
 	}
 
 	/**
-	 * Notes how a larger model kept to the objectives.
+	 * Records whether the largest model met the objectives; answers of other models are
+	 * ignored.
 	 * @param route the route
 	 * @param model the model
 	 * @param firstMillis how long its first event took, in milliseconds
@@ -197,10 +200,10 @@
 		if (route.models().isEmpty() || !model.equals(largestModel(route))) {
 			return;
 		}
-		boolean missed = firstMillis > route.targetMillis();
+		boolean missedTarget = firstMillis > route.targetMillis();
 		this.requiredProbability = Math.clamp(
-				this.requiredProbability + (missed ? PROBABILITY_RISE : -PROBABILITY_FALL), MIN_REQUIRED_PROBABILITY,
-				MAX_REQUIRED_PROBABILITY);
+				this.requiredProbability + (missedTarget ? PROBABILITY_RISE : -PROBABILITY_FALL),
+				MIN_REQUIRED_PROBABILITY, MAX_REQUIRED_PROBABILITY);
 		boolean late = firstMillis > LATE_RATIO * route.targetMillis()
 				|| (route.gapMillis() > 0 && gapMillis > route.gapMillis());
 		this.sufficientConfidence = late
@@ -209,7 +212,7 @@
 	}
 
 	/**
-	 * Returns the confidence that is enough now.
+	 * Returns the confidence that is sufficient now.
 	 * @return 0 to 100
 	 */
 	public double sufficientConfidence() {
--- a/core/src/main/java/org/gullsaddle/serve/ModelSizeClass.java
+++ b/core/src/main/java/org/gullsaddle/serve/ModelSizeClass.java
@@ -1,17 +1,17 @@
 package org.gullsaddle.serve;
 
 /**
- * How a model compares with the others of its service.
+ * The size of a model relative to the other models of its service.
  */
 public enum ModelSizeClass {
 
-	/** All take about as long, or there is no other. */
+	/** All models take about as long, or there is no other. */
 	SIMILAR,
 
-	/** It takes far less time than the largest. */
+	/** The model takes far less time than the largest. */
 	SMALL,
 
-	/** It is the largest, or takes nearly as long. */
+	/** The model is the largest, or takes nearly as long. */
 	LARGE
 
 }
--- a/core/src/main/java/org/gullsaddle/serve/ModelSizePartition.java
+++ b/core/src/main/java/org/gullsaddle/serve/ModelSizePartition.java
@@ -13,41 +13,41 @@
 import org.gullsaddle.fleet.ReplicaId;
 
 /**
- * Which replicas small and large models are at home on: as many for each as the work that
- * is asked of them. Confined to one thread.
+ * Partitions the replicas of each region between small and large models, in proportion to
+ * their work. Confined to one thread.
  * <p>
- * A batch steps at the pace of its slowest model, so that sizes are kept apart. Under
- * load fewer answers are replaced by a larger model's, and the work moves to the small
- * ones; with homes fixed at a quarter they queued there for seconds beside idle replicas.
+ * A batch steps as slowly as its slowest model, so model sizes are separated. Under load
+ * fewer answers are replaced by a larger model's, and the work shifts to small models;
+ * with a fixed quarter of the replicas, they queued for seconds beside idle ones.
  * <p>
- * Where room is short, homes are kept apart: a fixed part of the replicas is for the
- * small models, and no model goes elsewhere. Nodes that learn their homes disagree on
- * some of them, and an engine that runs both sizes reads for neither at its own speed.
+ * If capacity is short, separation is strict: a fixed share of the replicas is for small
+ * models, and no model uses the others. Nodes that learn their partitions disagree about
+ * some replicas, and an engine that runs both sizes reads at full speed for neither.
  */
 final class ModelSizePartition {
 
-	/** The small models' part of the work before any is known. */
+	/** The small models' share of the work before any is recorded. */
 	private static final double PRIOR_SMALL_RATIO = 0.17;
 
 	/**
-	 * How much more room than their part of the work the small models get. All requests
-	 * begin with them, so that a queue there makes all late.
+	 * How much more capacity than their share of the work small models get. All requests
+	 * begin with them, so a queue there delays everything.
 	 */
 	private static final double SMALL_CAPACITY_FACTOR = 1.5;
 
 	/**
-	 * How much work stands for that first belief, in tokens of the smallest model: some
-	 * seconds of a node's.
+	 * The weight of the prior, in tokens of the smallest model: some seconds of a node's
+	 * work.
 	 */
 	private static final double PRIOR_WORK_TOKENS = 500_000;
 
 	/**
-	 * The part of the replicas that is for small models where sizes are kept apart. All
-	 * requests begin there, so that a burst must find room.
+	 * The share of replicas for small models under strict separation. All requests begin
+	 * there, so there must be capacity for bursts.
 	 */
 	private static final double STRICT_SMALL_RATIO = 0.35;
 
-	/** The time until half of the work done is forgotten, in milliseconds. */
+	/** The time until half of the recorded work is forgotten. */
 	private static final double HALF_LIFE_MILLIS = 5000;
 
 	private final NodeLocation location;
@@ -60,12 +60,12 @@
 
 	private boolean strict;
 
-	ModelSizePartition(NodeLocation place) {
-		this.location = place;
+	ModelSizePartition(NodeLocation location) {
+		this.location = location;
 	}
 
 	/**
-	 * Keeps the sizes apart from now on.
+	 * Separates the sizes strictly from now on.
 	 */
 	void separateStrictly() {
 		this.strict = true;
@@ -76,7 +76,7 @@
 	}
 
 	/**
-	 * Notes work that a replica was given.
+	 * Records work that was given to a replica.
 	 * @param now the time in milliseconds
 	 * @param task the task
 	 * @param unreadTokens how much of its prompt must be read
@@ -95,27 +95,27 @@
 	}
 
 	/**
-	 * Returns the replicas that models of another size than a task's are at home on. All
-	 * nodes that see the same replicas and alike work come to the same.
+	 * Returns the replicas dedicated to models of another size than the task's. Nodes
+	 * that see the same replicas and similar work compute the same partition.
 	 */
-	Set<ReplicaId> nonDedicatedReplicas(List<Replica> usable, ReplicaTask task) {
+	Set<ReplicaId> nonDedicatedReplicas(List<Replica> eligible, ReplicaTask task) {
 		if (task.sizeClass() == ModelSizeClass.SIMILAR) {
 			return Set.of();
 		}
-		Map<String, List<Replica>> byRegion = usable.stream()
+		Map<String, List<Replica>> byRegion = eligible.stream()
 			.collect(Collectors.groupingBy((replica) -> this.location.regionOf(replica.dataCenter())));
-		Set<ReplicaId> away = new HashSet<>();
-		for (List<Replica> near : byRegion.values()) {
-			List<Replica> ordered = new ArrayList<>(near);
+		Set<ReplicaId> nonDedicated = new HashSet<>();
+		for (List<Replica> inRegion : byRegion.values()) {
+			List<Replica> ordered = new ArrayList<>(inRegion);
 			ordered.sort(Comparator.comparingDouble((replica) -> Spread.unit(replica.id().value())));
-			long homes = smallReplicaCount(near.size());
-			for (int i = 0; i < ordered.size() && homes > 0; i++) {
-				if ((i < homes) == (task.sizeClass() == ModelSizeClass.LARGE)) {
-					away.add(ordered.get(i).id());
+			long smallCount = smallReplicaCount(inRegion.size());
+			for (int i = 0; i < ordered.size() && smallCount > 0; i++) {
+				if ((i < smallCount) == (task.sizeClass() == ModelSizeClass.LARGE)) {
+					nonDedicated.add(ordered.get(i).id());
 				}
 			}
 		}
-		return away;
+		return nonDedicated;
 	}
 
 	private long smallReplicaCount(int replicas) {
@@ -125,14 +125,14 @@
 		if (this.strict) {
 			return Math.clamp((long) Math.ceil(STRICT_SMALL_RATIO * replicas), 1, replicas - 1);
 		}
-		double share = SMALL_CAPACITY_FACTOR * this.smallWork / (this.smallWork + this.largeWork);
-		return Math.clamp(Math.round(share * replicas), 1, replicas - 1);
+		double smallShare = SMALL_CAPACITY_FACTOR * this.smallWork / (this.smallWork + this.largeWork);
+		return Math.clamp(Math.round(smallShare * replicas), 1, replicas - 1);
 	}
 
 	private void decay(long now) {
-		double kept = Math.pow(0.5, Math.max(0, now - this.decayedAt) / HALF_LIFE_MILLIS);
-		this.smallWork = kept * this.smallWork + (1 - kept) * PRIOR_SMALL_RATIO * PRIOR_WORK_TOKENS;
-		this.largeWork = kept * this.largeWork + (1 - kept) * (1 - PRIOR_SMALL_RATIO) * PRIOR_WORK_TOKENS;
+		double remaining = Math.pow(0.5, Math.max(0, now - this.decayedAt) / HALF_LIFE_MILLIS);
+		this.smallWork = remaining * this.smallWork + (1 - remaining) * PRIOR_SMALL_RATIO * PRIOR_WORK_TOKENS;
+		this.largeWork = remaining * this.largeWork + (1 - remaining) * (1 - PRIOR_SMALL_RATIO) * PRIOR_WORK_TOKENS;
 		this.decayedAt = Math.max(this.decayedAt, now);
 	}
 
--- a/core/src/main/java/org/gullsaddle/serve/NodeLocation.java
+++ b/core/src/main/java/org/gullsaddle/serve/NodeLocation.java
@@ -3,7 +3,7 @@
 import java.util.Map;
 
 /**
- * Where a node is.
+ * The data center of a node, and the regions of all data centers.
  *
  * @param dataCenter its data center
  * @param regions the region of each data center
@@ -15,16 +15,16 @@
 	}
 
 	/**
-	 * Says how far away a data center is.
+	 * Returns the distance from this node to a data center.
 	 * @param other the data center
-	 * @return its distance
+	 * @return the distance
 	 */
 	public Distance distance(String other) {
 		return distance(this.dataCenter, other);
 	}
 
 	/**
-	 * Says how far apart two data centers are.
+	 * Returns the distance between two data centers.
 	 * @param one the one
 	 * @param other the other
 	 * @return the distance
@@ -48,7 +48,7 @@
 	}
 
 	/**
-	 * Says whether a data center is in this node's region.
+	 * Returns whether a data center is in this node's region.
 	 * @param other the data center
 	 * @return true if both have the same region
 	 */
--- a/core/src/main/java/org/gullsaddle/serve/NormalDistribution.java
+++ b/core/src/main/java/org/gullsaddle/serve/NormalDistribution.java
@@ -1,7 +1,7 @@
 package org.gullsaddle.serve;
 
 /**
- * The normal distribution, by a logistic curve that follows it within one percent.
+ * The normal distribution, approximated within one percent by a logistic curve.
  */
 final class NormalDistribution {
 
@@ -11,7 +11,7 @@
 	}
 
 	/**
-	 * Returns the chance that a normally distributed value lies below a limit.
+	 * Returns the probability that a normally distributed value lies below a limit.
 	 * @param limit the limit
 	 * @param mean the value's mean
 	 * @param deviation its standard deviation, more than 0
--- a/core/src/main/java/org/gullsaddle/serve/OnlineRegression.java
+++ b/core/src/main/java/org/gullsaddle/serve/OnlineRegression.java
@@ -3,19 +3,19 @@
 import java.util.Arrays;
 
 /**
- * A linear relation that is learned from one observation after another, by recursive
- * least squares. It begins with a prior, forgets what is old, and never holds more than
- * its coefficients. Confined to one thread.
+ * A linear regression that is updated with each observation, by recursive least squares.
+ * It starts with a prior, forgets old observations, and uses constant memory. Confined to
+ * one thread.
  */
 final class OnlineRegression {
 
-	/** What the weight of an observation falls by with each later one. */
+	/** The weight of an observation is multiplied by this with each later one. */
 	private static final double FORGETTING_RATIO = 0.995;
 
-	/** How many standard deviations an observation may lie off before it is cut. */
+	/** An error is clamped to this many standard deviations. */
 	private static final double MAX_DEVIATIONS = 4;
 
-	/** How fast the spread of observations is learned. */
+	/** The weight of the latest observation in the variance. */
 	private static final double VARIANCE_SMOOTHING = 0.05;
 
 	private final double[] priorDeviations;
@@ -24,12 +24,12 @@
 
 	private final double[][] covariance;
 
-	/** The variance of observations, in units of the noise that each was told with. */
+	/** The variance of observations relative to the noise that was assumed for each. */
 	private double variance = 1;
 
 	/**
-	 * Begins with a prior.
-	 * @param prior the coefficients that are expected, none negative
+	 * Creates a regression with a prior.
+	 * @param prior the expected coefficients, none negative
 	 * @param deviations the standard deviation of each
 	 */
 	OnlineRegression(double[] prior, double[] deviations) {
@@ -42,7 +42,7 @@
 	}
 
 	/**
-	 * Returns a copy of what another one has learned, as the prior of a new one.
+	 * Returns a regression whose prior is what this one has learned.
 	 */
 	OnlineRegression asPrior() {
 		return new OnlineRegression(this.coefficients, this.priorDeviations);
@@ -61,43 +61,43 @@
 	}
 
 	/**
-	 * Returns the standard deviation of an observation from what is expected of it.
-	 * @param noise the noise that is taken for granted there
+	 * Returns the standard deviation of an observation from its expected value.
+	 * @param noise the noise that is assumed for it
 	 */
 	double predictiveDeviation(double[] features, double noise) {
-		double uncertain = 0;
+		double coefficientVariance = 0;
 		for (int i = 0; i < features.length; i++) {
-			uncertain += features[i] * multiplyCovarianceRow(i, features);
+			coefficientVariance += features[i] * multiplyCovarianceRow(i, features);
 		}
-		return Math.sqrt(this.variance * noise * noise + Math.max(0, uncertain));
+		return Math.sqrt(this.variance * noise * noise + Math.max(0, coefficientVariance));
 	}
 
 	/**
-	 * Learns from an observation.
-	 * @param noise the noise that is taken for granted in it, more than 0
+	 * Updates the coefficients with an observation.
+	 * @param noise the noise that is assumed for it, more than 0
 	 */
 	void learn(double[] features, double observed, double noise) {
 		double error = observed - predict(features);
-		double most = MAX_DEVIATIONS * predictiveDeviation(features, noise);
-		double cut = Math.clamp(error, -most, most);
+		double bound = MAX_DEVIATIONS * predictiveDeviation(features, noise);
+		double clampedError = Math.clamp(error, -bound, bound);
 		double[] direction = new double[features.length];
-		double spread = noise * noise;
+		double totalVariance = noise * noise;
 		for (int i = 0; i < features.length; i++) {
 			direction[i] = multiplyCovarianceRow(i, features);
-			spread += features[i] * direction[i];
+			totalVariance += features[i] * direction[i];
 		}
 		for (int i = 0; i < features.length; i++) {
-			this.coefficients[i] = Math.max(0, this.coefficients[i] + direction[i] * cut / spread);
+			this.coefficients[i] = Math.max(0, this.coefficients[i] + direction[i] * clampedError / totalVariance);
 		}
-		updateCovariance(direction, spread);
-		double squared = cut * cut / spread;
-		this.variance += VARIANCE_SMOOTHING * (squared - this.variance);
+		updateCovariance(direction, totalVariance);
+		double normalizedError = clampedError * clampedError / totalVariance;
+		this.variance += VARIANCE_SMOOTHING * (normalizedError - this.variance);
 	}
 
-	private void updateCovariance(double[] direction, double spread) {
+	private void updateCovariance(double[] direction, double totalVariance) {
 		for (int i = 0; i < direction.length; i++) {
 			for (int j = 0; j < direction.length; j++) {
-				this.covariance[i][j] = (this.covariance[i][j] - direction[i] * direction[j] / spread)
+				this.covariance[i][j] = (this.covariance[i][j] - direction[i] * direction[j] / totalVariance)
 						/ FORGETTING_RATIO;
 			}
 		}
@@ -107,15 +107,15 @@
 	}
 
 	/**
-	 * Keeps a coefficient that no observation speaks of from becoming more uncertain than
-	 * it was at first: forgetting alone would let it grow without end.
+	 * Keeps a coefficient from becoming more uncertain than its prior: without
+	 * observations of it, forgetting alone would let its variance grow without bound.
 	 */
 	private void boundUncertainty(int index) {
-		double most = this.priorDeviations[index] * this.priorDeviations[index];
-		if (this.covariance[index][index] <= most) {
+		double bound = this.priorDeviations[index] * this.priorDeviations[index];
+		if (this.covariance[index][index] <= bound) {
 			return;
 		}
-		double scale = Math.sqrt(most / this.covariance[index][index]);
+		double scale = Math.sqrt(bound / this.covariance[index][index]);
 		for (int i = 0; i < this.covariance.length; i++) {
 			this.covariance[index][i] *= scale;
 			this.covariance[i][index] *= scale;
--- a/core/src/main/java/org/gullsaddle/serve/OutlierEjection.java
+++ b/core/src/main/java/org/gullsaddle/serve/OutlierEjection.java
@@ -1,11 +1,11 @@
 package org.gullsaddle.serve;
 
 /**
- * Leaves a backend server out for a while once it fails several times in a row.
+ * Ejects a backend server for a while after several failures in a row.
  * <p>
- * A backend server that fails at once always looks empty, and would draw all work to
- * itself. After a few failures in a row it is left out, for twice as long each time, and
- * then tried again.
+ * A backend server that fails at once always looks idle and would attract all requests.
+ * After a few failures in a row it is ejected, for twice as long each time, and then
+ * tried again.
  */
 public final class OutlierEjection {
 
@@ -20,7 +20,7 @@
 	private long ejectedUntil = Long.MIN_VALUE;
 
 	/**
-	 * Notes a success, which brings the server back.
+	 * Records a success, which ends an ejection.
 	 */
 	public void onSuccess() {
 		this.failures = 0;
@@ -28,21 +28,21 @@
 	}
 
 	/**
-	 * Notes a failure.
+	 * Records a failure.
 	 * @param now the time in milliseconds
 	 * @return true if it is the first since a success
 	 */
 	public boolean onFailure(long now) {
 		this.failures++;
-		int over = this.failures - FAILURES_TO_EJECT;
-		if (over >= 0) {
-			this.ejectedUntil = now + (BASE_EJECTION_MILLIS << Math.min(over, MAX_DOUBLINGS));
+		int excessFailures = this.failures - FAILURES_TO_EJECT;
+		if (excessFailures >= 0) {
+			this.ejectedUntil = now + (BASE_EJECTION_MILLIS << Math.min(excessFailures, MAX_DOUBLINGS));
 		}
 		return this.failures == 1;
 	}
 
 	/**
-	 * Leaves the server out at once, as nothing listens there.
+	 * Ejects the server at once because it cannot be reached.
 	 * @param now the time in milliseconds
 	 * @param millis for how long
 	 */
@@ -51,7 +51,7 @@
 	}
 
 	/**
-	 * Says whether the server is left out.
+	 * Returns whether the server is ejected.
 	 * @param now the time in milliseconds
 	 * @return true if it is
 	 */
--- a/core/src/main/java/org/gullsaddle/serve/PeerLoad.java
+++ b/core/src/main/java/org/gullsaddle/serve/PeerLoad.java
@@ -8,19 +8,20 @@
 import org.gullsaddle.fleet.ReplicaId;
 
 /**
- * What a replica usually has of other nodes' requests: where a task is at home, and
- * elsewhere.
+ * The mean load that other nodes put on replicas, separately for those that are dedicated
+ * to a task's model size and those that are not.
  *
- * @param nonDedicatedIds the replicas that the task is not at home on
- * @param dedicatedMean what those have that it is at home on
- * @param nonDedicatedMean what the others have
+ * @param nonDedicatedIds the replicas that are dedicated to the other size
+ * @param dedicatedMean the mean load of the dedicated replicas
+ * @param nonDedicatedMean the mean load of the other replicas
  */
 record PeerLoad(Set<ReplicaId> nonDedicatedIds, MeanLoad dedicatedMean, MeanLoad nonDedicatedMean) {
 
-	static PeerLoad of(long now, List<ReplicaState> states, Set<ReplicaId> away) {
-		Map<Boolean, List<ReplicaState>> parts = states.stream()
-			.collect(Collectors.partitioningBy((state) -> away.contains(state.replica().id())));
-		return new PeerLoad(away, MeanLoad.of(now, parts.get(false)), MeanLoad.of(now, parts.get(true)));
+	static PeerLoad of(long now, List<ReplicaState> states, Set<ReplicaId> nonDedicatedIds) {
+		Map<Boolean, List<ReplicaState>> byDedication = states.stream()
+			.collect(Collectors.partitioningBy((state) -> nonDedicatedIds.contains(state.replica().id())));
+		return new PeerLoad(nonDedicatedIds, MeanLoad.of(now, byDedication.get(false)),
+				MeanLoad.of(now, byDedication.get(true)));
 	}
 
 	boolean isDedicated(ReplicaState state) {
@@ -32,8 +33,8 @@
 	}
 
 	/**
-	 * How many requests of other nodes a replica has on the mean, and how many of them
-	 * are still to be read.
+	 * How many requests of other nodes a replica has on average, and how many of them it
+	 * has yet to read.
 	 */
 	record MeanLoad(double requests, double unreadRequests) {
 
--- a/core/src/main/java/org/gullsaddle/serve/PrefixCacheModel.java
+++ b/core/src/main/java/org/gullsaddle/serve/PrefixCacheModel.java
@@ -6,8 +6,9 @@
 import java.util.Map;
 
 /**
- * Which prompt parts a replica likely keeps in its memory, judged by what this node sent
- * there. The least recently used ones yield, as they do at the replica.
+ * Models which prompt parts a replica likely holds in its prefix cache, from what this
+ * node sent there. The least recently used parts are evicted, as they are at the replica.
+ * Confined to one thread.
  */
 public final class PrefixCacheModel {
 
@@ -16,39 +17,39 @@
 	private long tokens;
 
 	/**
-	 * Notes that a replica reads a prompt.
-	 * @param model the model that reads it; parts are kept for each model by itself
+	 * Records that a replica reads a prompt.
+	 * @param model the model that reads it; each model has its own cached parts
 	 * @param parts the parts in order
-	 * @param capacity how many tokens of parts the replica keeps
+	 * @param capacity how many tokens of parts the replica caches
 	 */
 	public void onPromptRead(String model, List<PromptPart> parts, long capacity) {
 		for (PromptPart part : parts) {
-			Integer before = this.tokensByPart.put(key(model, part), part.tokens());
-			this.tokens += part.tokens() - ((before != null) ? before : 0);
+			Integer previous = this.tokensByPart.put(key(model, part), part.tokens());
+			this.tokens += part.tokens() - ((previous != null) ? previous : 0);
 		}
-		Iterator<Integer> oldest = this.tokensByPart.values().iterator();
-		while (this.tokens > capacity && oldest.hasNext()) {
-			this.tokens -= oldest.next();
-			oldest.remove();
+		Iterator<Integer> leastRecentlyUsed = this.tokensByPart.values().iterator();
+		while (this.tokens > capacity && leastRecentlyUsed.hasNext()) {
+			this.tokens -= leastRecentlyUsed.next();
+			leastRecentlyUsed.remove();
 		}
 	}
 
 	/**
 	 * Returns how many tokens of a prompt need not be read again. A part counts only if
-	 * all before it are kept too.
+	 * all parts before it are cached too.
 	 * @param model the model that is to read it
 	 * @param parts the parts in order
 	 * @return the number of tokens
 	 */
 	public int cachedTokens(String model, List<PromptPart> parts) {
-		int kept = 0;
+		int cached = 0;
 		for (PromptPart part : parts) {
 			if (!this.tokensByPart.containsKey(key(model, part))) {
-				return kept;
+				return cached;
 			}
-			kept += part.tokens();
+			cached += part.tokens();
 		}
-		return kept;
+		return cached;
 	}
 
 	private static String key(String model, PromptPart part) {
--- a/core/src/main/java/org/gullsaddle/serve/Prompt.java
+++ b/core/src/main/java/org/gullsaddle/serve/Prompt.java
@@ -4,17 +4,18 @@
 import java.util.OptionalInt;
 
 /**
- * What a caller tells of a generation before it runs.
+ * What a caller states about a generation before it runs.
  *
  * @param inputTokens how many tokens the prompt has
  * @param maxOutputTokens how many tokens may be generated
- * @param lengthHint the caller's estimate of the tokens generated: right at the median,
+ * @param lengthHint the caller's estimate of the generated tokens: right in the median,
  * often far off
- * @param parts the prompt's parts in order, the last one its own or its session's
+ * @param parts the prompt's parts in order, the last one specific to the request or its
+ * session
  */
 public record Prompt(int inputTokens, int maxOutputTokens, OptionalInt lengthHint, List<PromptPart> parts) {
 
-	/** A request that generates nothing. */
+	/** The prompt of a request that generates nothing. */
 	public static final Prompt NONE = new Prompt(0, 0, OptionalInt.empty(), List.of());
 
 	public Prompt {
@@ -22,7 +23,7 @@
 	}
 
 	/**
-	 * Returns the parts that other requests may have too: all but the last.
+	 * Returns the parts that other requests may share: all but the last.
 	 * @return their ids in order
 	 */
 	public List<String> sharedPartIds() {
@@ -31,16 +32,16 @@
 	}
 
 	/**
-	 * Returns how many tokens a replica may have to hold for it.
-	 * @return the prompt's and those that may be generated
+	 * Returns how many tokens a replica may have to hold for the request.
+	 * @return the prompt's tokens and those that may be generated
 	 */
 	public long maxTokens() {
 		return (long) this.inputTokens + this.maxOutputTokens;
 	}
 
 	/**
-	 * Returns how many tokens will likely be generated.
-	 * @return the hint, or the allowed number without one
+	 * Estimates how many tokens will be generated.
+	 * @return the hint, or the allowed number if there is none
 	 */
 	public int expectedOutputTokens() {
 		int hint = this.lengthHint.orElse(this.maxOutputTokens);
--- a/core/src/main/java/org/gullsaddle/serve/QueueBounds.java
+++ b/core/src/main/java/org/gullsaddle/serve/QueueBounds.java
@@ -10,21 +10,24 @@
 import org.gullsaddle.fleet.Route;
 
 /**
- * How long the queue of a larger model may be for a request to join it, by the request's
- * rank.
+ * Limits how long the queue of a larger model may be for a request to join it, by the
+ * request's rank.
  * <p>
- * An engine reads prompts in the order in which they come, so that one that is less
- * urgent makes all behind it wait. A queue that the most urgent bear must not be filled
- * by others: each rank may leave a part of the shortest objective among the routes that
- * are as urgent or more, and a smaller part with each rank. The least urgent stop joining
- * first, and join again first of all when the queue is gone.
+ * Engines read prompts in order of arrival, so a less urgent prompt delays all behind it.
+ * A queue that is acceptable to the most urgent requests must not be filled by others:
+ * each rank may fill a share of the shortest objective among the routes of the same or a
+ * more urgent rank, and the share falls with each rank. As a queue grows, the least
+ * urgent rank stops joining first, and it joins again when the queue is gone.
  */
 public final class QueueBounds {
 
-	/** The part of the shortest objective that the most urgent requests may queue. */
+	/**
+	 * The share of the shortest objective that requests of the most urgent rank may
+	 * queue.
+	 */
 	private static final double FIRST_RANK_RATIO = 0.6;
 
-	/** How much shorter the queue is that the next rank may join. */
+	/** By what ratio the share falls with each rank. */
 	private static final double NEXT_RANK_RATIO = 2.0 / 3;
 
 	private final TreeMap<Integer, Double> byRank;
@@ -34,20 +37,20 @@
 	}
 
 	/**
-	 * Derives the bounds from the routes that choose among models.
+	 * Derives the bounds from the routes that have more than one model.
 	 * @param routes all routes
 	 * @return the bounds
 	 */
 	public static QueueBounds of(Collection<Route> routes) {
 		TreeMap<Integer, Double> byRank = new TreeMap<>();
-		double shortest = Double.MAX_VALUE;
-		double part = FIRST_RANK_RATIO;
+		double shortestMillis = Double.MAX_VALUE;
+		double ratio = FIRST_RANK_RATIO;
 		for (Map.Entry<Integer, List<Route>> rank : groupByRank(routes).entrySet()) {
 			for (Route route : rank.getValue()) {
-				shortest = Math.min(shortest, route.targetMillis());
+				shortestMillis = Math.min(shortestMillis, route.targetMillis());
 			}
-			byRank.put(rank.getKey(), part * shortest);
-			part *= NEXT_RANK_RATIO;
+			byRank.put(rank.getKey(), ratio * shortestMillis);
+			ratio *= NEXT_RANK_RATIO;
 		}
 		return new QueueBounds(byRank);
 	}
@@ -63,16 +66,16 @@
 	}
 
 	/**
-	 * Returns how long a queue may be.
-	 * @param rank the rank of a request that would join it, 0 is the most urgent
+	 * Returns how long a queue may be for a request to join it.
+	 * @param rank the rank of the request, 0 is the most urgent
 	 * @return the time in milliseconds
 	 */
 	public double maxQueueMillis(int rank) {
-		Map.Entry<Integer, Double> known = this.byRank.floorEntry(rank);
-		if (known == null) {
-			known = this.byRank.firstEntry();
+		Map.Entry<Integer, Double> bound = this.byRank.floorEntry(rank);
+		if (bound == null) {
+			bound = this.byRank.firstEntry();
 		}
-		return (known != null) ? known.getValue() : 0;
+		return (bound != null) ? bound.getValue() : 0;
 	}
 
 }
--- a/core/src/main/java/org/gullsaddle/serve/ReplicaEligibility.java
+++ b/core/src/main/java/org/gullsaddle/serve/ReplicaEligibility.java
@@ -16,10 +16,11 @@
 import org.gullsaddle.suspect.Trait;
 
 /**
- * Which replicas a request may go to at all, whatever it would lose there: those that
- * take new work, in a region that is allowed, of the release that is its own, and within
- * the rate that they ask for. Cold ones come last, and only as many requests go there as
- * they bear. What crashes replicas may go to none. Confined to one thread.
+ * Decides which replicas a request may be sent to at all, before they are compared: those
+ * that accept new work, are in an allowed region, run the request's release and are
+ * within the rate limits that they report. Cold replicas are used only if no warm one is
+ * left, and only up to their cold-start limit. A request that may crash replicas is sent
+ * to none. Confined to one thread.
  */
 public final class ReplicaEligibility {
 
@@ -34,233 +35,239 @@
 	private final CrashBook crashes;
 
 	/**
-	 * Makes the rules of a node.
+	 * Creates the rules of a node.
 	 * @param directory the replicas
-	 * @param place where the node is
-	 * @param pace what the node may send to cold replicas
-	 * @param backpressure what it may send to replicas that ask for fewer requests
-	 * @param crashes what is refused as it crashes replicas
+	 * @param location the node's location
+	 * @param coldLimiter limits what the node sends to cold replicas
+	 * @param backpressure limits what it sends to replicas that ask for fewer requests
+	 * @param crashes the traits that are blocked because they crash replicas
 	 */
-	public ReplicaEligibility(ReplicaDirectory directory, NodeLocation place, ColdReplicaLimiter pace,
+	public ReplicaEligibility(ReplicaDirectory directory, NodeLocation location, ColdReplicaLimiter coldLimiter,
 			BackpressureBook backpressure, CrashBook crashes) {
 		this.directory = directory;
-		this.location = place;
-		this.coldLimiter = pace;
+		this.location = location;
+		this.coldLimiter = coldLimiter;
 		this.backpressure = backpressure;
 		this.crashes = crashes;
 	}
 
 	/**
-	 * Says whether a request may go to no replica, as it would crash it.
-	 * @param wanted what the request asks of replicas
-	 * @return true if one of its traits is refused
+	 * Returns whether a request must not be sent to any replica because it may crash it.
+	 * @param required what the request requires of replicas
+	 * @return true if one of its traits is blocked
 	 */
-	public boolean isBlocked(Requirements wanted) {
-		return this.crashes.refuses(wanted.traits());
+	public boolean isBlocked(Requirements required) {
+		return this.crashes.refuses(required.traits());
 	}
 
 	/**
-	 * Returns the replicas that a request may not be sent to now: those that it was sent
-	 * to already, and those that have asked for fewer requests.
+	 * Returns the replicas that a request must not be sent to now: those that were tried
+	 * already, and those that asked for fewer requests.
 	 * @param now the time in milliseconds
-	 * @param wanted what the request asks of replicas
+	 * @param required what the request requires of replicas
 	 * @param tried replicas that it was sent to already
 	 * @return their ids
 	 */
-	public Set<ReplicaId> excludedReplicas(long now, Requirements wanted, Set<ReplicaId> tried) {
+	public Set<ReplicaId> excludedReplicas(long now, Requirements required, Set<ReplicaId> tried) {
 		if (!this.backpressure.any(now)) {
 			return tried;
 		}
 		Set<ReplicaId> all = new HashSet<>(tried);
-		openReplicas(now, wanted).stream()
+		openReplicas(now, required).stream()
 			.filter((replica) -> !this.backpressure.takes(now, replica))
 			.forEach((replica) -> all.add(replica.id()));
 		return all;
 	}
 
 	/**
-	 * Returns the replicas that a request belongs to now. What is kept where is decided
-	 * among all of them, so those that are left out for a moment are among them too.
+	 * Returns the replicas that a request is routed among. Prompt caches are placed by
+	 * this whole set, so it includes replicas that are excluded only for the moment.
 	 * @param now the time in milliseconds
-	 * @param wanted what the request asks of them
-	 * @param leftOut replicas that it may not be sent to, see {@link #excludedReplicas}
+	 * @param required what the request requires of replicas
+	 * @param excluded replicas that it must not be sent to, see {@link #excludedReplicas}
 	 * @return the replicas
 	 */
-	public List<Replica> eligibleReplicas(long now, Requirements wanted, Set<ReplicaId> leftOut) {
-		List<Replica> open = openReplicas(now, wanted);
-		List<Replica> warm = open.stream().filter((replica) -> !isCold(now, wanted, replica)).toList();
-		List<Replica> allowed = filterByRelease(now, wanted, warm, leftOut);
-		if (!areAllExcluded(allowed, leftOut)) {
+	public List<Replica> eligibleReplicas(long now, Requirements required, Set<ReplicaId> excluded) {
+		List<Replica> open = openReplicas(now, required);
+		List<Replica> warm = open.stream().filter((replica) -> !isCold(now, required, replica)).toList();
+		List<Replica> allowed = filterByRelease(now, required, warm, excluded);
+		if (!areAllExcluded(allowed, excluded)) {
 			return allowed;
 		}
-		List<Replica> bearing = open.stream()
-			.filter((replica) -> !isCold(now, wanted, replica) || hasColdCapacity(now, wanted, replica))
+		List<Replica> warmOrColdWithCapacity = open.stream()
+			.filter((replica) -> !isCold(now, required, replica) || hasColdCapacity(now, required, replica))
 			.toList();
-		return filterByRelease(now, wanted, bearing, leftOut);
+		return filterByRelease(now, required, warmOrColdWithCapacity, excluded);
 	}
 
 	/**
-	 * Says why there is no replica for a request, or no other one.
+	 * Returns why there is no replica, or no further replica, for a request.
 	 * @param now the time in milliseconds
-	 * @param wanted what the request asked of them
+	 * @param required what the request requires of replicas
 	 * @return the reason
 	 */
-	public NoReplica noReplicaReason(long now, Requirements wanted) {
-		if (isBlocked(wanted)) {
+	public NoReplica noReplicaReason(long now, Requirements required) {
+		if (isBlocked(required)) {
 			return NoReplica.CRASHES;
 		}
-		List<Replica> open = openReplicas(now, wanted);
+		List<Replica> open = openReplicas(now, required);
 		if (!open.isEmpty()) {
-			return noReplicaReasonAmong(now, wanted, open);
+			return noReplicaReasonAmong(now, required, open);
 		}
 		if (this.directory.evacuated()
 			.stream()
-			.anyMatch((each) -> wanted.regionLimit().allows(this.location.regionOf(each)))) {
+			.anyMatch((each) -> required.regionLimit().allows(this.location.regionOf(each)))) {
 			return NoReplica.EVACUATED;
 		}
-		boolean elsewhere = !this.directory.usable(now, wanted.service(), (dataCenter) -> true).isEmpty();
-		return elsewhere ? NoReplica.OTHER_REGION : NoReplica.NONE;
+		boolean inOtherRegion = !this.directory.usable(now, required.service(), (dataCenter) -> true).isEmpty();
+		return inOtherRegion ? NoReplica.OTHER_REGION : NoReplica.NONE;
 	}
 
-	private NoReplica noReplicaReasonAmong(long now, Requirements wanted, List<Replica> open) {
-		if (open.stream().allMatch((replica) -> isCold(now, wanted, replica))) {
+	private NoReplica noReplicaReasonAmong(long now, Requirements required, List<Replica> open) {
+		if (open.stream().allMatch((replica) -> isCold(now, required, replica))) {
 			return NoReplica.COLD;
 		}
-		Set<ReplicaId> leftOut = excludedReplicas(now, wanted, Set.of());
-		List<Replica> allowed = filterByRelease(now, wanted, open, leftOut);
-		if (!areAllExcluded(allowed, leftOut)) {
+		Set<ReplicaId> excluded = excludedReplicas(now, required, Set.of());
+		List<Replica> allowed = filterByRelease(now, required, open, excluded);
+		if (!areAllExcluded(allowed, excluded)) {
 			return NoReplica.TRIED;
 		}
-		boolean resting = allowed.stream().allMatch((replica) -> this.backpressure.restMillis(now, replica) > 0);
-		return resting ? NoReplica.RESTING : NoReplica.LIMITED;
+		boolean allBackingOff = allowed.stream().allMatch((replica) -> this.backpressure.restMillis(now, replica) > 0);
+		return allBackingOff ? NoReplica.RESTING : NoReplica.LIMITED;
 	}
 
 	/**
-	 * Returns when a caller is to come back for whom all replicas are limited or resting,
-	 * or whose request is refused for crashes.
+	 * Returns when a caller may retry if all replicas are rate limited or ask for
+	 * back-off, or if the request is blocked.
 	 * @param now the time in milliseconds
-	 * @param wanted what the request asked of them
+	 * @param required what the request requires of replicas
 	 * @return the time from now, in milliseconds
 	 */
-	public long retryAfterMillis(long now, Requirements wanted) {
-		if (isBlocked(wanted)) {
-			return this.crashes.backMillis(now, wanted.traits());
+	public long retryAfterMillis(long now, Requirements required) {
+		if (isBlocked(required)) {
+			return this.crashes.backMillis(now, required.traits());
 		}
-		return this.backpressure.backMillis(now, wanted.service(), openReplicas(now, wanted));
+		return this.backpressure.backMillis(now, required.service(), openReplicas(now, required));
 	}
 
 	/**
-	 * Notes that a request was sent.
+	 * Counts a request that was sent, if the replica is cold.
 	 * @param now the time in milliseconds
-	 * @param wanted what it asked of replicas
-	 * @param replica where it was sent
+	 * @param required what the request requires of replicas
+	 * @param replica the replica it was sent to
 	 */
-	public void onSent(long now, Requirements wanted, Replica replica) {
-		if (isCold(now, wanted, replica)) {
+	public void onSent(long now, Requirements required, Replica replica) {
+		if (isCold(now, required, replica)) {
 			this.coldLimiter.onSent(now, replica);
 		}
 	}
 
 	/**
-	 * Says whether a replica is to be spared.
+	 * Returns whether a replica is limited by its cold start.
 	 * @param now the time in milliseconds
-	 * @param wanted what a request asks of it
+	 * @param required what a request requires of replicas
 	 * @param replica the replica
-	 * @return true if it is cold, and bears less than a warm one
+	 * @return true if it is cold, and its service limits requests to cold replicas
 	 */
-	public boolean isCold(long now, Requirements wanted, Replica replica) {
-		return wanted.coldStart().limited() && this.directory.coldMillis(now, replica.id()) > 0;
+	public boolean isCold(long now, Requirements required, Replica replica) {
+		return required.coldStart().limited() && this.directory.coldMillis(now, replica.id()) > 0;
 	}
 
 	/**
-	 * Says whether any replica that a request belongs to is to be spared.
+	 * Returns whether any replica open to a request is limited by its cold start.
 	 * @param now the time in milliseconds
-	 * @param wanted what the request asks of them
-	 * @return true if one is cold, and bears less than a warm one
+	 * @param required what the request requires of replicas
+	 * @return true if one is cold, and its service limits requests to cold replicas
 	 */
-	public boolean hasColdReplica(long now, Requirements wanted) {
-		return openReplicas(now, wanted).stream().anyMatch((replica) -> isCold(now, wanted, replica));
+	public boolean hasColdReplica(long now, Requirements required) {
+		return openReplicas(now, required).stream().anyMatch((replica) -> isCold(now, required, replica));
 	}
 
-	private boolean hasColdCapacity(long now, Requirements wanted, Replica replica) {
-		return wanted.nodeCount().isPresent()
-				&& this.coldLimiter.canSend(now, replica, wanted.coldStart().perSecond(), wanted.nodeCount().get());
+	private boolean hasColdCapacity(long now, Requirements required, Replica replica) {
+		return required.nodeCount().isPresent()
+				&& this.coldLimiter.canSend(now, replica, required.coldStart().perSecond(), required.nodeCount().get());
 	}
 
-	private List<Replica> openReplicas(long now, Requirements wanted) {
-		if (isBlocked(wanted)) {
+	private List<Replica> openReplicas(long now, Requirements required) {
+		if (isBlocked(required)) {
 			return List.of();
 		}
-		return this.directory.usable(now, wanted.service(),
-				(dataCenter) -> wanted.regionLimit().allows(this.location.regionOf(dataCenter)));
+		return this.directory.usable(now, required.service(),
+				(dataCenter) -> required.regionLimit().allows(this.location.regionOf(dataCenter)));
 	}
 
 	/**
-	 * Of a roll-out's releases the old one is known to be sound: a request for a new one
-	 * whose replicas ask for fewer goes there, unless it belongs to a session. More
-	 * requests for a new one would expose more callers to it.
+	 * Returns the replicas of the request's release. During a roll-out the previous
+	 * release is known to work, so a request for the new release falls back to it while
+	 * the new replicas ask for fewer requests, unless it belongs to a session. The
+	 * reverse would expose more callers to the new release.
 	 */
-	private List<Replica> filterByRelease(long now, Requirements wanted, List<Replica> able, Set<ReplicaId> leftOut) {
-		if (wanted.rollout().isEmpty()) {
-			return able;
+	private List<Replica> filterByRelease(long now, Requirements required, List<Replica> candidates,
+			Set<ReplicaId> excluded) {
+		if (required.rollout().isEmpty()) {
+			return candidates;
 		}
-		List<Replica> allowed = wanted.rollout()
+		List<Replica> allowed = required.rollout()
 			.get()
-			.allowed(now, able, wanted.releaseKey(), leftOut, wanted.nodeCount().orElse(0));
-		boolean asked = allowed.stream().anyMatch((replica) -> !this.backpressure.takes(now, replica));
-		if (!asked || !areAllExcluded(allowed, leftOut) || wanted.releaseKey().session()) {
+			.allowed(now, candidates, required.releaseKey(), excluded, required.nodeCount().orElse(0));
+		boolean anyLimited = allowed.stream().anyMatch((replica) -> !this.backpressure.takes(now, replica));
+		if (!anyLimited || !areAllExcluded(allowed, excluded) || required.releaseKey().session()) {
 			return allowed;
 		}
-		List<Replica> former = wanted.rollout().get().former(able);
-		return former.isEmpty() ? allowed : former;
+		List<Replica> previous = required.rollout().get().former(candidates);
+		return previous.isEmpty() ? allowed : previous;
 	}
 
-	private static boolean areAllExcluded(List<Replica> replicas, Set<ReplicaId> leftOut) {
-		return leftOut.containsAll(replicas.stream().map(Replica::id).toList());
+	private static boolean areAllExcluded(List<Replica> replicas, Set<ReplicaId> excluded) {
+		return excluded.containsAll(replicas.stream().map(Replica::id).toList());
 	}
 
 	/**
-	 * What a request asks of replicas.
+	 * What a request requires of replicas.
 	 *
 	 * @param service the service
-	 * @param limit the regions that it may be served in
-	 * @param coldStart what cold replicas of the service bear
-	 * @param nodes how many nodes share that, or empty if that is not known
+	 * @param regionLimit the regions that it may be served in
+	 * @param coldStart the limit of cold replicas of the service
+	 * @param nodeCount how many nodes share that limit, or empty if that is not known
 	 * @param rollout the roll-out of the service, if there is one
-	 * @param key what it keeps its release by
-	 * @param traits what it has in common with others, as far as it is refused for it
+	 * @param releaseKey the key that keeps the request on one release
+	 * @param traits its traits that may be blocked for crashes
 	 */
 	public record Requirements(ServiceName service, RegionLimit regionLimit, ColdStart coldStart,
 			Optional<Integer> nodeCount, Optional<Rollout> rollout, ReleaseKey releaseKey, Collection<Trait> traits) {
 	}
 
 	/**
-	 * Why there is no replica.
+	 * Why a request has no replica.
 	 */
 	public enum NoReplica {
 
 		/** Requests with a part or the content of this one have crashed replicas. */
 		CRASHES("crashes its replicas"),
 
-		/** None is known. */
+		/** No replica is known. */
 		NONE("no replica"),
 
-		/** All that are open were tried, or are of a release that it may not go to. */
+		/**
+		 * All open replicas were tried, or run a release that the request may not use.
+		 */
 		TRIED("no replica left"),
 
-		/** All that are open are cold, and get as much as they bear. */
+		/** All open replicas are cold and have reached their cold-start limits. */
 		COLD("all replicas are cold"),
 
-		/** All that are open name rate limits, and this node's parts of them are used. */
+		/**
+		 * All open replicas report rate limits, and this node's share of them is used up.
+		 */
 		LIMITED("all replicas are at their rate limits"),
 
-		/** All that are open have asked this node for rest. */
+		/** All open replicas have asked this node to back off. */
 		RESTING("all replicas ask for rest"),
 
-		/** All are in data centers that are to be emptied. */
+		/** All replicas are in data centers that are being emptied. */
 		EVACUATED("data centers are being emptied"),
 
-		/** All are in regions that are not allowed. */
+		/** All replicas are in regions that are not allowed. */
 		OTHER_REGION("no replica in an allowed region");
 
 		private final String reason;
@@ -270,8 +277,8 @@
 		}
 
 		/**
-		 * Returns the reason as callers are told.
-		 * @return some words
+		 * Returns the reason as it is reported to callers.
+		 * @return the reason as text
 		 */
 		public String reason() {
 			return this.reason;
--- a/core/src/main/java/org/gullsaddle/serve/ReplicaSelector.java
+++ b/core/src/main/java/org/gullsaddle/serve/ReplicaSelector.java
@@ -14,37 +14,37 @@
 import org.gullsaddle.fleet.ReplicaId;
 
 /**
- * Picks the replica that a request goes to: the one where least of its worth is likely
- * lost, see {@link Loss}. Confined to one thread.
+ * Selects the replica that a request is sent to: the one with the least expected loss,
+ * see {@link Loss}. Confined to one thread.
  */
 public final class ReplicaSelector {
 
 	/**
-	 * How much longer than expected a replica may take to read before it counts as
+	 * How many times the expected reading time a replica may take before it counts as
 	 * unresponsive.
 	 */
 	private static final double MAX_READ_RATIO = 2;
 
-	/** The part of an engine's memory that is left for kept parts. */
+	/** The share of an engine's memory that is assumed to hold cached prompt parts. */
 	private static final double CACHE_RATIO = 0.5;
 
-	/** How many replicas are asked for their load before one gets a request. */
+	/** How many replicas are queried for their load before one gets a request. */
 	private static final int MAX_QUERIED_REPLICAS = 3;
 
 	/**
-	 * How old what a replica told may be, in its answers too, for it not to be asked, in
-	 * milliseconds: about as long as a queue stays as it is. Each question is paid for,
-	 * and a node that sees many answers of each replica knows enough.
+	 * How old a replica's last load report, in an answer or on request, may be before the
+	 * replica is queried: queues stay about the same for this long. Each query is paid
+	 * for, and a node that sees many answers of each replica needs none.
 	 */
 	private static final long MAX_REPORT_AGE_MILLIS = 1500;
 
-	/** How fast the usual work of a request is learned. */
+	/** The weight of the latest request in the mean work of a model. */
 	private static final double WORK_SMOOTHING = 0.05;
 
 	private final Map<ReplicaId, ReplicaState> states = new HashMap<>();
 
 	/**
-	 * How much each model usually has to read of a prompt, in tokens of the smallest.
+	 * The mean work of a request by model, in tokens of the smallest model.
 	 */
 	private final Map<String, Double> meanWork = new HashMap<>();
 
@@ -59,26 +59,26 @@
 	private final List<Loss> losses;
 
 	/**
-	 * Makes a picker.
-	 * @param here where this node is
+	 * Creates a selector that considers all losses.
+	 * @param location this node's location
 	 */
-	public ReplicaSelector(NodeLocation here) {
-		this(here, Loss.ALL);
+	public ReplicaSelector(NodeLocation location) {
+		this(location, Loss.ALL);
 	}
 
 	/**
-	 * Makes a picker that weighs some losses only.
-	 * @param here where this node is
+	 * Creates a selector that considers some losses only.
+	 * @param location this node's location
 	 * @param losses the losses
 	 */
-	public ReplicaSelector(NodeLocation here, List<Loss> losses) {
-		this.location = here;
-		this.partition = new ModelSizePartition(here);
+	public ReplicaSelector(NodeLocation location, List<Loss> losses) {
+		this.location = location;
+		this.partition = new ModelSizePartition(location);
 		this.losses = List.copyOf(losses);
 	}
 
 	/**
-	 * Keeps models of different size on engines of their own from now on, as room is
+	 * Runs models of different sizes on separate engines from now on, because capacity is
 	 * short.
 	 */
 	public void separateModelSizes() {
@@ -86,33 +86,33 @@
 	}
 
 	/**
-	 * Picks a replica.
+	 * Chooses the replica with the least expected loss.
 	 * @param now the time in milliseconds
-	 * @param usable the replicas that take new work
+	 * @param eligible the replicas that take new work
 	 * @param tried those that refused or failed the request already
-	 * @param task what it is to do
+	 * @param task the task
 	 * @return the replica, or empty if none is left
 	 */
-	public Optional<ReplicaChoice> chooseReplica(long now, List<Replica> usable, Set<ReplicaId> tried,
+	public Optional<ReplicaChoice> chooseReplica(long now, List<Replica> eligible, Set<ReplicaId> tried,
 			ReplicaTask task) {
-		return choices(now, usable, tried, task).min(Comparator.comparingDouble(ReplicaChoice::loss));
+		return choices(now, eligible, tried, task).min(Comparator.comparingDouble(ReplicaChoice::loss));
 	}
 
 	/**
-	 * Returns the replicas to ask for their load before one is picked for a task: the
-	 * best of the region that told nothing lately, if the task is a larger model's. A
-	 * replica of another region takes longer to tell than is waited for.
+	 * Returns the replicas to query for their load before one is chosen for a task: the
+	 * best ones in this region without a recent report, if the task runs a larger model.
+	 * A replica in another region would answer later than the request waits.
 	 * @param now the time in milliseconds
-	 * @param usable the replicas that take new work
+	 * @param eligible the replicas that take new work
 	 * @param tried those that refused or failed the request already
-	 * @param task what it is to do
-	 * @return the replicas, none if what is known is enough
+	 * @param task the task
+	 * @return the replicas, none if enough is known
 	 */
-	public List<Replica> replicasToQuery(long now, List<Replica> usable, Set<ReplicaId> tried, ReplicaTask task) {
+	public List<Replica> replicasToQuery(long now, List<Replica> eligible, Set<ReplicaId> tried, ReplicaTask task) {
 		if (task.slowdown() <= 1 && (task.isPlainCall() || !this.partition.isStrict())) {
 			return List.of();
 		}
-		return bestChoices(now, usable, tried, task, MAX_QUERIED_REPLICAS).stream()
+		return bestChoices(now, eligible, tried, task, MAX_QUERIED_REPLICAS).stream()
 			.filter((choice) -> !choice.load().otherRegion())
 			.map(ReplicaChoice::replica)
 			.filter((replica) -> !hasReportWithin(now, replica, MAX_REPORT_AGE_MILLIS))
@@ -120,66 +120,70 @@
 	}
 
 	/**
-	 * Returns the replicas with the least loss by what is known here.
+	 * Returns the replicas with the least expected loss.
 	 * @param now the time in milliseconds
-	 * @param usable the replicas that take new work
+	 * @param eligible the replicas that take new work
 	 * @param tried those that refused or failed the request already
-	 * @param task what it is to do
-	 * @param most how many to return at most
+	 * @param task the task
+	 * @param limit how many to return at most
 	 * @return the replicas, the best first
 	 */
-	public List<ReplicaChoice> bestChoices(long now, List<Replica> usable, Set<ReplicaId> tried, ReplicaTask task,
-			int most) {
-		return choices(now, usable, tried, task).sorted(Comparator.comparingDouble(ReplicaChoice::loss))
-			.limit(most)
+	public List<ReplicaChoice> bestChoices(long now, List<Replica> eligible, Set<ReplicaId> tried, ReplicaTask task,
+			int limit) {
+		return choices(now, eligible, tried, task).sorted(Comparator.comparingDouble(ReplicaChoice::loss))
+			.limit(limit)
 			.toList();
 	}
 
-	private Stream<ReplicaChoice> choices(long now, List<Replica> usable, Set<ReplicaId> tried, ReplicaTask task) {
-		List<ReplicaState> able = usable.stream()
+	private Stream<ReplicaChoice> choices(long now, List<Replica> eligible, Set<ReplicaId> tried, ReplicaTask task) {
+		List<ReplicaState> available = eligible.stream()
 			.filter((replica) -> !tried.contains(replica.id()))
 			.map(this::stateOf)
 			.toList();
-		List<ReplicaState> sound = able.stream().filter((state) -> !state.isEjected(now)).toList();
-		Set<ReplicaId> away = this.partition.nonDedicatedReplicas(usable, task);
-		PeerLoad others = PeerLoad.of(now, able, away);
-		double meanRequests = able.stream()
-			.mapToDouble((state) -> state.estimateRequests(now, others.meanFor(state).requests()))
+		List<ReplicaState> healthy = available.stream().filter((state) -> !state.isEjected(now)).toList();
+		Set<ReplicaId> nonDedicated = this.partition.nonDedicatedReplicas(eligible, task);
+		PeerLoad peerLoad = PeerLoad.of(now, available, nonDedicated);
+		double meanRequests = available.stream()
+			.mapToDouble((state) -> state.estimateRequests(now, peerLoad.meanFor(state).requests()))
 			.average()
 			.orElse(0);
-		return eligibleStates(able, sound, away).stream()
-			.map((state) -> createCandidate(now, state, task, others, meanRequests))
+		return eligibleStates(available, healthy, nonDedicated).stream()
+			.map((state) -> createCandidate(now, state, task, peerLoad, meanRequests))
 			.map(this::createChoice);
 	}
 
 	/**
-	 * Returns the replicas to choose among: the sound ones, if there are any, and of
-	 * these the homes only where sizes are kept apart.
+	 * Returns the replicas to choose among: the ones that are not ejected, if there are
+	 * any, and of these only the dedicated ones if sizes are separated strictly.
 	 */
-	private List<ReplicaState> eligibleStates(List<ReplicaState> able, List<ReplicaState> sound, Set<ReplicaId> away) {
-		List<ReplicaState> usual = sound.isEmpty() ? able : sound;
+	private List<ReplicaState> eligibleStates(List<ReplicaState> available, List<ReplicaState> healthy,
+			Set<ReplicaId> nonDedicated) {
+		List<ReplicaState> candidates = healthy.isEmpty() ? available : healthy;
 		if (!this.partition.isStrict()) {
-			return usual;
+			return candidates;
 		}
-		List<ReplicaState> home = usual.stream().filter((state) -> !away.contains(state.replica().id())).toList();
-		return home.isEmpty() ? usual : home;
+		List<ReplicaState> dedicated = candidates.stream()
+			.filter((state) -> !nonDedicated.contains(state.replica().id()))
+			.toList();
+		return dedicated.isEmpty() ? candidates : dedicated;
 	}
 
-	private ReplicaCandidate createCandidate(long now, ReplicaState state, ReplicaTask task, PeerLoad others,
+	private ReplicaCandidate createCandidate(long now, ReplicaState state, ReplicaTask task, PeerLoad peerLoad,
 			double meanRequests) {
-		PeerLoad.MeanLoad usual = others.meanFor(state);
+		PeerLoad.MeanLoad meanLoad = peerLoad.meanFor(state);
 		Replica replica = state.replica();
-		Distance reach = this.location.distance(replica.dataCenter());
-		double requests = state.estimateRequests(now, usual.requests());
-		double before = task.isPlainCall() ? estimateQueueRounds(replica, requests) : state.estimateBacklogTokens(now,
-				usual.unreadRequests(), this.meanWork.getOrDefault(task.model(), 0.0));
-		EngineLoad load = new EngineLoad(unreadTokens(state, task), before, requests, reach == Distance.OTHER_REGION);
-		DelayModel delays = this.delayEstimator.modelFor(replica, task);
-		DelayEstimate first = delays.estimate(load);
-		Slowdown pace = this.slowdowns.estimate(now, state, first.expectedMillis());
-		return new ReplicaCandidate(replica, task, load, first.scaledBy(pace.factor()),
-				pace.factor() * delays.readMillis(load.unreadTokens()), pace, reach, state.failureShare(),
-				others.isDedicated(state), meanRequests);
+		Distance distance = this.location.distance(replica.dataCenter());
+		double requests = state.estimateRequests(now, meanLoad.requests());
+		double backlog = task.isPlainCall() ? estimateQueueRounds(replica, requests) : state.estimateBacklogTokens(now,
+				meanLoad.unreadRequests(), this.meanWork.getOrDefault(task.model(), 0.0));
+		EngineLoad load = new EngineLoad(unreadTokens(state, task), backlog, requests,
+				distance == Distance.OTHER_REGION);
+		DelayModel delayModel = this.delayEstimator.modelFor(replica, task);
+		DelayEstimate firstEvent = delayModel.estimate(load);
+		Slowdown slowdown = this.slowdowns.estimate(now, state, firstEvent.expectedMillis());
+		return new ReplicaCandidate(replica, task, load, firstEvent.scaledBy(slowdown.factor()),
+				slowdown.factor() * delayModel.readMillis(load.unreadTokens()), slowdown, distance,
+				state.failureShare(), peerLoad.isDedicated(state), meanRequests);
 	}
 
 	/**
@@ -200,50 +204,50 @@
 	}
 
 	/**
-	 * Notes that a request was sent.
+	 * Records that a request was sent.
 	 * @param now the time in milliseconds
-	 * @param choice where to
-	 * @param task what the replica is to do
+	 * @param choice the replica
+	 * @param task the task
 	 */
 	public void onSent(long now, ReplicaChoice choice, ReplicaTask task) {
 		this.partition.recordWork(now, task, choice.unreadTokens());
-		long kept = Math.round(task.cacheTokens() * CACHE_RATIO);
+		long cacheCapacity = Math.round(task.cacheTokens() * CACHE_RATIO);
 		double work = choice.unreadTokens() * task.slowdown();
-		stateOf(choice.replica()).onSent(task, work, kept);
-		this.meanWork.merge(task.model(), work, (usual, next) -> usual + WORK_SMOOTHING * (next - usual));
+		stateOf(choice.replica()).onSent(task, work, cacheCapacity);
+		this.meanWork.merge(task.model(), work, (mean, next) -> mean + WORK_SMOOTHING * (next - mean));
 	}
 
 	/**
-	 * Notes that the replica has read the prompt, or gave the request up.
-	 * @param choice where it was sent
-	 * @param task what the replica was to do
+	 * Records that the replica has read the prompt, or that the request was given up.
+	 * @param choice the replica
+	 * @param task the task
 	 */
 	public void onPromptRead(ReplicaChoice choice, ReplicaTask task) {
 		stateOf(choice.replica()).onPromptRead(choice.unreadTokens() * task.slowdown());
 	}
 
 	/**
-	 * Learns how long a request took to begin its answer. What the answer tells of the
-	 * replica is taken in before, as what was known until then counts less by its age.
-	 * @param choice where it was sent
-	 * @param task what the replica is to do
+	 * Records how long a request waited for its first event. Load and slowdown that the
+	 * answer reports must be recorded before, since older reports count less.
+	 * @param choice the replica
+	 * @param task the task
 	 * @param millis the time from sending to the first event, or to the end without one,
 	 * in milliseconds
-	 * @param begun whether it began
+	 * @param begun whether the answer began
 	 */
 	public void recordFirstEventDelay(ReplicaChoice choice, ReplicaTask task, long millis, boolean begun) {
-		double usual = millis / choice.slowdown().factor();
+		double usualMillis = millis / choice.slowdown().factor();
 		if (begun) {
-			this.delayEstimator.modelFor(choice.replica(), task).recordFirstEvent(choice.load(), usual);
+			this.delayEstimator.modelFor(choice.replica(), task).recordFirstEvent(choice.load(), usualMillis);
 		}
 		else {
-			this.delayEstimator.modelFor(choice.replica(), task).recordNoFirstEvent(choice.load(), usual);
+			this.delayEstimator.modelFor(choice.replica(), task).recordNoFirstEvent(choice.load(), usualMillis);
 		}
 		this.slowdowns.recordAnswerDelay(stateOf(choice.replica()), choice, millis, begun);
 	}
 
 	/**
-	 * Notes that bytes came from a replica.
+	 * Records that bytes were received from a replica.
 	 * @param now the time in milliseconds
 	 * @param replica the replica
 	 */
@@ -252,24 +256,24 @@
 	}
 
 	/**
-	 * Says whether a replica is unresponsive: nothing came from it, on any connection,
-	 * for longer than it may take over the prompt that it was given.
+	 * Returns whether a replica is unresponsive: no connection received anything from it
+	 * for longer than it may take to read the prompt.
 	 * @param now the time in milliseconds
-	 * @param choice where a request was sent
-	 * @param since since when that request waits for bytes, in milliseconds
-	 * @param reading whether the replica may still be reading the prompt; once its answer
-	 * has begun, a long prompt is no excuse for silence
+	 * @param choice the replica
+	 * @param since since when the request waits for bytes, in milliseconds
+	 * @param reading whether the replica may still be reading the prompt; once the answer
+	 * has begun, a long prompt does not explain silence
 	 * @param patienceMillis how long a replica that has nothing to read may be silent
-	 * @return true if the request is better tried elsewhere
+	 * @return true if the request should be tried elsewhere
 	 */
 	public boolean isUnresponsive(long now, ReplicaChoice choice, long since, boolean reading, long patienceMillis) {
 		return now - silentSince(choice, since) > maxSilenceMillis(choice, reading, patienceMillis);
 	}
 
 	/**
-	 * Returns since when nothing came from a replica, on any connection.
-	 * @param choice where a request was sent
-	 * @param since since when that request waits for bytes, in milliseconds
+	 * Returns since when nothing was received from a replica, on any connection.
+	 * @param choice the replica
+	 * @param since since when the request waits for bytes, in milliseconds
 	 * @return the time in milliseconds
 	 */
 	public long silentSince(ReplicaChoice choice, long since) {
@@ -277,8 +281,8 @@
 	}
 
 	/**
-	 * Returns how long a replica may be silent that was given a prompt.
-	 * @param choice where a request was sent
+	 * Returns how long a replica may be silent.
+	 * @param choice the replica
 	 * @param reading whether the replica may still be reading the prompt
 	 * @param patienceMillis how long a replica that has nothing to read may be silent
 	 * @return the time in milliseconds
@@ -288,24 +292,24 @@
 	}
 
 	/**
-	 * Returns when an answer would begin at one replica if the request came there now.
+	 * Estimates when an answer would begin if the request were sent to a replica now.
 	 * @param now the time in milliseconds
-	 * @param usable the replicas that take new work
+	 * @param eligible the replicas that take new work
 	 * @param replica the replica
-	 * @param task what it is to do
-	 * @return the delay
+	 * @param task the task
+	 * @return the estimate
 	 */
-	public DelayEstimate estimateDelay(long now, List<Replica> usable, Replica replica, ReplicaTask task) {
-		List<ReplicaState> states = usable.stream().map(this::stateOf).toList();
-		PeerLoad others = PeerLoad.of(now, states, this.partition.nonDedicatedReplicas(usable, task));
-		return createCandidate(now, stateOf(replica), task, others, 0).delay();
+	public DelayEstimate estimateDelay(long now, List<Replica> eligible, Replica replica, ReplicaTask task) {
+		List<ReplicaState> states = eligible.stream().map(this::stateOf).toList();
+		PeerLoad peerLoad = PeerLoad.of(now, states, this.partition.nonDedicatedReplicas(eligible, task));
+		return createCandidate(now, stateOf(replica), task, peerLoad, 0).delay();
 	}
 
 	/**
-	 * Notes how an attempt ended.
+	 * Records how an attempt ended.
 	 * @param now the time in milliseconds
-	 * @param choice where it was sent
-	 * @param end its end
+	 * @param choice the replica
+	 * @param end how the attempt ended
 	 */
 	public void onAttemptEnded(long now, ReplicaChoice choice, AttemptEnd end) {
 		ReplicaState state = stateOf(choice.replica());
@@ -332,7 +336,7 @@
 	}
 
 	/**
-	 * Takes in what a replica says of its load.
+	 * Records the load that a replica reported in an answer.
 	 * @param now the time in milliseconds
 	 * @param replica the replica
 	 * @param report the load
@@ -342,17 +346,17 @@
 	}
 
 	/**
-	 * Takes in what an engine says of itself.
+	 * Records the load that an engine reported when it was queried.
 	 * @param now the time in milliseconds
 	 * @param replica the replica
-	 * @param report its load
+	 * @param report the load
 	 */
 	public void onLoadReport(long now, Replica replica, EngineReport report) {
 		stateOf(replica).onLoadReport(now, report);
 	}
 
 	/**
-	 * Takes in how long work takes at a replica.
+	 * Records the slowdown that a replica reported.
 	 * @param now the time in milliseconds
 	 * @param replica the replica
 	 * @param percent how long work takes there now, 100 as usual
@@ -362,18 +366,18 @@
 	}
 
 	/**
-	 * Returns how many replicas told a pace.
+	 * Returns how many replicas reported a slowdown.
 	 * @return the number
 	 */
 	public int countReportedSlowdowns() {
-		return (int) this.states.values().stream().filter((state) -> state.slowdown().reported()).count();
+		return (int) this.states.values().stream().filter((state) -> state.slowdown().hasReported()).count();
 	}
 
 	/**
-	 * Says whether a replica told its load lately, by itself or in an answer.
+	 * Returns whether a replica reported its load recently, when queried or in an answer.
 	 * @param now the time in milliseconds
 	 * @param replica the replica
-	 * @return true if what it told still holds
+	 * @return true if the report is recent enough
 	 */
 	public boolean hasRecentReport(long now, Replica replica) {
 		return hasReportWithin(now, replica, MAX_REPORT_AGE_MILLIS);
@@ -384,7 +388,7 @@
 	}
 
 	/**
-	 * Notes that a replica could not be reached, though no request was sent to it.
+	 * Records that a replica could not be reached, though no request was sent to it.
 	 * @param now the time in milliseconds
 	 * @param replica the replica
 	 */
@@ -393,7 +397,8 @@
 	}
 
 	/**
-	 * Notes that a replica is silent for too long, though its request cannot leave it.
+	 * Records that a replica has been silent for too long, though its request cannot be
+	 * moved.
 	 * @param now the time in milliseconds
 	 * @param replica the replica
 	 */
@@ -402,8 +407,8 @@
 	}
 
 	/**
-	 * Forgets replicas that are gone.
-	 * @param known those to remember
+	 * Removes the state of replicas that are gone.
+	 * @param known the replicas to keep
 	 */
 	public void retain(Set<ReplicaId> known) {
 		this.states.keySet().retainAll(known);
--- a/core/src/main/java/org/gullsaddle/serve/ReplicaSlowdownTracker.java
+++ b/core/src/main/java/org/gullsaddle/serve/ReplicaSlowdownTracker.java
@@ -1,19 +1,22 @@
 package org.gullsaddle.serve;
 
 /**
- * How long a replica takes for its work beside its peers, by the figures that it tells
- * and the delays of its answers. Confined to one thread.
+ * Estimates how long a replica takes for its work relative to the other replicas of its
+ * service, from the slowdowns it reports and the delays of its answers. Confined to one
+ * thread.
  * <p>
- * A figure may or may not include how fast the replica is for good. So delays are
- * compared with what the figures explain, and only the rest is learned: neither counts
- * twice.
+ * A reported slowdown may or may not include the replica's permanent speed. So delays are
+ * compared with what the reports explain, and only the remainder is learned: neither
+ * counts twice.
  */
 final class ReplicaSlowdownTracker {
 
-	/** How long a figure stays about as it was, in milliseconds. */
+	/** Time constant of the decay of a report. */
 	private static final double REPORT_DECAY_MILLIS = 300;
 
-	/** How long what is known of a replica that tells nothing lasts, likewise. */
+	/**
+	 * Time constant of the decay of what is known about a replica that reports nothing.
+	 */
 	private static final double LEARNED_DECAY_MILLIS = 30_000;
 
 	private static final double PERCENT = 100;
@@ -24,16 +27,21 @@
 
 	private static final double MAX_LEARNED_SLOWDOWN = 3;
 
-	/** What a figure counts in the usual one, if it tells nothing of that before it. */
+	/**
+	 * The weight of a report in the mean, if it is independent of the report before it.
+	 */
 	private static final double REPORT_WEIGHT = 0.1;
 
-	/** The variance of lasting paces, in logarithms. */
+	/** The prior variance of permanent slowdowns, in logarithms. */
 	static final double PRIOR_LOG_VARIANCE = 0.16;
 
-	/** The least variance of a replica's delays beside what is expected, likewise. */
+	/**
+	 * The smallest variance of a replica's delays around their expectation, in
+	 * logarithms.
+	 */
 	private static final double MIN_LOG_VARIANCE = 0.09;
 
-	/** By how much one delay may count as off, likewise. */
+	/** The largest deviation that one delay counts with, in logarithms. */
 	private static final double MAX_LOG_RATIO = Math.log(10);
 
 	private final DecayingMean reportedMean = new DecayingMean();
@@ -44,65 +52,66 @@
 
 	private long reportedAt = Long.MIN_VALUE;
 
-	boolean reported() {
+	boolean hasReported() {
 		return this.reportedAt != Long.MIN_VALUE;
 	}
 
 	/**
-	 * Takes in a figure.
+	 * Records a reported slowdown.
 	 * @param percent how long work takes now, 100 as usual
 	 */
-	void reported(long now, int percent, ServiceSlowdownTracker peers) {
-		double left = remainingWeight(now, LEARNED_DECAY_MILLIS);
-		this.reportedMean.decay(left);
-		this.learnedLogMean.decay(left);
+	void onReported(long now, int percent, ServiceSlowdownTracker service) {
+		double remaining = remainingWeight(now, LEARNED_DECAY_MILLIS);
+		this.reportedMean.decay(remaining);
+		this.learnedLogMean.decay(remaining);
 		double weight = REPORT_WEIGHT * (1 - remainingWeight(now, REPORT_DECAY_MILLIS));
 		this.lastReported = Math.clamp(percent / PERCENT, MIN_SLOWDOWN, MAX_REPORTED_SLOWDOWN);
 		this.reportedMean.add(this.lastReported, weight);
-		peers.recordReported(this.lastReported, weight);
+		service.recordReported(this.lastReported, weight);
 		this.reportedAt = now;
 	}
 
 	/**
-	 * Returns its pace for work that begins now.
-	 * @param millis how long the work takes at a usual pace
+	 * Estimates the slowdown of work that begins now.
+	 * @param millis how long the work takes without a slowdown
 	 */
-	Slowdown estimate(long now, double millis, ServiceSlowdownTracker peers) {
-		double left = remainingWeight(now, LEARNED_DECAY_MILLIS);
-		double usual = this.reportedMean.estimate(peers.meanReported(), left);
-		double slower = Math.exp(this.learnedLogMean.estimate(0, left));
-		double bounded = Math.clamp(slower, MIN_SLOWDOWN, MAX_LEARNED_SLOWDOWN);
-		return new Slowdown(usual * shortTermFactor(now, usual, Math.max(1, millis * usual * bounded)), bounded);
+	Slowdown estimate(long now, double millis, ServiceSlowdownTracker service) {
+		double remaining = remainingWeight(now, LEARNED_DECAY_MILLIS);
+		double baseline = this.reportedMean.estimate(service.meanReported(), remaining);
+		double learnedSlowdown = Math.exp(this.learnedLogMean.estimate(0, remaining));
+		double bounded = Math.clamp(learnedSlowdown, MIN_SLOWDOWN, MAX_LEARNED_SLOWDOWN);
+		return new Slowdown(baseline * shortTermFactor(now, baseline, Math.max(1, millis * baseline * bounded)),
+				bounded);
 	}
 
 	/**
-	 * Returns how many times longer work takes as the pace is not the usual one, which it
-	 * comes back to meanwhile: a short piece of work is slowed as a whole, a long one at
-	 * its beginning. The pace falls off exponentially; this is the time in which work
-	 * that is done at that pace ends.
+	 * Returns how many times longer work takes because the last reported slowdown differs
+	 * from the usual one. The difference decays exponentially, so short work is slowed as
+	 * a whole and long work only at its beginning; the result is the integral over the
+	 * work's duration.
 	 */
-	private double shortTermFactor(long now, double usual, double millis) {
-		double more = (this.lastReported / usual - 1) * remainingWeight(now, REPORT_DECAY_MILLIS);
-		double part = -Math.expm1(-millis / REPORT_DECAY_MILLIS);
-		return 1 + REPORT_DECAY_MILLIS / millis * Math.log1p(more * part);
+	private double shortTermFactor(long now, double baseline, double millis) {
+		double excess = (this.lastReported / baseline - 1) * remainingWeight(now, REPORT_DECAY_MILLIS);
+		double decayedShare = -Math.expm1(-millis / REPORT_DECAY_MILLIS);
+		return 1 + REPORT_DECAY_MILLIS / millis * Math.log1p(excess * decayedShare);
 	}
 
 	/**
 	 * Learns from the delay of an answer.
 	 * @param choice what was expected of it
 	 */
-	void recordAnswerDelay(ReplicaChoice choice, double millis, ServiceSlowdownTracker peers) {
+	void recordAnswerDelay(ReplicaChoice choice, double millis, ServiceSlowdownTracker service) {
 		double expected = Math.max(1, choice.delay().expectedMillis());
 		double ratio = Math.log(Math.max(1, millis) / expected * choice.slowdown().learned());
 		double bounded = Math.clamp(ratio, -MAX_LOG_RATIO, MAX_LOG_RATIO);
-		double beside = bounded - peers.meanLogRatio();
-		double variance = peers.updateVariance(beside - this.learnedLogMean.estimate(0, 1));
-		this.learnedLogMean.add(beside, PRIOR_LOG_VARIANCE / Math.max(MIN_LOG_VARIANCE, variance));
-		peers.recordDelayRatio(bounded);
+		double relativeRatio = bounded - service.meanLogRatio();
+		double variance = service.updateVariance(relativeRatio - this.learnedLogMean.estimate(0, 1));
+		this.learnedLogMean.add(relativeRatio, PRIOR_LOG_VARIANCE / Math.max(MIN_LOG_VARIANCE, variance));
+		service.recordDelayRatio(bounded);
 	}
 
-	private double remainingWeight(long now, double holds) {
-		return reported() ? Math.exp(-Math.max(0, now - this.reportedAt) / holds) : 0;
+	private double remainingWeight(long now, double decayMillis) {
+		return hasReported() ? Math.exp(-Math.max(0, now - this.reportedAt) / decayMillis) : 0;
 	}
 
 }
--- a/core/src/main/java/org/gullsaddle/serve/ReplicaState.java
+++ b/core/src/main/java/org/gullsaddle/serve/ReplicaState.java
@@ -4,21 +4,25 @@
 import org.gullsaddle.fleet.Replica;
 
 /**
- * What this node knows of one replica from its own requests there.
+ * What this node knows about one replica from its own requests and the replica's reports.
+ * Confined to one thread.
  */
 final class ReplicaState {
 
 	private static final double FAILURE_SMOOTHING = 0.1;
 
-	/** How long a first refused connection leaves a replica out, in milliseconds. */
+	/** How long a refused connection ejects a replica at least. */
 	private static final long UNREACHABLE_EJECTION_MILLIS = 700;
 
-	/** The weight from which a count of unread requests is not replaced by a guess. */
+	/** An older count of unread requests is replaced by an estimate below this weight. */
 	private static final double MIN_REPORT_WEIGHT = 0.5;
 
 	private final PrefixCacheModel promptCache = new PrefixCacheModel();
 
-	/** The requests of other nodes there, and how many of them are still to be read. */
+	/**
+	 * How many requests of other nodes the replica has, and how many of them it has yet
+	 * to read.
+	 */
 	private final ReportedLoad peerRequests = new ReportedLoad();
 
 	private final ReportedLoad peerUnreadRequests = new ReportedLoad();
@@ -31,10 +35,10 @@
 
 	private int running;
 
-	/** How many of this node's requests are still to be read there. */
+	/** How many of this node's requests the replica has yet to read. */
 	private int unreadRequests;
 
-	/** Their prompts, in tokens of the smallest model. */
+	/** The prompts of these requests, in tokens of the smallest model. */
 	private double unreadTokens;
 
 	private double failureShare;
@@ -53,19 +57,19 @@
 		this.replica = newReplica;
 	}
 
-	void onSent(ReplicaTask task, double unread, long capacity) {
+	void onSent(ReplicaTask task, double promptTokens, long capacity) {
 		this.running++;
 		this.unreadRequests++;
-		this.unreadTokens += unread;
+		this.unreadTokens += promptTokens;
 		this.promptCache.onPromptRead(task.model(), task.prompt().parts(), capacity);
 	}
 
 	/**
-	 * Notes that the replica has read a prompt, or need not any more.
+	 * Records that the replica has read a prompt, or does not need to any more.
 	 */
-	void onPromptRead(double unread) {
+	void onPromptRead(double promptTokens) {
 		this.unreadRequests = Math.max(0, this.unreadRequests - 1);
-		this.unreadTokens = Math.max(0, this.unreadTokens - unread);
+		this.unreadTokens = Math.max(0, this.unreadTokens - promptTokens);
 	}
 
 	void onEnded() {
@@ -73,12 +77,14 @@
 	}
 
 	void onLoadReport(long now, LoadReport report) {
-		double count = report.running() + report.waiting() - this.running;
-		this.peerRequests.onReport(now, count);
+		double peerCount = report.running() + report.waiting() - this.running;
+		this.peerRequests.onReport(now, peerCount);
 		if (this.peerUnreadRequests.weight(now) < MIN_REPORT_WEIGHT) {
-			// A plain report does not tell, so the others' are taken to be as this
-			// node's.
-			this.peerUnreadRequests.onReport(now, (this.running > 0) ? count * this.unreadRequests / this.running : 0);
+			// A plain report does not count unread requests, so the share of unread
+			// requests
+			// is assumed to be the same as among this node's own.
+			this.peerUnreadRequests.onReport(now,
+					(this.running > 0) ? peerCount * this.unreadRequests / this.running : 0);
 		}
 	}
 
@@ -131,21 +137,22 @@
 	}
 
 	/**
-	 * Returns how many requests are likely there.
-	 * @param usual how many other nodes have at a replica on the mean
+	 * Estimates how many requests the replica has.
+	 * @param meanPerReplica the mean number of other nodes' requests at a replica
 	 */
-	double estimateRequests(long now, double usual) {
-		return this.running + this.peerRequests.estimate(now, usual);
+	double estimateRequests(long now, double meanPerReplica) {
+		return this.running + this.peerRequests.estimate(now, meanPerReplica);
 	}
 
 	/**
-	 * Returns what it likely has still to read, in tokens of the smallest model: what
-	 * this node gave it, and for each request of other nodes as much as one has here.
-	 * @param usual how many unread requests of other nodes a replica has on the mean
-	 * @param tokens how much a request of this node has to be read, in such tokens
+	 * Estimates how much the replica has yet to read, in tokens of the smallest model:
+	 * this node's prompts, and the mean prompt of this node for each unread request of
+	 * others.
+	 * @param meanPerReplica the mean number of other nodes' unread requests at a replica
+	 * @param tokensPerRequest the mean work of this node's requests, in such tokens
 	 */
-	double estimateBacklogTokens(long now, double usual, double tokens) {
-		return this.unreadTokens + tokens * this.peerUnreadRequests.estimate(now, usual);
+	double estimateBacklogTokens(long now, double meanPerReplica, double tokensPerRequest) {
+		return this.unreadTokens + tokensPerRequest * this.peerUnreadRequests.estimate(now, meanPerReplica);
 	}
 
 	int cachedTokens(ReplicaTask task) {
--- a/core/src/main/java/org/gullsaddle/serve/ReplicaTask.java
+++ b/core/src/main/java/org/gullsaddle/serve/ReplicaTask.java
@@ -1,12 +1,12 @@
 package org.gullsaddle.serve;
 
 /**
- * What a replica is asked to do, as far as it decides where.
+ * The properties of a request that matter for the choice of a replica.
  *
  * @param model the model that is to run, empty for a plain service
  * @param prompt the prompt, {@link Prompt#NONE} for a plain service
  * @param slowdown how many times longer the model takes over a token than the smallest
- * @param sizeClass how the model compares with the others of its service
+ * @param sizeClass the model's size class
  * @param cacheTokens how many tokens the engine's memory holds
  * @param objectiveMillis how soon its answer is to begin, in milliseconds
  */
@@ -14,7 +14,7 @@
 		long objectiveMillis) {
 
 	/**
-	 * Makes a call to a plain service.
+	 * Creates a call to a plain service.
 	 * @param objectiveMillis how soon it is to be answered, in milliseconds
 	 * @return the task
 	 */
--- a/core/src/main/java/org/gullsaddle/serve/ReportedLoad.java
+++ b/core/src/main/java/org/gullsaddle/serve/ReportedLoad.java
@@ -1,16 +1,18 @@
 package org.gullsaddle.serve;
 
 /**
- * How many requests of other nodes a replica has, by what it reported last.
+ * Estimates how many requests of other nodes a replica has, from its last report.
  * <p>
- * A count holds for about as long as a request takes. The older the report is, the more
- * the mean of all replicas counts in its place: a node that meets a replica every ten
- * seconds would otherwise take an old queue, or an old lull, for today's, and one that it
- * has never met for idle.
+ * A count is valid for about as long as a request takes. The older the report, the more
+ * the mean of all replicas replaces it: a node that uses a replica every ten seconds
+ * would otherwise rely on an outdated queue length, and would assume that a replica it
+ * has never used is idle.
  */
 final class ReportedLoad {
 
-	/** How long a count stays about as it was, in milliseconds. */
+	/**
+	 * Time constant of the decay of a report: queues stay about the same for this long.
+	 */
 	private static final double DECAY_MILLIS = 1500;
 
 	private double count;
@@ -18,9 +20,9 @@
 	private long reportedAt = Long.MIN_VALUE;
 
 	/**
-	 * Takes in a count.
+	 * Records a count.
 	 * @param now the time in milliseconds
-	 * @param newCount how many requests are not this node's
+	 * @param newCount how many requests belong to other nodes
 	 */
 	void onReport(long now, double newCount) {
 		this.count = Math.max(0, newCount);
@@ -28,7 +30,7 @@
 	}
 
 	/**
-	 * Returns how old the report is, in milliseconds, or the longest time if there is
+	 * Returns the age of the report in milliseconds, or the longest time if there is
 	 * none.
 	 */
 	long ageMillis(long now) {
@@ -36,23 +38,23 @@
 	}
 
 	/**
-	 * Says how much the report still tells, from 1 for a new one to 0.
+	 * Returns the weight of the report, from 1 if it is new to 0.
 	 */
 	double weight(long now) {
 		return (this.reportedAt != Long.MIN_VALUE) ? Math.exp(-(now - this.reportedAt) / DECAY_MILLIS) : 0;
 	}
 
 	/**
-	 * Returns how many are likely there.
-	 * @param usual how many are there on the mean of all replicas
+	 * Estimates the present count.
+	 * @param meanCount the mean count of all replicas
 	 */
-	double estimate(long now, double usual) {
+	double estimate(long now, double meanCount) {
 		double weight = weight(now);
-		return weight * this.count + (1 - weight) * usual;
+		return weight * this.count + (1 - weight) * meanCount;
 	}
 
 	/**
-	 * Returns the mean of several replicas' counts, by how much each still tells.
+	 * Returns the mean of several replicas' counts, weighted by the age of each.
 	 */
 	static double mean(long now, Iterable<ReportedLoad> loads) {
 		double sum = 0;
--- a/core/src/main/java/org/gullsaddle/serve/ServiceSlowdownTracker.java
+++ b/core/src/main/java/org/gullsaddle/serve/ServiceSlowdownTracker.java
@@ -1,7 +1,8 @@
 package org.gullsaddle.serve;
 
 /**
- * What the replicas of a service tell and take on the mean. Confined to one thread.
+ * Tracks the mean reported slowdown and the mean delay of a service's replicas. Confined
+ * to one thread.
  */
 final class ServiceSlowdownTracker {
 
@@ -11,8 +12,8 @@
 
 	private final DecayingMean squaredErrorMean = new DecayingMean();
 
-	void recordReported(double figure, double weight) {
-		this.reportedMean.add(figure, weight);
+	void recordReported(double slowdown, double weight) {
+		this.reportedMean.add(slowdown, weight);
 	}
 
 	void recordDelayRatio(double ratio) {
@@ -20,8 +21,9 @@
 	}
 
 	/**
-	 * Takes in how far a delay was from what is known of its replica, and returns the
-	 * variance of that: it is large while what is expected of all is still learned.
+	 * Records the error of a delay, relative to what is known about its replica, and
+	 * returns the variance of errors. It is large while the delays of the service are
+	 * still being learned.
 	 */
 	double updateVariance(double error) {
 		this.squaredErrorMean.add(error * error, 1);
@@ -33,8 +35,8 @@
 	}
 
 	/**
-	 * Returns by how much answers take longer than expected, as a logarithm: what is
-	 * expected of all is learned elsewhere, and a replica is compared with the others.
+	 * Returns the mean logarithm of actual to expected delays. Expected delays are
+	 * learned by the delay model, so a replica is compared with its peers only.
 	 */
 	double meanLogRatio() {
 		return this.logRatioMean.estimate(0, 1);
--- a/core/src/main/java/org/gullsaddle/serve/SilentReplicaPolicy.java
+++ b/core/src/main/java/org/gullsaddle/serve/SilentReplicaPolicy.java
@@ -7,42 +7,43 @@
 import org.gullsaddle.fleet.ReplicaId;
 
 /**
- * Decides what a request does whose replica sends nothing: an engine with a long queue is
- * as silent as one that went dark, but it answers a question for its load. Confined to
- * one thread.
+ * Decides what to do with a request whose replica sends nothing: an engine with a long
+ * queue is as silent as one that has failed, but it answers a load query. Confined to one
+ * thread.
  * <p>
- * Moved for the silence of a queue, a request loses its place there and is run anew
- * elsewhere, behind others that were moved as well: the queues stay as long, and much of
- * the work is done twice.
+ * A request that is moved because of a queue loses its place and starts again elsewhere,
+ * behind others that were moved as well: the queues stay as long, and much of the work is
+ * done twice.
  */
 public final class SilentReplicaPolicy {
 
 	/**
-	 * How often one replica is asked at most, in milliseconds; questions are paid for.
+	 * The shortest interval between two queries to one replica, since queries are paid
+	 * for.
 	 */
 	private static final long MIN_QUERY_INTERVAL_MILLIS = 1000;
 
 	/**
-	 * How long before the end of a request's patience its replica is asked, in
-	 * milliseconds, so that one that went dark is left no later than without a question.
+	 * How long before the end of a request's patience its replica is queried, so that a
+	 * query does not delay the move away from a failed replica.
 	 */
 	public static final long LOAD_QUERY_MILLIS = 150;
 
 	/**
-	 * What part of the wait here another replica may take to be clearly sooner: a request
-	 * that waits is half through its queue on the mean.
+	 * Another replica is clearly sooner below this share of the wait at the current one:
+	 * on average, a waiting request is halfway through its queue.
 	 */
 	private static final double CLEARLY_SOONER_RATIO = 0.5;
 
 	private final Map<ReplicaId, LoadQuery> queries = new HashMap<>();
 
 	/**
-	 * Decides what a request does.
+	 * Decides what to do with a request.
 	 * @param now the time in milliseconds
 	 * @param replica the replica that has it
-	 * @param silentSince since when nothing came from there, in milliseconds
+	 * @param silentSince since when nothing was received from there, in milliseconds
 	 * @param patienceMillis how long that may last, in milliseconds
-	 * @return what it does
+	 * @return the action
 	 */
 	public Action decideAction(long now, ReplicaId replica, long silentSince, long patienceMillis) {
 		long patienceEnds = silentSince + patienceMillis;
@@ -51,31 +52,32 @@
 		}
 		return switch (this.queries.get(replica)) {
 			case null -> Action.QUERY_LOAD;
-			case LoadQuery.Pending open -> Action.WAIT;
-			case LoadQuery.Queued queues -> decideWithQueue(now, queues.reportedAt(), patienceEnds, patienceMillis);
-			case LoadQuery.Unqueued noQueue -> decideWithoutQueue(now, noQueue.endedAt(), silentSince, patienceEnds);
+			case LoadQuery.Pending pending -> Action.WAIT;
+			case LoadQuery.Queued queued -> decideWithQueue(now, queued.reportedAt(), patienceEnds, patienceMillis);
+			case LoadQuery.Unqueued unqueued -> decideWithoutQueue(now, unqueued.endedAt(), silentSince, patienceEnds);
 		};
 	}
 
 	/**
-	 * What it told counts as heard: it is asked again a whole patience later.
+	 * A report counts as received bytes: the replica is queried again after another
+	 * patience.
 	 */
-	private static Action decideWithQueue(long now, long toldAt, long patienceEnds, long patienceMillis) {
-		if (now >= toldAt + Math.max(MIN_QUERY_INTERVAL_MILLIS, patienceMillis - LOAD_QUERY_MILLIS)) {
+	private static Action decideWithQueue(long now, long reportedAt, long patienceEnds, long patienceMillis) {
+		if (now >= reportedAt + Math.max(MIN_QUERY_INTERVAL_MILLIS, patienceMillis - LOAD_QUERY_MILLIS)) {
 			return Action.QUERY_LOAD;
 		}
 		return (now > patienceEnds) ? Action.STAY : Action.WAIT;
 	}
 
-	private static Action decideWithoutQueue(long now, long at, long silentSince, long patienceEnds) {
-		if (now >= at + MIN_QUERY_INTERVAL_MILLIS) {
+	private static Action decideWithoutQueue(long now, long endedAt, long silentSince, long patienceEnds) {
+		if (now >= endedAt + MIN_QUERY_INTERVAL_MILLIS) {
 			return Action.QUERY_LOAD;
 		}
-		return (now > patienceEnds && at > silentSince) ? Action.LEAVE : Action.WAIT;
+		return (now > patienceEnds && endedAt > silentSince) ? Action.LEAVE : Action.WAIT;
 	}
 
 	/**
-	 * Notes that a replica is asked for its load.
+	 * Records that a replica's load is being queried.
 	 * @param replica the replica
 	 */
 	public void onLoadQuery(ReplicaId replica) {
@@ -83,19 +85,19 @@
 	}
 
 	/**
-	 * Notes what it told.
+	 * Records the answer to a query.
 	 * @param now the time in milliseconds
 	 * @param replica the replica
 	 * @param report its load
 	 */
 	public void onLoadReport(long now, ReplicaId replica, EngineReport report) {
-		// Without prompts to be read, no request waits for its turn there.
+		// If no prompts are unread, no request waits for its turn there.
 		this.queries.put(replica,
 				(report.unreadRequests() > 0) ? new LoadQuery.Queued(now) : new LoadQuery.Unqueued(now));
 	}
 
 	/**
-	 * Notes that it told nothing in time.
+	 * Records that a query was not answered in time.
 	 * @param now the time in milliseconds
 	 * @param replica the replica
 	 */
@@ -104,62 +106,62 @@
 	}
 
 	/**
-	 * Forgets replicas that are gone.
-	 * @param known those to remember
+	 * Removes the queries to replicas that are gone.
+	 * @param known the replicas to keep
 	 */
 	public void retain(Set<ReplicaId> known) {
 		this.queries.keySet().retainAll(known);
 	}
 
 	/**
-	 * Says whether an answer would begin clearly sooner at another replica. A move costs
-	 * the place in the queue, and both delays are guesses.
-	 * @param here when it would begin here if the request came now
-	 * @param there when it would begin at the other replica
-	 * @return true if the request is better moved
+	 * Returns whether an answer would begin clearly sooner at another replica. A move
+	 * gives up the place in the queue, and both delays are estimates.
+	 * @param current when it would begin here if the request were sent now
+	 * @param other when it would begin at the other replica
+	 * @return true if the request should be moved
 	 */
-	public static boolean isClearlySooner(DelayEstimate here, DelayEstimate there) {
-		return there.expectedMillis() + there.deviationMillis() < CLEARLY_SOONER_RATIO * here.expectedMillis();
+	public static boolean isClearlySooner(DelayEstimate current, DelayEstimate other) {
+		return other.expectedMillis() + other.deviationMillis() < CLEARLY_SOONER_RATIO * current.expectedMillis();
 	}
 
 	/**
-	 * What a request does.
+	 * What to do with a request.
 	 */
 	public enum Action {
 
-		/** It waits: its patience is not over, or an answer is expected. */
+		/** Wait: its patience is not over, or a query is open. */
 		WAIT,
 
-		/** Its replica is asked for its load. */
+		/** Query the load of its replica. */
 		QUERY_LOAD,
 
-		/** It waits its turn, unless another replica would begin clearly sooner. */
+		/** Wait in the queue, unless another replica would begin clearly sooner. */
 		STAY,
 
-		/** It leaves. */
+		/** Leave the replica. */
 		LEAVE
 
 	}
 
 	/**
-	 * The last question to a replica.
+	 * The last query to a replica.
 	 */
 	private sealed interface LoadQuery {
 
 		/**
-		 * It was not answered yet.
+		 * The query is not answered yet.
 		 */
 		record Pending() implements LoadQuery {
 		}
 
 		/**
-		 * The replica told of requests that wait their turn.
+		 * The replica reported requests that wait for their turn.
 		 */
 		record Queued(long reportedAt) implements LoadQuery {
 		}
 
 		/**
-		 * It told of none, or nothing at all.
+		 * The replica reported none, or did not answer.
 		 */
 		record Unqueued(long endedAt) implements LoadQuery {
 		}
--- a/core/src/main/java/org/gullsaddle/serve/Slowdown.java
+++ b/core/src/main/java/org/gullsaddle/serve/Slowdown.java
@@ -1,20 +1,20 @@
 package org.gullsaddle.serve;
 
 /**
- * How many times longer than expected of its service a replica takes, by what was known
- * when it was looked at.
+ * How many times longer a replica takes than expected of its service, as estimated when
+ * the replica was considered.
  *
- * @param reported by what it told of itself
- * @param learned beyond that, by how long its answers took
+ * @param reported the slowdown that it reported
+ * @param learned the slowdown beyond that, learned from the delays of its answers
  */
 public record Slowdown(double reported, double learned) {
 
-	/** The pace of a replica whose service tells none. */
+	/** The slowdown of a replica whose service reports none. */
 	public static final Slowdown NONE = new Slowdown(1, 1);
 
 	/**
 	 * Returns how many times longer it takes altogether.
-	 * @return more than 0, 1 for as long as expected
+	 * @return more than 0, 1 if it takes as long as expected
 	 */
 	public double factor() {
 		return this.reported * this.learned;
--- a/core/src/main/java/org/gullsaddle/serve/SlowdownTracker.java
+++ b/core/src/main/java/org/gullsaddle/serve/SlowdownTracker.java
@@ -7,32 +7,33 @@
 import org.gullsaddle.fleet.ServiceName;
 
 /**
- * The paces of replicas. A service counts from when one of its replicas tells a pace;
- * before, all of them are usual and nothing is learned. Confined to one thread.
+ * Tracks the slowdowns of replicas by service. A service is tracked once one of its
+ * replicas has reported a slowdown; before, all its replicas have none, and nothing is
+ * learned. Confined to one thread.
  */
 final class SlowdownTracker {
 
 	private final Map<ServiceName, ServiceSlowdownTracker> services = new HashMap<>();
 
 	void onReported(long now, ReplicaState state, int percent) {
-		ServiceSlowdownTracker peers = this.services.computeIfAbsent(state.replica().service(),
+		ServiceSlowdownTracker tracker = this.services.computeIfAbsent(state.replica().service(),
 				(service) -> new ServiceSlowdownTracker());
-		state.slowdown().reported(now, percent, peers);
+		state.slowdown().onReported(now, percent, tracker);
 	}
 
 	Slowdown estimate(long now, ReplicaState state, double millis) {
-		ServiceSlowdownTracker peers = this.services.get(state.replica().service());
-		return (peers != null) ? state.slowdown().estimate(now, millis, peers) : Slowdown.NONE;
+		ServiceSlowdownTracker tracker = this.services.get(state.replica().service());
+		return (tracker != null) ? state.slowdown().estimate(now, millis, tracker) : Slowdown.NONE;
 	}
 
 	/**
-	 * Learns how long an answer took to begin, or that it had not begun by then, which
-	 * says something only if it was expected to.
+	 * Records how long an answer took to begin, or that it had not begun by then, which
+	 * is informative only if it was overdue.
 	 */
 	void recordAnswerDelay(ReplicaState state, ReplicaChoice choice, double millis, boolean begun) {
-		ServiceSlowdownTracker peers = this.services.get(state.replica().service());
-		if (peers != null && (begun || millis > choice.delay().expectedMillis())) {
-			state.slowdown().recordAnswerDelay(choice, millis, peers);
+		ServiceSlowdownTracker tracker = this.services.get(state.replica().service());
+		if (tracker != null && (begun || millis > choice.delay().expectedMillis())) {
+			state.slowdown().recordAnswerDelay(choice, millis, tracker);
 		}
 	}
 
