--- a/core/src/test/java/org/gullsaddle/serve/ReplicaEligibilityTests.java
+++ b/core/src/test/java/org/gullsaddle/serve/ReplicaEligibilityTests.java
@@ -41,12 +41,12 @@
 
 	private final ReplicaDirectory directory = new ReplicaDirectory();
 
-	private final NodeLocation place = new NodeLocation("a", Map.of("a", "north", "b", "north", "c", "south"));
+	private final NodeLocation location = new NodeLocation("a", Map.of("a", "north", "b", "north", "c", "south"));
 
-	private final BackpressureBook backpressure = new BackpressureBook(NODE, this.place,
+	private final BackpressureBook backpressure = new BackpressureBook(NODE, this.location,
 			() -> Optional.of(List.of(new Peer(NODE, "a"))), new Random(1));
 
-	private final ReplicaEligibility eligibility = new ReplicaEligibility(this.directory, this.place,
+	private final ReplicaEligibility eligibility = new ReplicaEligibility(this.directory, this.location,
 			new ColdReplicaLimiter("node"), this.backpressure, new CrashBook());
 
 	private static Replica replica(String dataCenter, String release) {
