--- a/core/src/test/java/org/gullsaddle/serve/ColdReplicaLimiterTests.java
+++ b/core/src/test/java/org/gullsaddle/serve/ColdReplicaLimiterTests.java
@@ -21,7 +21,7 @@
 
 	private static final double PER_SECOND = 5;
 
-	/** What a replica bears in any one second before it crashes. */
+	/** What a replica accepts in any one second before it crashes. */
 	private static final int MAX_REQUESTS_IN_ONE_SECOND = 12;
 
 	private static final Replica REPLICA = new Replica(new ReplicaId("cold"), new ServiceName("engines"),
@@ -29,18 +29,18 @@
 
 	@Test
 	void singleNodeStaysWithinItsShare() {
-		ColdReplicaLimiter pace = new ColdReplicaLimiter("node");
+		ColdReplicaLimiter limiter = new ColdReplicaLimiter("node");
 		int sent = 0;
-		while (pace.canSend(0, REPLICA, PER_SECOND, 1)) {
-			pace.onSent(0, REPLICA);
+		while (limiter.canSend(0, REPLICA, PER_SECOND, 1)) {
+			limiter.onSent(0, REPLICA);
 			sent++;
 		}
 		assertThat(sent).isBetween(1, 2);
 	}
 
 	/**
-	 * Guards against a herd: nodes that all have requests waiting send them to the same
-	 * cold replica at once. Their clocks are apart, and some start again.
+	 * Guards against a stampede: nodes that all have requests waiting send them to the
+	 * same cold replica at once. Their clocks differ, and some nodes restart.
 	 */
 	@ParameterizedTest
 	@ValueSource(ints = { 4, 31, 100, 340 })
@@ -61,8 +61,7 @@
 	}
 
 	/**
-	 * Guards against a pace so low that a region whose replicas are all cold stands
-	 * still.
+	 * Guards against a limit so low that a region with only cold replicas serves nothing.
 	 */
 	@ParameterizedTest
 	@ValueSource(ints = { 4, 31, 340 })
@@ -70,36 +69,36 @@
 		assertThat(simulateSends(nodes, nodes, 1, 60_000)).hasSizeGreaterThan((int) (60 * PER_SECOND / 4));
 	}
 
-	private static int maxSentInOneSecond(int nodes, int believed, int seed) {
+	private static int maxSentInOneSecond(int nodes, int assumedNodes, int seed) {
 		Deque<Long> window = new ArrayDeque<>();
-		int most = 0;
-		for (long at : simulateSends(nodes, believed, seed, 5000)) {
+		int max = 0;
+		for (long at : simulateSends(nodes, assumedNodes, seed, 5000)) {
 			window.addLast(at);
 			while (window.getFirst() <= at - 1000) {
 				window.removeFirst();
 			}
-			most = Math.max(most, window.size());
+			max = Math.max(max, window.size());
 		}
-		return most;
+		return max;
 	}
 
 	/**
-	 * Lets nodes that always have a request waiting send as soon as they may.
+	 * Simulates nodes that always have a request waiting and send it as soon as they may.
 	 */
-	private static List<Long> simulateSends(int nodes, int believed, int seed, long millis) {
+	private static List<Long> simulateSends(int nodes, int assumedNodes, int seed, long millis) {
 		Random random = new Random(seed);
-		List<ColdReplicaLimiter> paces = new ArrayList<>();
+		List<ColdReplicaLimiter> limiters = new ArrayList<>();
 		List<Long> clocks = new ArrayList<>();
 		for (int i = 0; i < nodes; i++) {
-			paces.add(new ColdReplicaLimiter("node-" + seed + '-' + i));
+			limiters.add(new ColdReplicaLimiter("node-" + seed + '-' + i));
 			clocks.add(random.nextLong(100_000));
 		}
 		List<Long> sent = new ArrayList<>();
 		for (long now = 0; now < millis; now += 20) {
 			for (int i = 0; i < nodes; i++) {
-				long own = now + clocks.get(i);
-				if (paces.get(i).canSend(own, REPLICA, PER_SECOND, believed)) {
-					paces.get(i).onSent(own, REPLICA);
+				long nodeTime = now + clocks.get(i);
+				if (limiters.get(i).canSend(nodeTime, REPLICA, PER_SECOND, assumedNodes)) {
+					limiters.get(i).onSent(nodeTime, REPLICA);
 					sent.add(now);
 				}
 			}
--- a/core/src/test/java/org/gullsaddle/serve/DelayEstimatorTests.java
+++ b/core/src/test/java/org/gullsaddle/serve/DelayEstimatorTests.java
@@ -28,9 +28,9 @@
 
 	private final Random random = new Random(1);
 
-	private static ReplicaTask task(String model, double pace) {
-		return new ReplicaTask(model, new Prompt(1000, 100, OptionalInt.empty(), List.of()), pace, ModelSizeClass.LARGE,
-				100_000, OBJECTIVE_MILLIS);
+	private static ReplicaTask task(String model, double slowdown) {
+		return new ReplicaTask(model, new Prompt(1000, 100, OptionalInt.empty(), List.of()), slowdown,
+				ModelSizeClass.LARGE, 100_000, OBJECTIVE_MILLIS);
 	}
 
 	private static Replica replica(String release) {
@@ -58,9 +58,9 @@
 	}
 
 	/**
-	 * Guards against keeping the small model's doubted answers on engines several times
-	 * faster than those that figures were taken from, and against promising what slower
-	 * ones cannot hold.
+	 * Guards against keeping the small model's answers with low confidence on engines
+	 * several times faster than those that the prior comes from, and against expecting of
+	 * slower ones what they cannot meet.
 	 */
 	@ParameterizedTest
 	@ValueSource(doubles = { 0.02, 0.1, 0.5 })
--- a/core/src/test/java/org/gullsaddle/serve/LossTests.java
+++ b/core/src/test/java/org/gullsaddle/serve/LossTests.java
@@ -56,9 +56,9 @@
 	void otherRegionCostsMoreThanOtherDataCenter() {
 		assertThat(loss(new Loss.Distance())).isZero();
 		this.distance = Distance.SAME_REGION;
-		double next = loss(new Loss.Distance());
+		double otherDataCenterLoss = loss(new Loss.Distance());
 		this.distance = Distance.OTHER_REGION;
-		assertThat(loss(new Loss.Distance())).isGreaterThan(next);
+		assertThat(loss(new Loss.Distance())).isGreaterThan(otherDataCenterLoss);
 	}
 
 	@Test
@@ -85,17 +85,17 @@
 
 		@Test
 		void soonerAnswerLosesLess() {
-			double soon = loss(new Loss.Lateness());
+			double soonerLoss = loss(new Loss.Lateness());
 			LossTests.this.delay = new DelayEstimate(1000, 10);
-			assertThat(loss(new Loss.Lateness())).isGreaterThan(soon);
+			assertThat(loss(new Loss.Lateness())).isGreaterThan(soonerLoss);
 		}
 
 		@Test
 		void uncertainEstimateRaisesTheLoss() {
 			LossTests.this.delay = new DelayEstimate(2500, 10);
-			double sure = loss(new Loss.Lateness());
+			double certainLoss = loss(new Loss.Lateness());
 			LossTests.this.delay = new DelayEstimate(2500, 1000);
-			assertThat(loss(new Loss.Lateness())).isGreaterThan(sure);
+			assertThat(loss(new Loss.Lateness())).isGreaterThan(certainLoss);
 		}
 
 	}
@@ -110,8 +110,8 @@
 		}
 
 		/**
-		 * Guards against a prompt of the largest model that is read for seconds at the
-		 * only home of the small one, where dozens of short requests wait behind it.
+		 * Guards against a prompt of the largest model that is read for seconds on the
+		 * only replica for the small one, where dozens of short requests wait behind it.
 		 */
 		@Test
 		void longPromptOnANonDedicatedReplicaCostsMoreThanWaiting() {
@@ -125,9 +125,9 @@
 		@Test
 		void growsWithTheNumberOfRequests() {
 			LossTests.this.dedicated = false;
-			double idle = loss(new Loss.MixedSizes());
+			double idleLoss = loss(new Loss.MixedSizes());
 			LossTests.this.meanRequests = 10;
-			assertThat(loss(new Loss.MixedSizes())).isGreaterThan(idle);
+			assertThat(loss(new Loss.MixedSizes())).isGreaterThan(idleLoss);
 		}
 
 	}
--- a/core/src/test/java/org/gullsaddle/serve/ModelSelectorTests.java
+++ b/core/src/test/java/org/gullsaddle/serve/ModelSelectorTests.java
@@ -38,10 +38,10 @@
 	}
 
 	/**
-	 * Twice the usual number of callers come. The largest model's answers come late, one
-	 * after another; asked as often as before, it would make all answers late. Answers
-	 * that are surely wrong are still replaced, and when the load is over doubt counts as
-	 * before.
+	 * Twice the usual number of callers arrive, and answers of the largest model are
+	 * late. Asking it as often as before would make all answers late. Answers that are
+	 * surely wrong are still replaced, and after the load the threshold returns to its
+	 * former level.
 	 */
 	@Test
 	void lateAnswersOfTheLargestModelLowerTheThresholdUntilTheyAreInTimeAgain() {
@@ -87,7 +87,10 @@
 			}
 		}
 
-		/** Guards against answers that are surely wrong though engines have room. */
+		/**
+		 * Guards against keeping answers that are surely wrong although engines have
+		 * capacity.
+		 */
 		@Test
 		void wrongAnswerIsReplacedEvenIfTheNewOneMayBeLate() {
 			assertThat(isWorthAsking(10, POSSIBLY_LATE)).isTrue();
@@ -120,9 +123,9 @@
 		}
 
 		/**
-		 * On a heavy day two in five answers are doubted, and the largest model, ten
-		 * times as slow, is behind with all of them. Half of the doubted ones are only
-		 * just too hard for the smallest.
+		 * Under heavy load two in five answers have low confidence, and the largest
+		 * model, ten times as slow, is late with all of them. Half of these requests are
+		 * only slightly too hard for the smallest model.
 		 */
 		@Test
 		void nearlySufficientAnswerGoesToTheMiddleModel() {
--- a/core/src/test/java/org/gullsaddle/serve/ModelSizePartitionTests.java
+++ b/core/src/test/java/org/gullsaddle/serve/ModelSizePartitionTests.java
@@ -24,9 +24,9 @@
 	private final ModelSizePartition partition = new ModelSizePartition(
 			new NodeLocation("a", Map.of("a", "north", "b", "north", "c", "south")));
 
-	private static ReplicaTask task(String model, double pace, ModelSizeClass scale) {
+	private static ReplicaTask task(String model, double slowdown, ModelSizeClass sizeClass) {
 		Prompt prompt = new Prompt(1000, 10, OptionalInt.empty(), List.of(new PromptPart("p", 1000)));
-		return new ReplicaTask(model, prompt, pace, scale, 100_000, 4000);
+		return new ReplicaTask(model, prompt, slowdown, sizeClass, 100_000, 4000);
 	}
 
 	private static List<Replica> replicas(int count) {
@@ -34,7 +34,7 @@
 	}
 
 	/**
-	 * Returns replicas that are dealt out over data centers.
+	 * Returns replicas that are spread over data centers.
 	 */
 	private static List<Replica> replicas(int count, String... dataCenters) {
 		return IntStream.range(0, count)
@@ -47,7 +47,7 @@
 		return replicas - this.partition.nonDedicatedReplicas(replicas(replicas), SMALL).size();
 	}
 
-	/** Guards against an engine that stays idle where there is only one model. */
+	/** Guards against an idle engine where there is only one model. */
 	@Test
 	void singleModelMayUseEveryReplica() {
 		ReplicaTask only = task("only", 1, ModelSizeClass.SIMILAR);
@@ -73,9 +73,9 @@
 		}
 
 		/**
-		 * Guards against half of the engines for the small models where each data center
-		 * has two: the largest model's streams then run thirty at a time on the other
-		 * half, and take longer than callers wait.
+		 * Guards against dedicating half of the engines to small models where each data
+		 * center has two: the largest model's streams then run thirty at a time on the
+		 * other half, and take longer than callers wait.
 		 */
 		@Test
 		void replicasOfARegionArePartitionedTogether() {
@@ -100,9 +100,9 @@
 	}
 
 	/**
-	 * So much comes that few answers are replaced by the largest model's. Small requests
-	 * queued on a quarter of the replicas for seconds, while those for the large model
-	 * had little to do.
+	 * Under load few answers are replaced by the largest model's. Small requests queued
+	 * on a quarter of the replicas for seconds, while those for the large model had
+	 * little to do.
 	 */
 	@Nested
 	class WhenNearlyAllWorkIsSmall {
@@ -129,7 +129,7 @@
 	}
 
 	/**
-	 * Room is short: nodes that see different work must agree on every home.
+	 * Capacity is short: nodes that see different work must compute the same partition.
 	 */
 	@Nested
 	class WithStrictSeparation {
--- a/core/src/test/java/org/gullsaddle/serve/ModelSlowdownTests.java
+++ b/core/src/test/java/org/gullsaddle/serve/ModelSlowdownTests.java
@@ -20,7 +20,7 @@
 		assertThat(ModelSlowdown.of("unknown", THREE)).isEqualTo(1);
 	}
 
-	/** Guards against sizes that are told apart by the prices of one deployment. */
+	/** Guards against size classes that fit the prices of one deployment only. */
 	@Test
 	void sizeClassDependsOnTheModelsOfTheService() {
 		assertThat(ModelSlowdown.sizeClass("half", THREE)).isEqualTo(ModelSizeClass.SMALL);
--- a/core/src/test/java/org/gullsaddle/serve/QueueBoundsTests.java
+++ b/core/src/test/java/org/gullsaddle/serve/QueueBoundsTests.java
@@ -69,7 +69,7 @@
 		assertThat(bounds.maxQueueMillis(1)).isEqualTo(bounds(routeWithTwoModels(1, 4000)).maxQueueMillis(1));
 	}
 
-	/** Teams have ranks of their own, which no route needs to have. */
+	/** Teams have their own ranks, which need not be the rank of any route. */
 	@Test
 	void rankBetweenThoseOfRoutesCountsAsTheNextMoreUrgent() {
 		QueueBounds bounds = bounds(routeWithTwoModels(1, 1000), routeWithTwoModels(5, 1000));
@@ -84,7 +84,7 @@
 	}
 
 	/**
-	 * A burst of one kind fills the larger model's queue.
+	 * A burst of one kind of request fills the larger model's queue.
 	 */
 	@Nested
 	class WhileAQueueGrowsAndShrinks {
--- a/core/src/test/java/org/gullsaddle/serve/ReplicaEligibilityTests.java
+++ b/core/src/test/java/org/gullsaddle/serve/ReplicaEligibilityTests.java
@@ -66,8 +66,8 @@
 		return (text != null) ? Arrays.asList(text.split(" ")) : List.of();
 	}
 
-	private String eligible(Requirements wanted) {
-		return this.eligibility.eligibleReplicas(0, wanted, Set.of())
+	private String eligible(Requirements required) {
+		return this.eligibility.eligibleReplicas(0, required, Set.of())
 			.stream()
 			.map((replica) -> replica.id().value())
 			.collect(Collectors.joining(" "));
@@ -79,8 +79,8 @@
 	}
 
 	/**
-	 * Guards against a cold replica of a region that is not allowed, which serves
-	 * nothing.
+	 * Guards against counting a cold replica of a region that is not allowed, which
+	 * serves nothing.
 	 */
 	@Test
 	void onlyColdReplicasOfAllowedRegionsCount() {
@@ -90,7 +90,7 @@
 		assertThat(this.eligibility.hasColdReplica(2000, requirements(RegionLimit.ANYWHERE))).isFalse();
 	}
 
-	/** Guards against a way past one rule where another one binds too. */
+	/** Guards against a request that passes one rule by way of another. */
 	@ParameterizedTest
 	@CsvSource({ "'', '', '', a-v1 b-v1 c-v1", "north, '', '', a-v1 b-v1", "south, '', '', c-v1", "west, '', '', ''",
 			"'', a, '', b-v1 c-v1", "'', a c, '', b-v1", "'', a b c, '', ''", "south, c, '', ''",
@@ -160,7 +160,7 @@
 			assertThat(sent).isBetween(1, 20);
 		}
 
-		/** Guards against nodes that all take the whole of what a replica bears. */
+		/** Guards against nodes that each use the whole cold-start limit of a replica. */
 		@Test
 		void replicaReceivesNothingIfTheNodeCountIsUnknown() {
 			Requirements uncounted = new Requirements(ENGINES, regionLimit("south"), COLD_START, Optional.empty(),
@@ -187,8 +187,8 @@
 
 		private final Requirements north = requirements(regionLimit("north"));
 
-		private Set<ReplicaId> excluded(Requirements wanted) {
-			return ReplicaEligibilityTests.this.eligibility.excludedReplicas(0, wanted, Set.of());
+		private Set<ReplicaId> excluded(Requirements required) {
+			return ReplicaEligibilityTests.this.eligibility.excludedReplicas(0, required, Set.of());
 		}
 
 		private void askForBackOff(String dataCenter, String release) {
@@ -197,7 +197,8 @@
 		}
 
 		/**
-		 * Guards against models whose homes move each time that a replica has no room.
+		 * Guards against a model partition that moves each time a replica has no
+		 * capacity.
 		 */
 		@Test
 		void backingOffReplicaIsExcludedButStillEligible() {
@@ -220,7 +221,7 @@
 				.isEqualTo(NoReplica.RESTING);
 		}
 
-		/** Guards against cold replicas that stand idle while all warm ones rest. */
+		/** Guards against cold replicas that stay idle while all warm ones back off. */
 		@Test
 		void coldReplicasGetAFewRequestsIfAllWarmOnesBackOff() {
 			ReplicaEligibilityTests.this.directory.cold(0, replica("b", "v1"), 1000);
@@ -230,7 +231,8 @@
 		}
 
 		/**
-		 * Guards against callers who are exposed to a new release as the old one rests.
+		 * Guards against exposing callers to a new release because replicas of the old
+		 * one back off.
 		 */
 		@Test
 		void requestsOfTheOldReleaseDoNotMoveToTheNewOneOnBackOff() {
@@ -240,11 +242,11 @@
 			});
 			Rollout justBegun = new Rollout(0, new RolloutOrder(ENGINES, "v2", 10_000), 1);
 			ReleaseKey session = new ReleaseKey("session", true);
-			Requirements wanted = new Requirements(ENGINES, RegionLimit.ANYWHERE, COLD_START, Optional.of(1),
+			Requirements required = new Requirements(ENGINES, RegionLimit.ANYWHERE, COLD_START, Optional.of(1),
 					Optional.of(justBegun), session, List.of());
-			Set<ReplicaId> leftOut = excluded(wanted);
-			assertThat(ReplicaEligibilityTests.this.eligibility.eligibleReplicas(0, wanted, leftOut))
-				.allMatch((replica) -> leftOut.contains(replica.id()));
+			Set<ReplicaId> excluded = excluded(required);
+			assertThat(ReplicaEligibilityTests.this.eligibility.eligibleReplicas(0, required, excluded))
+				.allMatch((replica) -> excluded.contains(replica.id()));
 		}
 
 		@Test
@@ -252,9 +254,9 @@
 			ReplicaEligibilityTests.this.directory.put(replica("a", "v2"));
 			askForBackOff("a", "v2");
 			Rollout done = new Rollout(-9900, new RolloutOrder(ENGINES, "v2", 10_000), 1);
-			Requirements wanted = new Requirements(ENGINES, RegionLimit.ANYWHERE, COLD_START, Optional.of(1),
+			Requirements required = new Requirements(ENGINES, RegionLimit.ANYWHERE, COLD_START, Optional.of(1),
 					Optional.of(done), KEY, List.of());
-			assertThat(ReplicaEligibilityTests.this.eligibility.eligibleReplicas(0, wanted, excluded(wanted)))
+			assertThat(ReplicaEligibilityTests.this.eligibility.eligibleReplicas(0, required, excluded(required)))
 				.extracting(Replica::release)
 				.containsOnly("v1");
 		}
@@ -265,8 +267,8 @@
 	class DuringARollout {
 
 		/**
-		 * Guards against requests that are refused as the replicas of their new release
-		 * have just started, while the old ones are warm.
+		 * Guards against refused requests while the replicas of their new release have
+		 * just started and the old ones are warm.
 		 */
 		@Test
 		void requestsOfTheNewReleaseGoToTheOldOneWhileTheNewReplicasAreCold() {
@@ -274,11 +276,11 @@
 			ReplicaEligibilityTests.this.directory.put(fresh);
 			ReplicaEligibilityTests.this.directory.cold(0, fresh, 1000);
 			Rollout rollout = new Rollout(-9000, new RolloutOrder(ENGINES, "v2", 10_000), 1);
-			Requirements wanted = new Requirements(ENGINES, RegionLimit.ANYWHERE, COLD_START, Optional.of(1),
+			Requirements required = new Requirements(ENGINES, RegionLimit.ANYWHERE, COLD_START, Optional.of(1),
 					Optional.of(rollout), KEY, List.of());
-			assertThat(eligible(wanted)).isEqualTo("a-v1 b-v1 c-v1");
+			assertThat(eligible(required)).isEqualTo("a-v1 b-v1 c-v1");
 			ReplicaEligibilityTests.this.directory.cold(0, fresh, 0);
-			assertThat(eligible(wanted)).isEqualTo("a-v2");
+			assertThat(eligible(required)).isEqualTo("a-v2");
 		}
 
 	}
--- a/core/src/test/java/org/gullsaddle/serve/ReplicaSelectorTests.java
+++ b/core/src/test/java/org/gullsaddle/serve/ReplicaSelectorTests.java
@@ -39,10 +39,10 @@
 				64, false, 1);
 	}
 
-	private static ReplicaTask task(String model, double pace, String part) {
+	private static ReplicaTask task(String model, double slowdown, String part) {
 		List<PromptPart> parts = List.of(new PromptPart(part, 12_000), new PromptPart(part + "-own", 500));
-		return new ReplicaTask(model, new Prompt(12_500, 100, OptionalInt.empty(), parts), pace,
-				(pace > 1) ? ModelSizeClass.LARGE : ModelSizeClass.SMALL, CACHE_TOKENS, 4000);
+		return new ReplicaTask(model, new Prompt(12_500, 100, OptionalInt.empty(), parts), slowdown,
+				(slowdown > 1) ? ModelSizeClass.LARGE : ModelSizeClass.SMALL, CACHE_TOKENS, 4000);
 	}
 
 	private ReplicaChoice send(ReplicaTask task) {
@@ -71,8 +71,8 @@
 	}
 
 	/**
-	 * A replica starts again under its old id. It keeps nothing of before, and a prompt
-	 * sent there for its kept parts would be read whole.
+	 * A replica restarts under its old id with an empty cache. A prompt sent there for
+	 * its cached parts would be read whole.
 	 */
 	@Test
 	void restartedReplicaHasAnEmptyPromptCache() {
@@ -99,24 +99,28 @@
 		send(task);
 		this.selector.onLoadReport(0, idle, new EngineReport(2, 0, 0));
 		this.selector.onLoadReport(0, full, new EngineReport(64, 10, 40));
-		double soon = this.selector.estimateDelay(0, this.replicas, idle, task).expectedMillis();
-		assertThat(this.selector.estimateDelay(0, this.replicas, full, task).expectedMillis()).isGreaterThan(2 * soon);
+		double idleMillis = this.selector.estimateDelay(0, this.replicas, idle, task).expectedMillis();
+		assertThat(this.selector.estimateDelay(0, this.replicas, full, task).expectedMillis())
+			.isGreaterThan(2 * idleMillis);
 	}
 
-	/** Guards against a dark replica that draws requests as none can leave it. */
+	/**
+	 * Guards against a failed replica that attracts requests because its own requests
+	 * cannot be moved.
+	 */
 	@Test
 	void silentReplicaGetsNoNewRequests() {
-		Replica dark = choose(task("small", 1, "x")).replica();
-		assertThat(choose(task("small", 1, "x")).replica()).isEqualTo(dark);
+		Replica silentReplica = choose(task("small", 1, "x")).replica();
+		assertThat(choose(task("small", 1, "x")).replica()).isEqualTo(silentReplica);
 		for (int i = 0; i < 3; i++) {
-			this.selector.onSilent(0, dark);
+			this.selector.onSilent(0, silentReplica);
 		}
-		assertThat(choose(task("small", 1, "x")).replica()).isNotEqualTo(dark);
+		assertThat(choose(task("small", 1, "x")).replica()).isNotEqualTo(silentReplica);
 	}
 
 	/**
-	 * Long prompts arrive faster than the near replicas read them. Sent on and on to the
-	 * nearest, they would queue there while the other region is idle.
+	 * Long prompts arrive faster than the near replicas read them. If all were sent to
+	 * the nearest replicas, they would queue there while the other region is idle.
 	 */
 	@Test
 	void loadSpillsToTheOtherRegionWhenTheNearOneIsFull() {
@@ -151,7 +155,8 @@
 		}
 
 		/**
-		 * Guards against all nodes sending to the one replica that they know nothing of.
+		 * Guards against all nodes sending to the one replica that they know nothing
+		 * about.
 		 */
 		@Test
 		void unknownReplicaIsNotAssumedIdle() {
@@ -162,7 +167,7 @@
 			assertThat(loadOf(0, "near-3").requests()).isEqualTo(8);
 		}
 
-		/** Guards against an old queue, or an old lull, that is taken for today's. */
+		/** Guards against relying on an outdated report of a long or an empty queue. */
 		@Test
 		void oldReportIsReplacedByTheMeanOfOtherReplicas() {
 			report(0, "near-0", new EngineReport(0, 0, 0));
@@ -195,7 +200,7 @@
 			assertThat(ReplicaSelectorTests.this.selector.hasReportWithin(1501, replica, 500)).isFalse();
 		}
 
-		/** Guards against questions that are paid for and tell nothing new. */
+		/** Guards against queries that are paid for and report nothing new. */
 		@Test
 		void onlyReplicasOfTheRegionWithoutARecentReportAreQueried() {
 			List<Replica> asked = ReplicaSelectorTests.this.selector.replicasToQuery(0,
@@ -217,8 +222,8 @@
 		}
 
 		/**
-		 * Guards against all nodes of many that send to the same small homes, of whose
-		 * queues they have heard nothing.
+		 * Guards against many nodes sending to the same few replicas for small models,
+		 * whose queues they know nothing about.
 		 */
 		@Test
 		void replicasAreQueriedForTheSmallestModelIfSizesAreSeparated() {
@@ -244,22 +249,22 @@
 	class WithModelsOfDifferentSize {
 
 		/**
-		 * A batch steps at the pace of its slowest model. Mixed, the small model's
-		 * callers waited as long as the large one's.
+		 * A batch steps as slowly as its slowest model. On shared replicas, the small
+		 * model's callers waited as long as the large one's.
 		 */
 		@Test
 		void smallAndLargeModelsRunOnSeparateReplicas() {
 			Set<ReplicaId> small = new HashSet<>();
 			Set<ReplicaId> large = new HashSet<>();
 			for (int i = 0; i < 6; i++) {
-				ReplicaTask little = task("small", 1, "x" + i);
-				ReplicaTask big = task("large", 15, "x" + i);
-				ReplicaChoice first = send(little);
-				ReplicaChoice second = send(big);
+				ReplicaTask smallTask = task("small", 1, "x" + i);
+				ReplicaTask largeTask = task("large", 15, "x" + i);
+				ReplicaChoice first = send(smallTask);
+				ReplicaChoice second = send(largeTask);
 				small.add(first.replica().id());
 				large.add(second.replica().id());
-				ReplicaSelectorTests.this.selector.onPromptRead(first, little);
-				ReplicaSelectorTests.this.selector.onPromptRead(second, big);
+				ReplicaSelectorTests.this.selector.onPromptRead(first, smallTask);
+				ReplicaSelectorTests.this.selector.onPromptRead(second, largeTask);
 				ReplicaSelectorTests.this.selector.onAttemptEnded(0, first, new AttemptEnd.Answered(200));
 				ReplicaSelectorTests.this.selector.onAttemptEnded(0, second, new AttemptEnd.Answered(200));
 			}
@@ -267,8 +272,8 @@
 		}
 
 		/**
-		 * A burst of the small model's prompts spilled to the large one's engines, and
-		 * slowed all that was read there.
+		 * A burst of the small model's prompts spilled to the large model's engines and
+		 * slowed all reading there.
 		 */
 		@Test
 		void burstOfOneSizeStaysOnItsReplicasIfSizesAreSeparated() {
@@ -281,16 +286,17 @@
 		}
 
 		/**
-		 * Guards against requests without a replica when all homes of a size are lost.
+		 * Guards against requests without a replica when all replicas dedicated to a size
+		 * are lost.
 		 */
 		@Test
 		void replicasOfTheOtherSizeServeWhenTheDedicatedOnesAreTried() {
 			ReplicaSelectorTests.this.selector.separateModelSizes();
 			Set<ReplicaId> tried = new HashSet<>();
-			ReplicaTask little = task("small", 1, "x");
+			ReplicaTask smallTask = task("small", 1, "x");
 			for (int i = 0; i < ReplicaSelectorTests.this.replicas.size(); i++) {
 				ReplicaChoice choice = ReplicaSelectorTests.this.selector
-					.chooseReplica(0, ReplicaSelectorTests.this.replicas, tried, little)
+					.chooseReplica(0, ReplicaSelectorTests.this.replicas, tried, smallTask)
 					.orElseThrow();
 				assertThat(tried.add(choice.replica().id())).isTrue();
 			}
@@ -320,9 +326,9 @@
 		}
 
 		/**
-		 * A replica crashes in the middle of a stream that it began after a long prompt.
-		 * The caller saw a pause of three seconds, as the replica was taken to read
-		 * still.
+		 * A replica crashes in the middle of a stream that began after a long prompt. The
+		 * caller saw a pause of three seconds, because the replica was assumed to be
+		 * still reading.
 		 */
 		@Test
 		void getsNoReadingTimeOnceItsAnswerHasBegun() {
@@ -331,8 +337,8 @@
 		}
 
 		/**
-		 * A request waits in a long queue. Taken for lost, it was moved and queued anew,
-		 * as were all others, and next to none was served.
+		 * A request waits in a long queue. It was taken for lost, moved and queued again,
+		 * as were all others, and almost none was served.
 		 */
 		@Test
 		void isResponsiveWhileItAnswersOtherRequests() {
--- a/core/src/test/java/org/gullsaddle/serve/ReplicaSlowdownTrackerTests.java
+++ b/core/src/test/java/org/gullsaddle/serve/ReplicaSlowdownTrackerTests.java
@@ -56,15 +56,16 @@
 	}
 
 	/**
-	 * Has each replica answer once a second, so many times later than a usual one.
+	 * Has each replica answer once a second, with the given slowdown relative to a usual
+	 * one.
 	 */
-	private void recordAnswers(int times, double... slower) {
+	private void recordAnswers(int times, double... slowdowns) {
 		for (int i = 0; i < times; i++) {
 			long now = 1000L * i;
-			for (int j = 0; j < slower.length; j++) {
+			for (int j = 0; j < slowdowns.length; j++) {
 				reportSlowdowns(now, USUAL_PERCENT, USUAL_PERCENT, USUAL_PERCENT);
 				this.selector.recordFirstEventDelay(choose(now, this.replicas.get(j)), task(10_000, "x"),
-						Math.round(500 * slower[j]), true);
+						Math.round(500 * slowdowns[j]), true);
 			}
 		}
 	}
@@ -75,7 +76,7 @@
 		assertThat(factor(0, 2)).isGreaterThan(1.5 * factor(0, 0));
 	}
 
-	/** Guards against a replica that is shunned for what it told long ago. */
+	/** Guards against avoiding a replica for a report that is long outdated. */
 	@Test
 	void reportedSlowdownDecaysIfReportsStop() {
 		reportSlowdowns(0, USUAL_PERCENT, USUAL_PERCENT, 250);
@@ -91,7 +92,8 @@
 	}
 
 	/**
-	 * Guards against a replica that was slow for some seconds, and gets nothing after.
+	 * Guards against a replica that was slow for some seconds and gets no requests
+	 * afterwards.
 	 */
 	@Test
 	void learnedSlowdownDecaysWithoutReports() {
@@ -99,7 +101,7 @@
 		assertThat(factor(400_000, 2)).isCloseTo(factor(400_000, 0), within(0.01));
 	}
 
-	/** Guards against a replica that is shunned for what its last process was. */
+	/** Guards against avoiding a replica for the slowdown of its previous process. */
 	@Test
 	void restartedReplicaStartsWithTheMeanOfItsPeers() {
 		recordAnswers(8, 1, 1, 1.7);
@@ -108,7 +110,7 @@
 		assertThat(choose(7001, replica(2, 2)).slowdown().factor()).isEqualTo(peers);
 	}
 
-	/** Guards against figures that make a replica seem to work in no time. */
+	/** Guards against reports that make a replica appear to work in no time. */
 	@ParameterizedTest
 	@ValueSource(ints = { 1, 99_999 })
 	void absurdReportsAreClamped(int percent) {
@@ -128,7 +130,7 @@
 	class WithoutReportedSlowdowns {
 
 		/**
-		 * Guards against nodes that crowd on the few replicas which they took for best.
+		 * Guards against nodes that all send to the few replicas that they consider best.
 		 */
 		@Test
 		void delaysOfOneReplicaApplyToAll() {
@@ -146,7 +148,7 @@
 	}
 
 	/**
-	 * One node of thirty, which at each moment can choose among some replicas only.
+	 * One node of thirty, which at any moment can choose among a few replicas only.
 	 */
 	@Nested
 	class AmongReplicasOfDifferentSpeed {
@@ -163,7 +165,10 @@
 
 		private static final double[] SPEEDS = { 0.7, 1, 1.7 };
 
-		/** What is lost beside an oracle, as a share of what is lost without paces. */
+		/**
+		 * The largest excess over an oracle, as a share of the excess without reported
+		 * slowdowns.
+		 */
 		private static final double MAX_EXCESS_SHARE = 1.0 / 3;
 
 		private final List<Replica> all = new ArrayList<>();
@@ -181,18 +186,18 @@
 		}
 
 		/**
-		 * Returns how long work takes that begins at a time.
+		 * Returns how long work takes that begins at the given time.
 		 */
 		private long durationMillis(int replica, long from, double work) {
-			double left = work * speed(replica);
+			double remaining = work * speed(replica);
 			long now = from;
-			while (left > 0) {
+			while (remaining > 0) {
 				long window = WINDOW_MILLIS - now % WINDOW_MILLIS;
-				double slowed = passingSlowdown(replica, now);
-				if (left * slowed <= window) {
-					return now - from + Math.round(left * slowed);
+				double slowdown = passingSlowdown(replica, now);
+				if (remaining * slowdown <= window) {
+					return now - from + Math.round(remaining * slowdown);
 				}
-				left -= window / slowed;
+				remaining -= window / slowdown;
 				now += window;
 			}
 			return now - from;
@@ -203,30 +208,31 @@
 		}
 
 		private void finish(Attempt attempt) {
-			ReplicaSelector picker = ReplicaSlowdownTrackerTests.this.selector;
+			ReplicaSelector selector = ReplicaSlowdownTrackerTests.this.selector;
 			int number = indexOf(attempt.choice.replica());
-			double figure = passingSlowdown(number, attempt.end) * (this.reportIncludesSpeed ? speed(number) : 1);
+			double reported = passingSlowdown(number, attempt.end) * (this.reportIncludesSpeed ? speed(number) : 1);
 			if (this.slowdownReported) {
-				picker.onSlowdownReport(attempt.end, attempt.choice.replica(),
-						(int) Math.round(USUAL_PERCENT * figure));
+				selector.onSlowdownReport(attempt.end, attempt.choice.replica(),
+						(int) Math.round(USUAL_PERCENT * reported));
 			}
-			picker.onPromptRead(attempt.choice, attempt.task);
-			picker.recordFirstEventDelay(attempt.choice, attempt.task, attempt.millis(), true);
-			picker.onAttemptEnded(attempt.end, attempt.choice, new AttemptEnd.Answered(200));
+			selector.onPromptRead(attempt.choice, attempt.task);
+			selector.recordFirstEventDelay(attempt.choice, attempt.task, attempt.millis(), true);
+			selector.onAttemptEnded(attempt.end, attempt.choice, new AttemptEnd.Answered(200));
 		}
 
 		/**
-		 * Returns how much longer than the oracle's the chosen ones take, as a share.
+		 * Returns by what share the chosen replicas take longer than those an oracle
+		 * chooses.
 		 */
 		private double excessRatio() {
 			Random random = new Random(1);
-			ReplicaSelector picker = ReplicaSlowdownTrackerTests.this.selector;
+			ReplicaSelector selector = ReplicaSlowdownTrackerTests.this.selector;
 			for (int i = 0; i < REPLICAS; i++) {
 				this.all.add(replica(i, 1));
 			}
 			PriorityQueue<Attempt> open = new PriorityQueue<>(Comparator.comparingLong(Attempt::end));
-			double taken = 0;
-			double best = 0;
+			double takenMillis = 0;
+			double bestMillis = 0;
 			for (int i = 0; i < ATTEMPTS; i++) {
 				long now = ATTEMPT_INTERVAL_MILLIS * i;
 				while (!open.isEmpty() && open.peek().end <= now) {
@@ -236,34 +242,34 @@
 				Collections.shuffle(free, random);
 				ReplicaTask task = task(4000 + random.nextInt(12_000), "x" + i);
 				double work = 0.1 * task.prompt().inputTokens() * (0.9 + 0.2 * random.nextDouble());
-				ReplicaChoice choice = picker.chooseReplica(now, free.subList(0, CANDIDATES), Set.of(), task)
+				ReplicaChoice choice = selector.chooseReplica(now, free.subList(0, CANDIDATES), Set.of(), task)
 					.orElseThrow();
-				picker.onSent(now, choice, task);
+				selector.onSent(now, choice, task);
 				long millis = durationMillis(indexOf(choice.replica()), now, work);
 				open.add(new Attempt(choice, task, now, now + millis));
-				taken += millis;
-				best += free.subList(0, CANDIDATES)
+				takenMillis += millis;
+				bestMillis += free.subList(0, CANDIDATES)
 					.stream()
 					.mapToLong((each) -> durationMillis(indexOf(each), now, work))
 					.min()
 					.orElse(0);
 			}
-			return taken / best - 1;
+			return takenMillis / bestMillis - 1;
 		}
 
-		private double excessRatioWithReports(boolean speedInFigure) {
-			AmongReplicasOfDifferentSpeed told = new ReplicaSlowdownTrackerTests().new AmongReplicasOfDifferentSpeed();
-			told.slowdownReported = true;
-			told.reportIncludesSpeed = speedInFigure;
-			return told.excessRatio();
+		private double excessRatioWithReports(boolean speedInReport) {
+			AmongReplicasOfDifferentSpeed reporting = new ReplicaSlowdownTrackerTests().new AmongReplicasOfDifferentSpeed();
+			reporting.slowdownReported = true;
+			reporting.reportIncludesSpeed = speedInReport;
+			return reporting.excessRatio();
 		}
 
 		@ParameterizedTest
 		@ValueSource(booleans = { true, false })
-		void chosenReplicasAreLittleSlowerThanTheBest(boolean speedInFigure) {
-			double ignoring = excessRatio();
-			double with = excessRatioWithReports(speedInFigure);
-			assertThat(with).isLessThan(MAX_EXCESS_SHARE * ignoring);
+		void chosenReplicasAreLittleSlowerThanTheBest(boolean speedInReport) {
+			double withoutReports = excessRatio();
+			double withReports = excessRatioWithReports(speedInReport);
+			assertThat(withReports).isLessThan(MAX_EXCESS_SHARE * withoutReports);
 		}
 
 		private record Attempt(ReplicaChoice choice, ReplicaTask task, long start, long end) {
--- a/core/src/test/java/org/gullsaddle/serve/SilentReplicaPolicyTests.java
+++ b/core/src/test/java/org/gullsaddle/serve/SilentReplicaPolicyTests.java
@@ -16,7 +16,7 @@
 
 	private static final long PATIENCE_MILLIS = 2000;
 
-	/** Long enough before the end of a patience that nothing is asked yet. */
+	/** Before this time in a patience of two seconds, no query is sent. */
 	private static final long EARLY_MILLIS = 1500;
 
 	private static final EngineReport QUEUE = new EngineReport(64, 20, 30);
@@ -35,7 +35,7 @@
 		assertThat(decideAt(PATIENCE_MILLIS)).isEqualTo(SilentReplicaPolicy.Action.QUERY_LOAD);
 	}
 
-	/** Guards against a question for each of the requests that wait at one engine. */
+	/** Guards against a query for each of the requests that wait at one engine. */
 	@Test
 	void oneQueryServesAllRequestsAtAReplica() {
 		this.policy.onLoadQuery(ENGINE);
@@ -43,7 +43,7 @@
 		assertThat(decideAt(2 * PATIENCE_MILLIS)).isEqualTo(SilentReplicaPolicy.Action.WAIT);
 	}
 
-	/** Guards against a request that waits for ever as its replica has lost it. */
+	/** Guards against a request that waits forever because its replica has lost it. */
 	@Test
 	void replicaWithoutAQueueIsLeftThoughItIsAlive() {
 		this.policy.onLoadReport(PATIENCE_MILLIS, ENGINE, NO_QUEUE);
@@ -52,9 +52,9 @@
 
 	@Test
 	void requestMovesOnlyIfItWouldStartClearlySooner() {
-		DelayEstimate here = new DelayEstimate(2000, 500);
-		assertThat(SilentReplicaPolicy.isClearlySooner(here, new DelayEstimate(900, 200))).isFalse();
-		assertThat(SilentReplicaPolicy.isClearlySooner(here, new DelayEstimate(700, 200))).isTrue();
+		DelayEstimate current = new DelayEstimate(2000, 500);
+		assertThat(SilentReplicaPolicy.isClearlySooner(current, new DelayEstimate(900, 200))).isFalse();
+		assertThat(SilentReplicaPolicy.isClearlySooner(current, new DelayEstimate(700, 200))).isTrue();
 	}
 
 	@Nested
@@ -65,7 +65,9 @@
 			SilentReplicaPolicyTests.this.policy.onLoadReport(PATIENCE_MILLIS, ENGINE, QUEUE);
 		}
 
-		/** Guards against requests that lose their places in a queue as it is silent. */
+		/**
+		 * Guards against requests that lose their places in a queue because it is silent.
+		 */
 		@Test
 		void keepsTheRequest() {
 			assertThat(decideAt(PATIENCE_MILLIS + 1)).isEqualTo(SilentReplicaPolicy.Action.STAY);
@@ -97,7 +99,9 @@
 	@Nested
 	class UnresponsiveReplica {
 
-		/** Guards against requests that wait longer for dark replicas than for others. */
+		/**
+		 * Guards against requests that wait longer for failed replicas than for others.
+		 */
 		@Test
 		void isLeftWhenPatienceEnds() {
 			assertThat(decideAt(PATIENCE_MILLIS - 150)).isEqualTo(SilentReplicaPolicy.Action.QUERY_LOAD);
