--- a/core/src/main/java/org/gullsaddle/serve/BackpressureTable.java
+++ b/core/src/main/java/org/gullsaddle/serve/BackpressureTable.java
@@ -33,7 +33,7 @@
 
 	private final NodeId self;
 
-	private final Place place;
+	private final NodeLocation place;
 
 	private final Supplier<Optional<List<Peer>>> peers;
 
@@ -56,7 +56,8 @@
 	 * @param peers supplies all nodes, or empty while peers may not know this node
 	 * @param random draws when this node may probe
 	 */
-	public BackpressureTable(NodeId self, Place place, Supplier<Optional<List<Peer>>> peers, RandomGenerator random) {
+	public BackpressureTable(NodeId self, NodeLocation place, Supplier<Optional<List<Peer>>> peers,
+			RandomGenerator random) {
 		this.self = self;
 		this.place = place;
 		this.peers = peers;
--- a/core/src/main/java/org/gullsaddle/serve/ConfidenceGains.java
+++ b/core/src/main/java/org/gullsaddle/serve/ConfidenceGains.java
@@ -4,46 +4,44 @@
 import java.util.Map;
 
 /**
- * Learns how much more a larger model trusts its answer than a smaller one does, for the
- * same request.
- * <p>
- * Confidence falls with how hard a request is for a model, so that the smaller model's
- * opinion also tells what the larger one's will be. Confined to one thread.
+ * Learns how much more confident a larger model is of its answer than a smaller one is,
+ * for the same request. Confidence falls with the difficulty of a request, so the smaller
+ * model's confidence predicts the larger one's. Confined to one thread.
  */
 final class ConfidenceGains {
 
 	/**
-	 * The gain that is taken for granted before anything was compared: little, so that a
-	 * model between the smallest and the largest is tried where it is nearly enough.
+	 * The gain assumed before any comparison. It is small, so that a model between the
+	 * smallest and the largest is tried if the smallest is nearly confident enough.
 	 */
-	private static final double FIRST = 10;
+	private static final double PRIOR_GAIN = 10;
 
-	/** How many comparisons the first gain weighs. */
-	private static final double FIRST_WEIGHT = 4;
+	/** The prior gain counts as this many comparisons. */
+	private static final double PRIOR_WEIGHT = 4;
 
-	/** How many comparisons are remembered, so that a new release is learned anew. */
-	private static final double MEMORY = 60;
+	/** The mean covers about this many comparisons, so that it adapts to new releases. */
+	private static final double MAX_WEIGHT = 60;
 
-	private static final int LEAST_CONFIDENCE = 0;
+	private static final int MIN_CONFIDENCE = 0;
 
-	private static final int MOST_CONFIDENCE = 100;
+	private static final int MAX_CONFIDENCE = 100;
 
 	private final Map<Pair, Mean> means = new HashMap<>();
 
 	/**
-	 * Takes in two opinions of one request. Those at the ends of the scale say only that
-	 * the gain is at least, or at most, so much, and are left out.
+	 * Records two models' confidence for one request. Values at the ends of the scale
+	 * only bound the gain, so they are ignored.
 	 */
-	void compared(String smaller, int confidence, String larger, int largerConfidence) {
-		if (confidence <= LEAST_CONFIDENCE || largerConfidence >= MOST_CONFIDENCE || largerConfidence < 0) {
+	void recordComparison(String smaller, int confidence, String larger, int largerConfidence) {
+		if (confidence <= MIN_CONFIDENCE || largerConfidence >= MAX_CONFIDENCE || largerConfidence < 0) {
 			return;
 		}
 		this.means.computeIfAbsent(new Pair(smaller, larger), (pair) -> new Mean()).add(largerConfidence - confidence);
 	}
 
-	double gain(String smaller, String larger) {
+	double expectedGain(String smaller, String larger) {
 		Mean mean = this.means.get(new Pair(smaller, larger));
-		return (mean != null) ? mean.value : FIRST;
+		return (mean != null) ? mean.value : PRIOR_GAIN;
 	}
 
 	private record Pair(String smaller, String larger) {
@@ -51,12 +49,12 @@
 
 	private static final class Mean {
 
-		private double value = FIRST;
+		private double value = PRIOR_GAIN;
 
-		private double weight = FIRST_WEIGHT;
+		private double weight = PRIOR_WEIGHT;
 
 		void add(double gain) {
-			this.weight = Math.min(MEMORY, this.weight + 1);
+			this.weight = Math.min(MAX_WEIGHT, this.weight + 1);
 			this.value += (gain - this.value) / this.weight;
 		}
 
--- a/core/src/main/java/org/gullsaddle/serve/DeadlineCheck.java
+++ b/core/src/main/java/org/gullsaddle/serve/DeadlineCheck.java
@@ -49,7 +49,7 @@
 	 * @param remainingMillis the time to its deadline, in milliseconds
 	 * @return true if it would not start in time on any of them
 	 */
-	public boolean shouldRefuse(long now, ServiceName service, List<Choice> choices, long remainingMillis) {
+	public boolean shouldRefuse(long now, ServiceName service, List<ReplicaChoice> choices, long remainingMillis) {
 		ServiceAnswers answers = this.services.get(service);
 		if (answers == null || !answers.isReliable(now) || choices.isEmpty()
 				|| !choices.stream().allMatch((choice) -> isTooLate(choice, remainingMillis))) {
@@ -69,8 +69,8 @@
 	 * @param remainingMillis the time to its deadline, in milliseconds
 	 * @return true if it would probably not start in time
 	 */
-	public static boolean isTooLate(Choice choice, long remainingMillis) {
-		return choice.load().requests() >= 1 && choice.delay().chanceWithin(remainingMillis) < MIN_START_PROBABILITY;
+	public static boolean isTooLate(ReplicaChoice choice, long remainingMillis) {
+		return choice.load().requests() >= 1 && choice.delay().probabilityWithin(remainingMillis) < MIN_START_PROBABILITY;
 	}
 
 	private static final class ServiceAnswers {
--- a/core/src/main/java/org/gullsaddle/serve/LimitShare.java
+++ b/core/src/main/java/org/gullsaddle/serve/LimitShare.java
@@ -45,7 +45,7 @@
 	 * @param place knows the distances between data centers
 	 * @return their number, or empty if the node is not among them
 	 */
-	static OptionalInt findNodePosition(Replica replica, NodeId self, List<Peer> peers, Place place) {
+	static OptionalInt findNodePosition(Replica replica, NodeId self, List<Peer> peers, NodeLocation place) {
 		Optional<Peer> own = peers.stream().filter((peer) -> peer.node().equals(self)).findFirst();
 		if (own.isEmpty()) {
 			return OptionalInt.empty();
@@ -78,8 +78,8 @@
 		return Math.min(nodes, (long) Math.floor(SHARING_SECONDS * perSecond) + EXTRA_SHARING_NODES);
 	}
 
-	private static Comparator<Peer> nearestFirst(Replica replica, Place place) {
-		return Comparator.comparing((Peer peer) -> place.reach(peer.dataCenter(), replica.dataCenter()))
+	private static Comparator<Peer> nearestFirst(Replica replica, NodeLocation place) {
+		return Comparator.comparing((Peer peer) -> place.distance(peer.dataCenter(), replica.dataCenter()))
 			.thenComparing((peer) -> Spread.unit(peer.node() + "/" + replica.id()))
 			.thenComparing(Peer::node);
 	}
--- a/core/src/main/java/org/gullsaddle/serve/LimitedReplica.java
+++ b/core/src/main/java/org/gullsaddle/serve/LimitedReplica.java
@@ -31,7 +31,7 @@
 
 	private final NodeId self;
 
-	private final Place place;
+	private final NodeLocation place;
 
 	/** The phase of this node's probe windows, from 0 to 1. */
 	private final double probePhase;
@@ -50,7 +50,7 @@
 
 	private long lastProbe = Long.MIN_VALUE;
 
-	LimitedReplica(long now, Replica replica, NodeId self, Place place, RandomGenerator random) {
+	LimitedReplica(long now, Replica replica, NodeId self, NodeLocation place, RandomGenerator random) {
 		this.replica = replica;
 		this.self = self;
 		this.place = place;
--- a/core/src/main/java/org/gullsaddle/serve/Place.java
+++ b/core/src/main/java/org/gullsaddle/serve/NodeLocation.java
@@ -3,38 +3,39 @@
 import java.util.Map;
 
 /**
- * Where a node is.
+ * The data center of a node, and the regions of all data centers.
  *
  * @param dataCenter its data center
  * @param regions the region of each data center
  */
-public record Place(String dataCenter, Map<String, String> regions) {
+public record NodeLocation(String dataCenter, Map<String, String> regions) {
 
-	public Place {
+	public NodeLocation {
 		regions = Map.copyOf(regions);
 	}
 
 	/**
-	 * Says how far away a data center is.
+	 * Returns the distance from this node to a data center.
 	 * @param other the data center
-	 * @return its distance
+	 * @return the distance
 	 */
-	public Reach reach(String other) {
-		return reach(this.dataCenter, other);
+	public Distance distance(String other) {
+		return distance(this.dataCenter, other);
 	}
 
 	/**
-	 * Says how far apart two data centers are.
+	 * Returns the distance between two data centers.
 	 * @param one the one
 	 * @param other the other
 	 * @return the distance
 	 */
-	public Reach reach(String one, String other) {
+	public Distance distance(String one, String other) {
 		if (other.equals(one)) {
-			return Reach.DATA_CENTER;
+			return Distance.SAME_DATA_CENTER;
 		}
 		String region = this.regions.get(one);
-		return (region != null && region.equals(this.regions.get(other))) ? Reach.REGION : Reach.FAR;
+		return (region != null && region.equals(this.regions.get(other))) ? Distance.SAME_REGION
+				: Distance.OTHER_REGION;
 	}
 
 	/**
@@ -42,17 +43,17 @@
 	 * @param other the data center
 	 * @return the region, or the data center itself if its region is not known
 	 */
-	public String region(String other) {
+	public String regionOf(String other) {
 		return this.regions.getOrDefault(other, other);
 	}
 
 	/**
-	 * Says whether a data center is in this node's region.
+	 * Returns whether a data center is in this node's region.
 	 * @param other the data center
 	 * @return true if both have the same region
 	 */
-	public boolean sameRegion(String other) {
-		return reach(other) != Reach.FAR;
+	public boolean sharesRegionWith(String other) {
+		return distance(other) != Distance.OTHER_REGION;
 	}
 
 }
--- a/core/src/main/java/org/gullsaddle/serve/NormalCurve.java
+++ b/core/src/main/java/org/gullsaddle/serve/NormalDistribution.java
@@ -1,23 +1,23 @@
 package org.gullsaddle.serve;
 
 /**
- * The normal distribution, by a logistic curve that follows it within one percent.
+ * The normal distribution, approximated within one percent by a logistic curve.
  */
-final class NormalCurve {
+final class NormalDistribution {
 
 	private static final double LOGISTIC_SLOPE = 1.702;
 
-	private NormalCurve() {
+	private NormalDistribution() {
 	}
 
 	/**
-	 * Returns the chance that a normally distributed value lies below a limit.
+	 * Returns the probability that a normally distributed value lies below a limit.
 	 * @param limit the limit
 	 * @param mean the value's mean
 	 * @param deviation its standard deviation, more than 0
 	 * @return 0 to 1
 	 */
-	static double below(double limit, double mean, double deviation) {
+	static double probabilityBelow(double limit, double mean, double deviation) {
 		return 1 / (1 + Math.exp(-LOGISTIC_SLOPE * (limit - mean) / deviation));
 	}
 
--- a/core/src/main/java/org/gullsaddle/serve/ReplicaState.java
+++ b/core/src/main/java/org/gullsaddle/serve/ReplicaState.java
@@ -4,42 +4,46 @@
 import org.gullsaddle.fleet.Replica;
 
 /**
- * What this node knows of one replica from its own requests there.
+ * What this node knows about one replica from its own requests and the replica's reports.
+ * Confined to one thread.
  */
 final class ReplicaState {
 
-	private static final double SMOOTHING = 0.1;
+	private static final double FAILURE_SMOOTHING = 0.1;
 
-	/** How long a first refused connection leaves a replica out, in milliseconds. */
-	private static final long UNREACHABLE_MILLIS = 700;
+	/** How long a refused connection ejects a replica at least. */
+	private static final long UNREACHABLE_EJECTION_MILLIS = 700;
 
-	/** The weight from which a count of unread requests is not replaced by a guess. */
-	private static final double STILL_TELLS = 0.5;
+	/** An older count of unread requests is replaced by an estimate below this weight. */
+	private static final double MIN_REPORT_WEIGHT = 0.5;
 
-	private final KeptParts parts = new KeptParts();
+	private final PrefixCacheModel promptCache = new PrefixCacheModel();
 
-	/** The requests of other nodes there, and how many of them are still to be read. */
-	private final ReportedLoad others = new ReportedLoad();
+	/**
+	 * How many requests of other nodes the replica has, and how many of them it has yet
+	 * to read.
+	 */
+	private final ReportedLoad peerRequests = new ReportedLoad();
 
-	private final ReportedLoad othersUnread = new ReportedLoad();
+	private final ReportedLoad peerUnreadRequests = new ReportedLoad();
 
-	private final Ejection ejection = new Ejection();
+	private final OutlierEjection ejection = new OutlierEjection();
 
-	private final ReplicaPace pace = new ReplicaPace();
+	private final ReplicaSlowdownTracker slowdown = new ReplicaSlowdownTracker();
 
 	private Replica replica;
 
 	private int running;
 
-	/** How many of this node's requests are still to be read there. */
+	/** How many of this node's requests the replica has yet to read. */
 	private int unreadRequests;
 
-	/** Their prompts, in tokens of the smallest model. */
-	private double unread;
+	/** The prompts of these requests, in tokens of the smallest model. */
+	private double unreadTokens;
 
 	private double failureShare;
 
-	private long heardAt = Long.MIN_VALUE;
+	private long lastBytesAt = Long.MIN_VALUE;
 
 	ReplicaState(Replica replica) {
 		this.replica = replica;
@@ -49,107 +53,110 @@
 		return this.replica;
 	}
 
-	void describe(Replica newReplica) {
+	void update(Replica newReplica) {
 		this.replica = newReplica;
 	}
 
-	void sent(Task task, double unread, long capacity) {
+	void onSent(ReplicaTask task, double promptTokens, long capacity) {
 		this.running++;
 		this.unreadRequests++;
-		this.unread += unread;
-		this.parts.read(task.model(), task.prompt().parts(), capacity);
+		this.unreadTokens += promptTokens;
+		this.promptCache.onPromptRead(task.model(), task.prompt().parts(), capacity);
 	}
 
 	/**
-	 * Notes that the replica has read a prompt, or need not any more.
+	 * Records that the replica has read a prompt, or does not need to any more.
 	 */
-	void read(double unread) {
+	void onPromptRead(double promptTokens) {
 		this.unreadRequests = Math.max(0, this.unreadRequests - 1);
-		this.unread = Math.max(0, this.unread - unread);
+		this.unreadTokens = Math.max(0, this.unreadTokens - promptTokens);
 	}
 
-	void ended() {
+	void onEnded() {
 		this.running = Math.max(0, this.running - 1);
 	}
 
-	void report(long now, LoadReport report) {
-		double count = report.running() + report.waiting() - this.running;
-		this.others.report(now, count);
-		if (this.othersUnread.weight(now) < STILL_TELLS) {
-			// A plain report does not tell, so the others' are taken to be as this
-			// node's.
-			this.othersUnread.report(now, (this.running > 0) ? count * this.unreadRequests / this.running : 0);
+	void onLoadReport(long now, LoadReport report) {
+		double peerCount = report.running() + report.waiting() - this.running;
+		this.peerRequests.onReport(now, peerCount);
+		if (this.peerUnreadRequests.weight(now) < MIN_REPORT_WEIGHT) {
+			// A plain report does not count unread requests, so the share of unread
+			// requests
+			// is assumed to be the same as among this node's own.
+			this.peerUnreadRequests.onReport(now,
+					(this.running > 0) ? peerCount * this.unreadRequests / this.running : 0);
 		}
 	}
 
-	void report(long now, EngineReport report) {
-		this.others.report(now, report.requests() - this.running);
-		this.othersUnread.report(now, report.unread() - this.unreadRequests);
+	void onLoadReport(long now, EngineReport report) {
+		this.peerRequests.onReport(now, report.requests() - this.running);
+		this.peerUnreadRequests.onReport(now, report.unreadRequests() - this.unreadRequests);
 	}
 
-	void heard(long now) {
-		this.heardAt = now;
+	void onBytes(long now) {
+		this.lastBytesAt = now;
 	}
 
-	long heardAt() {
-		return this.heardAt;
+	long lastBytesAt() {
+		return this.lastBytesAt;
 	}
 
-	void succeeded() {
-		this.ejection.succeeded();
-		this.failureShare -= SMOOTHING * this.failureShare;
+	void onSuccess() {
+		this.ejection.onSuccess();
+		this.failureShare -= FAILURE_SMOOTHING * this.failureShare;
 	}
 
-	void failed(long now) {
-		this.ejection.failed(now);
-		this.failureShare += SMOOTHING * (1 - this.failureShare);
+	void onFailure(long now) {
+		this.ejection.onFailure(now);
+		this.failureShare += FAILURE_SMOOTHING * (1 - this.failureShare);
 	}
 
-	void unreachable(long now) {
-		this.ejection.failed(now);
-		this.ejection.eject(now, UNREACHABLE_MILLIS);
+	void onUnreachable(long now) {
+		this.ejection.onFailure(now);
+		this.ejection.eject(now, UNREACHABLE_EJECTION_MILLIS);
 	}
 
-	boolean ejected(long now) {
-		return this.ejection.ejected(now);
+	boolean isEjected(long now) {
+		return this.ejection.isEjected(now);
 	}
 
 	double failureShare() {
 		return this.failureShare;
 	}
 
-	ReplicaPace pace() {
-		return this.pace;
+	ReplicaSlowdownTracker slowdown() {
+		return this.slowdown;
 	}
 
-	ReportedLoad others() {
-		return this.others;
+	ReportedLoad peerRequests() {
+		return this.peerRequests;
 	}
 
-	ReportedLoad othersUnread() {
-		return this.othersUnread;
+	ReportedLoad peerUnreadRequests() {
+		return this.peerUnreadRequests;
 	}
 
 	/**
-	 * Returns how many requests are likely there.
-	 * @param usual how many other nodes have at a replica on the mean
+	 * Estimates how many requests the replica has.
+	 * @param meanPerReplica the mean number of other nodes' requests at a replica
 	 */
-	double requests(long now, double usual) {
-		return this.running + this.others.at(now, usual);
+	double estimateRequests(long now, double meanPerReplica) {
+		return this.running + this.peerRequests.estimate(now, meanPerReplica);
 	}
 
 	/**
-	 * Returns what it likely has still to read, in tokens of the smallest model: what
-	 * this node gave it, and for each request of other nodes as much as one has here.
-	 * @param usual how many unread requests of other nodes a replica has on the mean
-	 * @param tokens how much a request of this node has to be read, in such tokens
+	 * Estimates how much the replica has yet to read, in tokens of the smallest model:
+	 * this node's prompts, and the mean prompt of this node for each unread request of
+	 * others.
+	 * @param meanPerReplica the mean number of other nodes' unread requests at a replica
+	 * @param tokensPerRequest the mean work of this node's requests, in such tokens
 	 */
-	double backlog(long now, double usual, double tokens) {
-		return this.unread + tokens * this.othersUnread.at(now, usual);
+	double estimateBacklogTokens(long now, double meanPerReplica, double tokensPerRequest) {
+		return this.unreadTokens + tokensPerRequest * this.peerUnreadRequests.estimate(now, meanPerReplica);
 	}
 
-	int kept(Task task) {
-		return this.parts.kept(task.model(), task.prompt().parts());
+	int cachedTokens(ReplicaTask task) {
+		return this.promptCache.cachedTokens(task.model(), task.prompt().parts());
 	}
 
 }
--- a/core/src/main/java/org/gullsaddle/serve/WorkShares.java
+++ b/core/src/main/java/org/gullsaddle/serve/WorkShares.java
@@ -111,9 +111,9 @@
 	 * @param task the task
 	 * @return the work, at least 1
 	 */
-	public static double workOf(int unreadTokens, Task task) {
+	public static double workOf(int unreadTokens, ReplicaTask task) {
 		return Math.max(1,
-				(unreadTokens + PROMPT_TOKENS_PER_OUTPUT_TOKEN * task.prompt().likelyOutput()) * task.pace());
+				(unreadTokens + PROMPT_TOKENS_PER_OUTPUT_TOKEN * task.prompt().expectedOutputTokens()) * task.slowdown());
 	}
 
 	/**
--- a/core/src/test/java/org/gullsaddle/serve/DeadlineCheckTests.java
+++ b/core/src/test/java/org/gullsaddle/serve/DeadlineCheckTests.java
@@ -17,15 +17,15 @@
 
 	private static final long REMAINING_MILLIS = 2000;
 
-	private static final Choice TOO_LATE = choice(40, 9000, 1500);
+	private static final ReplicaChoice TOO_LATE = choice(40, 9000, 1500);
 
 	private final DeadlineCheck check = new DeadlineCheck();
 
-	private static Choice choice(double requests, double expected, double deviation) {
+	private static ReplicaChoice choice(double requests, double expected, double deviation) {
 		Replica replica = new Replica(new ReplicaId("r"), SERVICE, new Address("10.0.0.1", 80), "a", "v1", 64, false,
 				1);
-		return new Choice(replica, new EngineLoad(1000, 0, requests, false), new Delay(expected, deviation), 10,
-				Pace.USUAL, 1);
+		return new ReplicaChoice(replica, new EngineLoad(1000, 0, requests, false),
+				new DelayEstimate(expected, deviation), 10, Slowdown.NONE, 1);
 	}
 
 	private void answers(int count) {
@@ -35,7 +35,7 @@
 	}
 
 	/** Asks twice, because the first request in an interval is always let through. */
-	private boolean shouldRefuse(List<Choice> choices) {
+	private boolean shouldRefuse(List<ReplicaChoice> choices) {
 		return this.check.shouldRefuse(0, SERVICE, choices, REMAINING_MILLIS)
 				|| this.check.shouldRefuse(1, SERVICE, choices, REMAINING_MILLIS);
 	}
--- a/daemon/src/main/java/org/gullsaddle/gateway/Attempt.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/Attempt.java
@@ -13,7 +13,7 @@
 import io.vertx.core.http.RequestOptions;
 
 import org.gullsaddle.serve.AttemptEnd;
-import org.gullsaddle.serve.Choice;
+import org.gullsaddle.serve.ReplicaChoice;
 import org.gullsaddle.serve.SendPermission;
 
 /**
@@ -24,7 +24,7 @@
 
 	private static final String CHUNKED = "chunked";
 
-	private final Choice choice;
+	private final ReplicaChoice choice;
 
 	private final SendPermission admission;
 
@@ -73,7 +73,7 @@
 
 	private long headAt = this.startedAt;
 
-	Attempt(Choice choice, SendPermission admission, long coldMillis, String attemptId, ChannelPool pool,
+	Attempt(ReplicaChoice choice, SendPermission admission, long coldMillis, String attemptId, ChannelPool pool,
 			HeaderCodec codec, Listener listener) {
 		this.choice = choice;
 		this.admission = admission;
@@ -316,7 +316,7 @@
 		}
 	}
 
-	Choice choice() {
+	ReplicaChoice choice() {
 		return this.choice;
 	}
 
--- a/daemon/src/main/java/org/gullsaddle/gateway/Decisions.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/Decisions.java
@@ -12,13 +12,13 @@
 import org.gullsaddle.fleet.ServiceName;
 import org.gullsaddle.fleet.ServiceShare;
 import org.gullsaddle.serve.DeadlineCheck;
-import org.gullsaddle.serve.ModelChooser;
-import org.gullsaddle.serve.Place;
+import org.gullsaddle.serve.ModelSelector;
+import org.gullsaddle.serve.NodeLocation;
 import org.gullsaddle.serve.QueueBounds;
-import org.gullsaddle.serve.ReplicaPicker;
-import org.gullsaddle.serve.ReplicaRules;
+import org.gullsaddle.serve.ReplicaEligibility;
+import org.gullsaddle.serve.ReplicaSelector;
 import org.gullsaddle.serve.RetryBudget;
-import org.gullsaddle.serve.SilencePatience;
+import org.gullsaddle.serve.SilentReplicaPolicy;
 import org.gullsaddle.serve.TeamBurstDetector;
 import org.gullsaddle.serve.WorkShares;
 
@@ -54,11 +54,11 @@
 
 	private static final int URGENCIES_PER_RANK = 2;
 
-	private final ReplicaPicker picker;
+	private final ReplicaSelector picker;
 
 	private final RetryBudget budget;
 
-	private final ModelChooser models;
+	private final ModelSelector models;
 
 	private FleetConfig boundsOf;
 
@@ -66,7 +66,7 @@
 
 	private final TeamBurstDetector shares = new TeamBurstDetector();
 
-	private final SilencePatience patience = new SilencePatience();
+	private final SilentReplicaPolicy patience = new SilentReplicaPolicy();
 
 	/** The shares of work that count in place of requests, if any do. */
 	private final Optional<WorkShares> work;
@@ -75,13 +75,13 @@
 
 	private final RandomGenerator random = RandomGenerator.getDefault();
 
-	Decisions(Place here, double retryShare, boolean pressure) {
+	Decisions(NodeLocation here, double retryShare, boolean pressure) {
 		this.work = pressure ? Optional.of(new WorkShares()) : Optional.empty();
-		this.picker = new ReplicaPicker(here);
+		this.picker = new ReplicaSelector(here);
 		this.budget = new RetryBudget(retryShare);
-		this.models = pressure ? ModelChooser.bounded() : new ModelChooser();
+		this.models = pressure ? ModelSelector.withQueueBounds() : new ModelSelector();
 		if (pressure) {
-			this.picker.keepSizesApart();
+			this.picker.separateModelSizes();
 		}
 	}
 
@@ -96,7 +96,7 @@
 		return this.bounds;
 	}
 
-	ReplicaPicker picker() {
+	ReplicaSelector picker() {
 		return this.picker;
 	}
 
@@ -104,12 +104,12 @@
 	 * Takes in what a replica's answer tells of it.
 	 */
 	void told(long now, Replica replica, ReplicaAnswer answer) {
-		answer.load().ifPresent((load) -> this.picker.report(now, replica, load));
-		answer.pacePercent().ifPresent((percent) -> this.picker.pace(now, replica, percent));
-		this.picker.heard(now, replica);
+		answer.load().ifPresent((load) -> this.picker.onLoadReport(now, replica, load));
+		answer.pacePercent().ifPresent((percent) -> this.picker.onSlowdownReport(now, replica, percent));
+		this.picker.onBytes(now, replica);
 	}
 
-	SilencePatience patience() {
+	SilentReplicaPolicy patience() {
 		return this.patience;
 	}
 
@@ -141,7 +141,7 @@
 	 * Returns when a caller is to come back for whom there is no replica: when there may
 	 * be one again, spread out likewise.
 	 */
-	long comeBackMillis(ReplicaRules.NoReplica why) {
+	long comeBackMillis(ReplicaEligibility.NoReplica why) {
 		long soonest = switch (why) {
 			case NONE, TRIED, LIMITED, RESTING, CRASHES -> COME_BACK_MILLIS;
 			case COLD -> COLD_BACK_MILLIS;
@@ -178,7 +178,7 @@
 		return Math.clamp(URGENCIES_PER_RANK * rank + (overShare ? 1 : 0), 0, MAX_URGENCY);
 	}
 
-	ModelChooser models() {
+	ModelSelector models() {
 		return this.models;
 	}
 
@@ -186,7 +186,7 @@
 	 * Learns from a stream that has ended.
 	 */
 	void streamed(Route route, String model, StreamClock clock) {
-		this.models.answered(route, model, clock.firstMillis(Clock.millis()), clock.longestGap());
+		this.models.recordAnswer(route, model, clock.firstMillis(Clock.millis()), clock.longestGap());
 	}
 
 	/**
--- a/daemon/src/main/java/org/gullsaddle/gateway/ReplicaChooser.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/ReplicaChooser.java
@@ -11,13 +11,13 @@
 
 import org.gullsaddle.fleet.Replica;
 import org.gullsaddle.fleet.ReplicaId;
-import org.gullsaddle.serve.Choice;
 import org.gullsaddle.serve.DeadlineCheck;
-import org.gullsaddle.serve.Delay;
-import org.gullsaddle.serve.ReplicaPicker;
-import org.gullsaddle.serve.ReplicaRules;
+import org.gullsaddle.serve.DelayEstimate;
+import org.gullsaddle.serve.ReplicaChoice;
+import org.gullsaddle.serve.ReplicaEligibility;
+import org.gullsaddle.serve.ReplicaSelector;
+import org.gullsaddle.serve.ReplicaTask;
 import org.gullsaddle.serve.SendPermission;
-import org.gullsaddle.serve.Task;
 import org.gullsaddle.suspect.CrashBook;
 import org.gullsaddle.suspect.Trait;
 
@@ -27,8 +27,9 @@
 final class ReplicaChooser {
 
 	/** Why there is no replica for a time that the rules know. */
-	private static final Set<ReplicaRules.NoReplica> BY_THE_RULES = EnumSet.of(ReplicaRules.NoReplica.LIMITED,
-			ReplicaRules.NoReplica.RESTING, ReplicaRules.NoReplica.CRASHES);
+	private static final Set<ReplicaEligibility.NoReplica> BY_THE_RULES = EnumSet.of(
+			ReplicaEligibility.NoReplica.LIMITED, ReplicaEligibility.NoReplica.RESTING,
+			ReplicaEligibility.NoReplica.CRASHES);
 
 	private final Gateway gateway;
 
@@ -51,22 +52,22 @@
 	 * Says whether the request may go to no replica, as it would crash it.
 	 */
 	boolean refused(String model) {
-		return rules().refuses(wanted(model));
+		return rules().isBlocked(wanted(model));
 	}
 
 	/**
 	 * Says why there is no replica for the request.
 	 */
-	ReplicaRules.NoReplica whyNone(String model) {
-		return rules().whyNone(Clock.millis(), wanted(model));
+	ReplicaEligibility.NoReplica whyNone(String model) {
+		return rules().noReplicaReason(Clock.millis(), wanted(model));
 	}
 
 	/**
 	 * Returns when the caller is to come back, as there is no replica for the request.
 	 */
-	long comeBackMillis(ReplicaRules.NoReplica why, String model) {
+	long comeBackMillis(ReplicaEligibility.NoReplica why, String model) {
 		if (BY_THE_RULES.contains(why)) {
-			return this.gateway.decisions().comeBackMillis(rules().backMillis(Clock.millis(), wanted(model)));
+			return this.gateway.decisions().comeBackMillis(rules().retryAfterMillis(Clock.millis(), wanted(model)));
 		}
 		return this.gateway.decisions().comeBackMillis(why);
 	}
@@ -97,24 +98,24 @@
 	 * Notes that the request is sent to a replica.
 	 */
 	void sent(Replica replica) {
-		rules().sent(Clock.millis(), wanted(""), replica);
+		rules().onSent(Clock.millis(), wanted(""), replica);
 	}
 
 	private Set<ReplicaId> leftOut(Set<ReplicaId> tried, String model) {
-		return rules().leftOut(Clock.millis(), wanted(model), tried);
+		return rules().excludedReplicas(Clock.millis(), wanted(model), tried);
 	}
 
 	private List<Replica> usable(Set<ReplicaId> leftOut, String model) {
-		return rules().usable(Clock.millis(), wanted(model), leftOut);
+		return rules().eligibleReplicas(Clock.millis(), wanted(model), leftOut);
 	}
 
-	private ReplicaRules.Wanted wanted(String model) {
+	private ReplicaEligibility.Requirements wanted(String model) {
 		CrashBook crashes = this.gateway.crashes().book();
 		List<Trait> traits = (crashes.countRefused() == 0 || this.request.isTrial()) ? List.of()
 				: this.request.traits(model);
-		return new ReplicaRules.Wanted(this.request.service(), this.request.limit(), this.request.coldStart(),
-				this.gateway.nodes().known(), this.gateway.fleet().rollout(this.request.service()),
-				this.request.releaseKey(), traits);
+		return new ReplicaEligibility.Requirements(this.request.service(), this.request.limit(),
+				this.request.coldStart(), this.gateway.nodes().known(),
+				this.gateway.fleet().rollout(this.request.service()), this.request.releaseKey(), traits);
 	}
 
 	/**
@@ -123,7 +124,7 @@
 	 * @param tried replicas that are left out
 	 * @param then is given the choice, at once or when the replicas have told
 	 */
-	void choose(Task task, Set<ReplicaId> tried, Consumer<Optional<Choice>> then) {
+	void choose(ReplicaTask task, Set<ReplicaId> tried, Consumer<Optional<ReplicaChoice>> then) {
 		Set<ReplicaId> leftOut = leftOut(tried, task.model());
 		List<Replica> usable = usable(leftOut, task.model());
 		if (this.request.isTrial()) {
@@ -132,23 +133,23 @@
 		}
 		List<Replica> asked = toAsk(usable, task, leftOut);
 		if (asked.isEmpty()) {
-			then.accept(picker().pick(Clock.millis(), usable, leftOut, task));
+			then.accept(picker().chooseReplica(Clock.millis(), usable, leftOut, task));
 			return;
 		}
 		this.gateway.probe().ask(asked, (told) -> {
 			Set<ReplicaId> leftOutNow = leftOut(tried, task.model());
 			List<Replica> stillUsable = usable(leftOutNow, task.model());
 			List<Replica> left = withoutSilent(stillUsable, asked, told);
-			then.accept(picker().pick(Clock.millis(), left, leftOutNow, task)
-				.or(() -> picker().pick(Clock.millis(), stillUsable, leftOutNow, task)));
+			then.accept(picker().chooseReplica(Clock.millis(), left, leftOutNow, task)
+				.or(() -> picker().chooseReplica(Clock.millis(), stillUsable, leftOutNow, task)));
 		});
 	}
 
 	/**
 	 * Chooses the replica with the fewest requests, which are lost if it crashes.
 	 */
-	private Optional<Choice> emptiest(Task task, List<Replica> usable, Set<ReplicaId> leftOut) {
-		return picker().best(Clock.millis(), usable, leftOut, task, usable.size())
+	private Optional<ReplicaChoice> emptiest(ReplicaTask task, List<Replica> usable, Set<ReplicaId> leftOut) {
+		return picker().bestChoices(Clock.millis(), usable, leftOut, task, usable.size())
 			.stream()
 			.min(Comparator.comparingDouble((choice) -> choice.load().requests()));
 	}
@@ -157,29 +158,29 @@
 	 * Chooses among the replicas that told their load lately, without asking any.
 	 * @param tried replicas that are left out
 	 */
-	Optional<Choice> known(Task task, Set<ReplicaId> tried) {
+	Optional<ReplicaChoice> known(ReplicaTask task, Set<ReplicaId> tried) {
 		long now = Clock.millis();
 		Set<ReplicaId> leftOut = new HashSet<>(leftOut(tried, task.model()));
 		List<Replica> usable = usable(leftOut, task.model());
 		usable.stream()
-			.filter((replica) -> !picker().toldLately(now, replica))
+			.filter((replica) -> !picker().hasRecentReport(now, replica))
 			.forEach((replica) -> leftOut.add(replica.id()));
-		return picker().pick(now, usable, leftOut, task);
+		return picker().chooseReplica(now, usable, leftOut, task);
 	}
 
 	/**
 	 * Returns when an answer would begin at a replica if the request came there now. One
 	 * of which nothing is known is taken to be as full as the others, tried ones too.
 	 */
-	Delay delayAt(Replica replica, Task task) {
-		return picker().delayAt(Clock.millis(), usable(Set.of(), task.model()), replica, task);
+	DelayEstimate delayAt(Replica replica, ReplicaTask task) {
+		return picker().estimateDelay(Clock.millis(), usable(Set.of(), task.model()), replica, task);
 	}
 
 	/**
 	 * Says whether the request would not begin in its time at any replica that may run
 	 * its smallest model. What a cold one would do is not known.
 	 */
-	boolean hopeless(Task task, Choice choice, long left) {
+	boolean hopeless(ReplicaTask task, ReplicaChoice choice, long left) {
 		if (!this.gateway.settings().load().pressure() || this.request.engine().isEmpty()
 				|| !DeadlineCheck.isTooLate(choice, left)) {
 			return false;
@@ -187,8 +188,8 @@
 		long now = Clock.millis();
 		// Limited ones are among them: they may take it yet.
 		List<Replica> usable = usable(Set.of(), task.model());
-		List<Choice> all = picker().best(now, usable, Set.of(), task, usable.size());
-		boolean refused = !rules().anyCold(now, wanted(task.model()))
+		List<ReplicaChoice> all = picker().bestChoices(now, usable, Set.of(), task, usable.size());
+		boolean refused = !rules().hasColdReplica(now, wanted(task.model()))
 				&& this.gateway.decisions().hopeless().shouldRefuse(now, this.request.service(), all, left);
 		if (refused) {
 			this.gateway.telemetry().count("would.not.begin");
@@ -200,15 +201,15 @@
 	 * A question is work too: what cold or limited replicas bear is kept for requests,
 	 * and one that asks for rest is not asked.
 	 */
-	private List<Replica> toAsk(List<Replica> usable, Task task, Set<ReplicaId> leftOut) {
-		return picker().toAsk(Clock.millis(), usable, leftOut, task).stream().filter(this::mayAsk).toList();
+	private List<Replica> toAsk(List<Replica> usable, ReplicaTask task, Set<ReplicaId> leftOut) {
+		return picker().replicasToQuery(Clock.millis(), usable, leftOut, task).stream().filter(this::mayAsk).toList();
 	}
 
 	/**
 	 * Says whether a replica may be asked for its load.
 	 */
 	boolean mayAsk(Replica replica) {
-		return !rules().cold(Clock.millis(), wanted(""), replica) && this.gateway.backpressure().mayAsk(replica);
+		return !rules().isCold(Clock.millis(), wanted(""), replica) && this.gateway.backpressure().mayAsk(replica);
 	}
 
 	private static List<Replica> withoutSilent(List<Replica> usable, List<Replica> asked, List<Replica> told) {
@@ -217,11 +218,11 @@
 		return usable.stream().filter((replica) -> !silent.contains(replica.id())).toList();
 	}
 
-	private ReplicaRules rules() {
+	private ReplicaEligibility rules() {
 		return this.gateway.rules();
 	}
 
-	private ReplicaPicker picker() {
+	private ReplicaSelector picker() {
 		return this.gateway.decisions().picker();
 	}
 
--- a/daemon/src/main/java/org/gullsaddle/gateway/ServedRequest.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/ServedRequest.java
@@ -19,11 +19,11 @@
 import org.gullsaddle.fleet.ServiceName;
 import org.gullsaddle.fleet.ServiceSpec;
 import org.gullsaddle.fleet.Team;
-import org.gullsaddle.serve.ModelPace;
+import org.gullsaddle.serve.ModelSlowdown;
 import org.gullsaddle.serve.PromptPart;
 import org.gullsaddle.serve.ReleaseKey;
 import org.gullsaddle.serve.RemainingTime;
-import org.gullsaddle.serve.Task;
+import org.gullsaddle.serve.ReplicaTask;
 import org.gullsaddle.suspect.Trait;
 
 /**
@@ -138,7 +138,7 @@
 	 * turned away by each of them, or crashes it.
 	 */
 	boolean fits() {
-		return engine().map((engine) -> engine.fits(this.caller.prompt().mostTokens())).orElse(true);
+		return engine().map((engine) -> engine.fits(this.caller.prompt().maxTokens())).orElse(true);
 	}
 
 	/**
@@ -167,11 +167,11 @@
 	 * Returns what a replica does for it.
 	 * @param model the model that is to run, empty for a plain service
 	 */
-	Task task(String model) {
+	ReplicaTask task(String model) {
 		return engine()
-			.map((engine) -> new Task(model, this.caller.prompt(), ModelPace.of(model, engine.models()),
-					ModelPace.scale(model, engine.models()), engine.cacheTokens(), this.route.targetMillis()))
-			.orElseGet(() -> Task.call(this.route.targetMillis()));
+			.map((engine) -> new ReplicaTask(model, this.caller.prompt(), ModelSlowdown.of(model, engine.models()),
+					ModelSlowdown.sizeClass(model, engine.models()), engine.cacheTokens(), this.route.targetMillis()))
+			.orElseGet(() -> ReplicaTask.plainCall(this.route.targetMillis()));
 	}
 
 	/**
@@ -204,7 +204,7 @@
 	 */
 	List<Trait> partTraits(String model) {
 		List<Trait> traits = new ArrayList<>();
-		for (String part : this.caller.prompt().sharedParts()) {
+		for (String part : this.caller.prompt().sharedPartIds()) {
 			traits.add(Trait.part(part));
 			traits.add(Trait.part(part, model));
 		}
--- a/daemon/src/main/java/org/gullsaddle/gateway/Serving.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/Serving.java
@@ -18,11 +18,11 @@
 import org.gullsaddle.fleet.ServiceName;
 import org.gullsaddle.serve.AnswerKind;
 import org.gullsaddle.serve.AttemptEnd;
-import org.gullsaddle.serve.Choice;
-import org.gullsaddle.serve.ReplicaRules;
+import org.gullsaddle.serve.ReplicaChoice;
+import org.gullsaddle.serve.ReplicaEligibility;
+import org.gullsaddle.serve.ReplicaTask;
 import org.gullsaddle.serve.RetryPolicy;
 import org.gullsaddle.serve.SendPermission;
-import org.gullsaddle.serve.Task;
 
 /**
  * Serves one request: from its route to its final answer, over one or more attempts.
@@ -48,12 +48,12 @@
 	private final Silence silence;
 
 	/** What the attempt under way, or the next one, is to do. */
-	private Task task;
+	private ReplicaTask task;
 
 	private final StreamClock clock = new StreamClock();
 
 	/** Where the next attempt goes, if that is decided already. */
-	private Optional<Choice> chosen = Optional.empty();
+	private Optional<ReplicaChoice> chosen = Optional.empty();
 
 	private int attempts;
 
@@ -104,7 +104,7 @@
 		}
 		this.task = this.request.task(model());
 		if (this.chosen.isPresent()) {
-			Choice choice = this.chosen.get();
+			ReplicaChoice choice = this.chosen.get();
 			this.chosen = Optional.empty();
 			send(choice, left);
 			return;
@@ -115,7 +115,7 @@
 	/**
 	 * Sends the request to the replica that was picked, unless it ended meanwhile.
 	 */
-	private void sendTo(Optional<Choice> choice) {
+	private void sendTo(Optional<ReplicaChoice> choice) {
 		if (this.done) {
 			return;
 		}
@@ -135,17 +135,17 @@
 	}
 
 	private void refuseForNone() {
-		ReplicaRules.NoReplica why = this.replicas.whyNone(model());
+		ReplicaEligibility.NoReplica why = this.replicas.whyNone(model());
 		this.gateway.telemetry().count("no.replica." + why.name().toLowerCase(Locale.ROOT));
 		refuse(why.reason(), this.replicas.comeBackMillis(why, model()));
 	}
 
-	private void send(Choice choice, long left) {
+	private void send(ReplicaChoice choice, long left) {
 		this.attempts++;
 		this.tried.add(choice.replica().id());
 		this.promptRead = false;
 		this.clock.begin(Clock.millis());
-		this.gateway.decisions().picker().sent(Clock.millis(), choice, this.task);
+		this.gateway.decisions().picker().onSent(Clock.millis(), choice, this.task);
 		this.replicas.sent(choice.replica());
 		this.gateway.rollouts().sent(choice.replica());
 		SendPermission admission = this.replicas.admit(choice.replica());
@@ -176,7 +176,9 @@
 		this.gateway.decisions().told(Clock.millis(), from.choice().replica(), answer);
 		this.gateway.rollouts().answered(new AnswerKind(route().name(), model()), from, answer);
 		if (answer.success()) {
-			this.gateway.decisions().picker().began(from.choice(), this.task, from.headAt() - from.startedAt(), true);
+			this.gateway.decisions()
+				.picker()
+				.recordFirstEventDelay(from.choice(), this.task, from.headAt() - from.startedAt(), true);
 		}
 		this.relay.head(this.gateway.codec().toCaller(headers));
 		if (this.relay.begun() && !answer.success()) {
@@ -218,7 +220,7 @@
 		if (this.done) {
 			return;
 		}
-		this.gateway.decisions().picker().heard(Clock.millis(), from.choice().replica());
+		this.gateway.decisions().picker().onBytes(Clock.millis(), from.choice().replica());
 		this.gateway.crashes().data(this.request, model(), from);
 		if (!streamed(from)) {
 			this.relay.hold(from, bytes);
@@ -237,7 +239,9 @@
 		}
 		readPrompt(from);
 		if (from.answer() == null && !(counted instanceof AttemptEnd.NotRun)) {
-			this.gateway.decisions().picker().began(from.choice(), this.task, now - from.startedAt(), false);
+			this.gateway.decisions()
+				.picker()
+				.recordFirstEventDelay(from.choice(), this.task, now - from.startedAt(), false);
 		}
 		if (this.request.stream() && !(counted instanceof AttemptEnd.Dropped)
 				&& !(counted instanceof AttemptEnd.NotRun)) {
@@ -286,7 +290,7 @@
 	/**
 	 * Leaves a silent replica for another one, which was paid for.
 	 */
-	void move(Attempt from, AttemptEnd end, Choice to) {
+	void move(Attempt from, AttemptEnd end, ReplicaChoice to) {
 		this.chosen = Optional.of(to);
 		from.withdraw(end);
 	}
@@ -413,7 +417,7 @@
 	private void readPrompt(Attempt from) {
 		if (!this.promptRead) {
 			this.promptRead = true;
-			this.gateway.decisions().picker().promptRead(from.choice(), this.task);
+			this.gateway.decisions().picker().onPromptRead(from.choice(), this.task);
 		}
 	}
 
--- a/daemon/src/main/java/org/gullsaddle/gateway/Silence.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/Silence.java
@@ -7,12 +7,12 @@
 import org.gullsaddle.fleet.ReplicaId;
 import org.gullsaddle.fleet.RouteKind;
 import org.gullsaddle.serve.AttemptEnd;
-import org.gullsaddle.serve.Choice;
-import org.gullsaddle.serve.Delay;
-import org.gullsaddle.serve.ReplicaPicker;
+import org.gullsaddle.serve.DelayEstimate;
+import org.gullsaddle.serve.ReplicaChoice;
+import org.gullsaddle.serve.ReplicaSelector;
+import org.gullsaddle.serve.ReplicaTask;
 import org.gullsaddle.serve.RetryPolicy;
-import org.gullsaddle.serve.SilencePatience;
-import org.gullsaddle.serve.Task;
+import org.gullsaddle.serve.SilentReplicaPolicy;
 
 /**
  * Has one request leave a replica that sends nothing.
@@ -63,14 +63,14 @@
 	 * @param tried the replicas that the request was sent to
 	 * @param task what the next attempt is to do
 	 */
-	void look(long now, Attempt attempt, Set<ReplicaId> tried, Task task) {
+	void look(long now, Attempt attempt, Set<ReplicaId> tried, ReplicaTask task) {
 		if (now < this.nextLook || attempt.ended() || !this.rule.canMoveAttempt(this.serving.request().left(now))) {
 			return;
 		}
 		switch (advice(now, attempt)) {
 			case WAIT -> {
 			}
-			case ASK -> ask(attempt.choice().replica());
+			case QUERY_LOAD -> ask(attempt.choice().replica());
 			case STAY -> compare(now, attempt, tried, task);
 			case LEAVE -> leave(now, attempt, tried, task);
 		}
@@ -79,41 +79,42 @@
 	/**
 	 * Where callers press, engines have queues, and are asked before they are left.
 	 */
-	private SilencePatience.Advice advice(long now, Attempt attempt) {
+	private SilentReplicaPolicy.Action advice(long now, Attempt attempt) {
 		Replica replica = attempt.choice().replica();
 		boolean asks = this.gateway.settings().load().pressure() && this.serving.request().engine().isPresent()
 				&& this.replicas.mayAsk(replica);
 		if (!asks) {
-			return silent(now, attempt) ? SilencePatience.Advice.LEAVE : SilencePatience.Advice.WAIT;
+			return silent(now, attempt) ? SilentReplicaPolicy.Action.LEAVE : SilentReplicaPolicy.Action.WAIT;
 		}
-		long patience = picker().patience(attempt.choice(), attempt.answer() == null, patience());
+		long patience = picker().maxSilenceMillis(attempt.choice(), attempt.answer() == null, patience());
 		return this.gateway.decisions()
 			.patience()
-			.look(now, replica.id(), picker().silentSince(attempt.choice(), since(attempt)), patience);
+			.decideAction(now, replica.id(), picker().silentSince(attempt.choice(), since(attempt)), patience);
 	}
 
 	private void ask(Replica replica) {
-		SilencePatience patience = this.gateway.decisions().patience();
-		patience.asked(replica.id());
+		SilentReplicaPolicy patience = this.gateway.decisions().patience();
+		patience.onLoadQuery(replica.id());
 		this.gateway.telemetry().count("silent.replicas.asked");
 		this.gateway.probe()
-			.ask(replica, SilencePatience.ANSWER_MILLIS)
-			.onSuccess((told) -> told.ifPresentOrElse((report) -> patience.told(Clock.millis(), replica.id(), report),
-					() -> patience.notTold(Clock.millis(), replica.id())));
+			.ask(replica, SilentReplicaPolicy.LOAD_QUERY_MILLIS)
+			.onSuccess((told) -> told.ifPresentOrElse(
+					(report) -> patience.onLoadReport(Clock.millis(), replica.id(), report),
+					() -> patience.onNoLoadReport(Clock.millis(), replica.id())));
 	}
 
 	/**
 	 * Stays in a replica's queue, unless another one would begin clearly sooner.
 	 */
-	private void compare(long now, Attempt attempt, Set<ReplicaId> tried, Task task) {
+	private void compare(long now, Attempt attempt, Set<ReplicaId> tried, ReplicaTask task) {
 		if (now < this.nextComparison) {
 			return;
 		}
 		this.nextComparison = now + COMPARE_MILLIS;
-		Optional<Choice> other = mayGoOn() ? this.replicas.known(task, tried) : Optional.empty();
-		Delay here = this.replicas.delayAt(attempt.choice().replica(), task);
-		Optional<Delay> there = other.map((choice) -> this.replicas.delayAt(choice.replica(), task));
-		if (there.isPresent() && SilencePatience.sooner(here, there.get())) {
+		Optional<ReplicaChoice> other = mayGoOn() ? this.replicas.known(task, tried) : Optional.empty();
+		DelayEstimate here = this.replicas.delayAt(attempt.choice().replica(), task);
+		Optional<DelayEstimate> there = other.map((choice) -> this.replicas.delayAt(choice.replica(), task));
+		if (there.isPresent() && SilentReplicaPolicy.isClearlySooner(here, there.get())) {
 			String why = "begins in " + Math.round(there.get().expectedMillis()) + " ms elsewhere, in "
 					+ Math.round(here.expectedMillis()) + " ms here";
 			leave(attempt, new AttemptEnd.Withdrawn(why), other);
@@ -124,7 +125,7 @@
 		}
 	}
 
-	private void leave(long now, Attempt attempt, Set<ReplicaId> tried, Task task) {
+	private void leave(long now, Attempt attempt, Set<ReplicaId> tried, ReplicaTask task) {
 		this.nextLook = now + AGAIN_MILLIS;
 		String why = whyKept(tried);
 		if (!why.isEmpty()) {
@@ -137,7 +138,7 @@
 	/**
 	 * Leaves the replica, unless it has answered while another one was chosen.
 	 */
-	private void leave(Attempt attempt, AttemptEnd end, Optional<Choice> choice) {
+	private void leave(Attempt attempt, AttemptEnd end, Optional<ReplicaChoice> choice) {
 		if (!this.serving.waitsFor(attempt) || !silent(Clock.millis(), attempt)) {
 			return;
 		}
@@ -161,7 +162,7 @@
 		if (this.kept != attempt) {
 			this.kept = attempt;
 			if (end instanceof AttemptEnd.Broken) {
-				picker().silent(Clock.millis(), attempt.choice().replica());
+				picker().onSilent(Clock.millis(), attempt.choice().replica());
 			}
 			note(attempt, "kept", why);
 		}
@@ -197,7 +198,7 @@
 		if (this.serving.route().kind() == RouteKind.IDEMPOTENT) {
 			return now - since(attempt) > patience();
 		}
-		return picker().unresponsive(now, attempt.choice(), since(attempt), attempt.answer() == null, patience());
+		return picker().isUnresponsive(now, attempt.choice(), since(attempt), attempt.answer() == null, patience());
 	}
 
 	private long patience() {
@@ -208,7 +209,7 @@
 		return this.gateway.stalls().silentSince(attempt.lastByteAt());
 	}
 
-	private ReplicaPicker picker() {
+	private ReplicaSelector picker() {
 		return this.gateway.decisions().picker();
 	}
 
