--- a/core/src/main/java/org/gullsaddle/serve/ReplicaRules.java
+++ b/core/src/main/java/org/gullsaddle/serve/ReplicaRules.java
@@ -12,7 +12,7 @@
 import org.gullsaddle.fleet.ReplicaDirectory;
 import org.gullsaddle.fleet.ReplicaId;
 import org.gullsaddle.fleet.ServiceName;
-import org.gullsaddle.suspect.CrashBook;
+import org.gullsaddle.suspect.CrashTracker;
 import org.gullsaddle.suspect.Trait;
 
 /**
@@ -31,7 +31,7 @@
 
 	private final BackpressureBook backpressure;
 
-	private final CrashBook crashes;
+	private final CrashTracker crashes;
 
 	/**
 	 * Makes the rules of a node.
@@ -42,7 +42,7 @@
 	 * @param crashes what is refused as it crashes replicas
 	 */
 	public ReplicaRules(ReplicaDirectory directory, Place place, ColdPace pace, BackpressureBook backpressure,
-			CrashBook crashes) {
+			CrashTracker crashes) {
 		this.directory = directory;
 		this.place = place;
 		this.pace = pace;
@@ -56,7 +56,7 @@
 	 * @return true if one of its traits is refused
 	 */
 	public boolean refuses(Wanted wanted) {
-		return this.crashes.refuses(wanted.traits());
+		return this.crashes.isBlocked(wanted.traits());
 	}
 
 	/**
@@ -142,7 +142,7 @@
 	 */
 	public long backMillis(long now, Wanted wanted) {
 		if (refuses(wanted)) {
-			return this.crashes.backMillis(now, wanted.traits());
+			return this.crashes.retryAfterMillis(now, wanted.traits());
 		}
 		return this.backpressure.backMillis(now, wanted.service(), open(now, wanted));
 	}
--- a/core/src/main/java/org/gullsaddle/suspect/CrashBook.java
+++ b/core/src/main/java/org/gullsaddle/suspect/CrashTracker.java
@@ -22,7 +22,7 @@
  * went well since the first; see {@link CrashEvidence}. It is refused as long as such
  * requests come, but for a trial now and then.
  */
-public final class CrashBook {
+public final class CrashTracker {
 
 	/** How long after a crash others' news of it are awaited, in milliseconds. */
 	private static final long UNSETTLED_MILLIS = 10_000;
@@ -77,7 +77,7 @@
 	 * @param crash the crash
 	 * @return the traits that are refused from now on
 	 */
-	public List<Trait> crashed(long now, Crash crash) {
+	public List<Trait> onCrash(long now, Crash crash) {
 		this.evidence.seesFrom(crash.at());
 		this.own.merge(crash.process(), crash, Crash::and);
 		add(now, crash);
@@ -108,7 +108,7 @@
 	 * @param process the process
 	 * @param sentAt when the request was sent that it answers, in milliseconds
 	 */
-	public void alive(String process, long sentAt) {
+	public void onAlive(String process, long sentAt) {
 		if (this.evidence.alive(process, sentAt)) {
 			this.own.remove(process);
 		}
@@ -121,7 +121,7 @@
 	 * @param traits the request's traits
 	 * @return the traits among them that are not refused any more
 	 */
-	public List<Trait> sound(long now, Collection<Trait> traits) {
+	public List<Trait> onSuccess(long now, Collection<Trait> traits) {
 		this.evidence.seesFrom(now);
 		this.sound.add(now, traits);
 		return clear(traits);
@@ -149,7 +149,7 @@
 	 * @param traits the traits
 	 * @return true if one went well with each, as far as is remembered
 	 */
-	public boolean everSound(Collection<Trait> traits) {
+	public boolean hasSuccessWithEach(Collection<Trait> traits) {
 		return traits.stream().allMatch(this.sound::any);
 	}
 
@@ -158,7 +158,7 @@
 	 * @param traits the request's traits
 	 * @return true if one of them is refused
 	 */
-	public boolean refuses(Collection<Trait> traits) {
+	public boolean isBlocked(Collection<Trait> traits) {
 		return !this.convictions.isEmpty() && traits.stream().anyMatch(this.convictions::containsKey);
 	}
 
@@ -168,7 +168,7 @@
 	 * @param traits the request's traits
 	 * @return the time from now in milliseconds
 	 */
-	public long backMillis(long now, Collection<Trait> traits) {
+	public long retryAfterMillis(long now, Collection<Trait> traits) {
 		return refused(traits).stream().mapToLong((conviction) -> conviction.trialInMillis(now)).max().orElse(0);
 	}
 
@@ -178,7 +178,7 @@
 	 * @param traits the request's traits
 	 * @return whether others are to be told
 	 */
-	public boolean seen(long now, Collection<Trait> traits) {
+	public boolean onRequest(long now, Collection<Trait> traits) {
 		boolean due = false;
 		for (Conviction conviction : refused(traits)) {
 			due |= conviction.seen(now);
@@ -193,7 +193,7 @@
 	 * @param traits the request's traits
 	 * @return the trait, if a trial is due and nothing else speaks against the request
 	 */
-	public Optional<Trial> trial(long now, Collection<Trait> traits) {
+	public Optional<Trial> findTrial(long now, Collection<Trait> traits) {
 		List<Conviction> against = refused(traits);
 		if (against.size() != 1 || !against.get(0).trialDue(now)) {
 			return Optional.empty();
@@ -206,7 +206,7 @@
 	 * @param now the time in milliseconds
 	 * @param trial the trial
 	 */
-	public void tried(long now, Trial trial) {
+	public void onTrialDecided(long now, Trial trial) {
 		Conviction conviction = this.convictions.get(trial.trait());
 		if (conviction != null && conviction.trials() < trial.number()) {
 			conviction.tried(now);
@@ -224,12 +224,12 @@
 	 * @param note what it told
 	 * @return what changed
 	 */
-	public Learned learn(long now, long clock, CrashNote note) {
+	public NoteEffect onNote(long now, long clock, CrashNote note) {
 		this.evidence.seesFrom(now);
 		long told = clock - note.writtenAt();
 		long lag = (told >= MIN_LAG_MILLIS) ? told : 0;
 		if (lag > Conviction.QUIET_MILLIS) {
-			return new Learned(List.of(), List.of());
+			return new NoteEffect(List.of(), List.of());
 		}
 		note.sound().forEach((trait, age) -> this.sound.mark(now - lag - age, trait));
 		List<Trait> cleared = clear(note.sound().keySet());
@@ -245,7 +245,7 @@
 			}
 		}
 		refused.addAll(judge(now));
-		return new Learned(refused, cleared);
+		return new NoteEffect(refused, cleared);
 	}
 
 	/**
@@ -255,8 +255,8 @@
 	 * @param note what it told
 	 * @return what changed
 	 */
-	public Learned learnOwn(long now, long clock, CrashNote note) {
-		Learned learned = learn(now, clock, note);
+	public NoteEffect onOwnNote(long now, long clock, CrashNote note) {
+		NoteEffect learned = onNote(now, clock, note);
 		for (CrashNote.Ended each : note.crashes()) {
 			this.evidence.find(each.process()).ifPresent((crash) -> this.own.putIfAbsent(each.process(), crash));
 		}
@@ -282,7 +282,7 @@
 	 * @param traits the traits of a request that went well
 	 * @return true once after each crash
 	 */
-	public boolean speaksFor(Collection<Trait> traits) {
+	public boolean shouldReportSuccess(Collection<Trait> traits) {
 		if (!this.evidence.any()) {
 			return false;
 		}
@@ -296,7 +296,7 @@
 	 * @param clock the Unix millisecond
 	 * @return the note, empty if nothing is known
 	 */
-	public Optional<CrashNote> note(long now, long clock) {
+	public Optional<CrashNote> buildNote(long now, long clock) {
 		forget(now);
 		List<CrashNote.Ended> ended = this.own.values()
 			.stream()
@@ -329,7 +329,7 @@
 	 * @param cleared the traits
 	 * @return true if its note is to be written again
 	 */
-	public boolean toldRefused(Collection<Trait> cleared) {
+	public boolean hasReportedAnyBlocked(Collection<Trait> cleared) {
 		return cleared.stream().anyMatch(this.toldRefused::contains);
 	}
 
@@ -341,7 +341,7 @@
 		return new HashSet<>(crash.traits()
 			.stream()
 			.sorted(Comparator.comparingLong(this.sound::last)
-				.thenComparing(Comparator.comparingInt(this::crashesWith).reversed())
+				.thenComparing(Comparator.comparingInt(this::crashCount).reversed())
 				.thenComparing(Trait::kind))
 			.limit(MAX_TOLD_TRAITS)
 			.toList());
@@ -352,7 +352,7 @@
 	 * @param trait the trait
 	 * @return the number
 	 */
-	public int crashesWith(Trait trait) {
+	public int crashCount(Trait trait) {
 		return this.evidence.countWith(trait);
 	}
 
@@ -360,7 +360,7 @@
 	 * Returns how many traits are refused.
 	 * @return the number
 	 */
-	public int countRefused() {
+	public int blockedCount() {
 		return this.convictions.size();
 	}
 
@@ -368,7 +368,7 @@
 	 * Says whether any crash is remembered, or anything refused.
 	 * @return true if so
 	 */
-	public boolean any() {
+	public boolean hasCrashEvidence() {
 		return this.evidence.any() || !this.convictions.isEmpty();
 	}
 
@@ -377,7 +377,7 @@
 	 * @param now the time in milliseconds
 	 * @return true if so
 	 */
-	public boolean unsettled(long now) {
+	public boolean isAwaitingNotes(long now) {
 		return now - this.lastCrashAt < UNSETTLED_MILLIS;
 	}
 
@@ -385,7 +385,7 @@
 	 * Says whether this node refuses anything of which no node has told the others yet.
 	 * @return true if so
 	 */
-	public boolean untold() {
+	public boolean hasUnreportedBlocks() {
 		return this.convictions.values().stream().anyMatch((conviction) -> !conviction.told());
 	}
 
@@ -394,7 +394,7 @@
 	 * @param now the time in milliseconds
 	 * @return the traits that are refused from now on
 	 */
-	public List<Trait> look(long now) {
+	public List<Trait> reevaluate(long now) {
 		this.evidence.seesFrom(now);
 		return this.evidence.any() ? judge(now) : List.of();
 	}
@@ -453,7 +453,7 @@
 	 * @param refused the traits that are refused from now on
 	 * @param cleared those that are not any more
 	 */
-	public record Learned(List<Trait> refused, List<Trait> cleared) {
+	public record NoteEffect(List<Trait> blocked, List<Trait> unblocked) {
 	}
 
 }
--- a/core/src/test/java/org/gullsaddle/serve/ReplicaRulesTests.java
+++ b/core/src/test/java/org/gullsaddle/serve/ReplicaRulesTests.java
@@ -25,7 +25,7 @@
 import org.gullsaddle.fleet.ServiceName;
 import org.gullsaddle.serve.ReplicaRules.NoReplica;
 import org.gullsaddle.serve.ReplicaRules.Wanted;
-import org.gullsaddle.suspect.CrashBook;
+import org.gullsaddle.suspect.CrashTracker;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -47,7 +47,7 @@
 			() -> Optional.of(List.of(new Peer(NODE, "a"))), new Random(1));
 
 	private final ReplicaRules rules = new ReplicaRules(this.directory, this.place, new ColdPace("node"), this.book,
-			new CrashBook());
+			new CrashTracker());
 
 	private static Replica replica(String dataCenter, String release) {
 		return new Replica(new ReplicaId(dataCenter + '-' + release), ENGINES, new Address("10.0.0.1", 80), dataCenter,
--- a/core/src/test/java/org/gullsaddle/suspect/CrashBookTests.java
+++ b/core/src/test/java/org/gullsaddle/suspect/CrashBookTests.java
@@ -26,7 +26,7 @@
 
 	private static final long FIRST_TRIAL = 30 * SECOND;
 
-	private final CrashBook book = new CrashBook();
+	private final CrashTracker book = new CrashTracker();
 
 	private int processes;
 
@@ -38,18 +38,18 @@
 		return crash(this.book, now, 20, "process-" + this.processes++, traits);
 	}
 
-	private static List<Trait> crash(CrashBook book, long now, long ranMillis, String process, Trait... traits) {
+	private static List<Trait> crash(CrashTracker book, long now, long ranMillis, String process, Trait... traits) {
 		Map<Trait, Long> ran = new LinkedHashMap<>();
 		Arrays.asList(traits).forEach((trait) -> ran.put(trait, ranMillis));
-		return book.crashed(now, new Crash(process, now, ran));
+		return book.onCrash(now, new Crash(process, now, ran));
 	}
 
 	private boolean refuses(Trait... traits) {
-		return this.book.refuses(List.of(traits));
+		return this.book.isBlocked(List.of(traits));
 	}
 
 	private void convict() {
-		this.book.sound(0, List.of(FIRST));
+		this.book.onSuccess(0, List.of(FIRST));
 		for (int i = 0; i < 4; i++) {
 			crash(i * SECOND, FIRST, DEADLY, content("own-" + i));
 		}
@@ -59,7 +59,7 @@
 	/** Guards against engines lost one by one to requests of which no two are alike. */
 	@Test
 	void partAtFourCrashesIsRefusedWhateverElseTheRequestsHold() {
-		this.book.sound(0, List.of(FIRST));
+		this.book.onSuccess(0, List.of(FIRST));
 		for (int i = 0; i < 3; i++) {
 			assertThat(crash(i * SECOND, FIRST, DEADLY, content("own-" + i))).isEmpty();
 		}
@@ -86,9 +86,9 @@
 	void crashesThatOtherNodesSawCount() {
 		crash(0, DEADLY);
 		for (int i = 1; i < 4; i++) {
-			CrashBook other = new CrashBook();
+			CrashTracker other = new CrashTracker();
 			crash(other, i * SECOND, 20, "at-other-" + i, DEADLY);
-			this.book.learn(i * SECOND + 100, CLOCK, other.note(i * SECOND + 100, CLOCK).orElseThrow());
+			this.book.onNote(i * SECOND + 100, CLOCK, other.buildNote(i * SECOND + 100, CLOCK).orElseThrow());
 		}
 		assertThat(refuses(DEADLY)).isTrue();
 	}
@@ -98,9 +98,9 @@
 		for (int i = 0; i < 3; i++) {
 			crash(i * SECOND, DEADLY);
 		}
-		CrashNote note = this.book.note(3 * SECOND, CLOCK).orElseThrow();
-		this.book.learn(4 * SECOND, CLOCK, note);
-		this.book.learn(5 * SECOND, CLOCK, note);
+		CrashNote note = this.book.buildNote(3 * SECOND, CLOCK).orElseThrow();
+		this.book.onNote(4 * SECOND, CLOCK, note);
+		this.book.onNote(5 * SECOND, CLOCK, note);
 		assertThat(refuses(DEADLY)).isFalse();
 	}
 
@@ -120,29 +120,29 @@
 	@Test
 	void whatIsFoundOutIsToldByOneNode() {
 		convict();
-		assertThat(this.book.untold()).isTrue();
-		CrashBook other = new CrashBook();
-		other.learn(4 * SECOND, CLOCK, this.book.note(4 * SECOND, CLOCK).orElseThrow());
-		assertThat(this.book.untold()).isFalse();
-		assertThat(other.untold()).isFalse();
+		assertThat(this.book.hasUnreportedBlocks()).isTrue();
+		CrashTracker other = new CrashTracker();
+		other.onNote(4 * SECOND, CLOCK, this.book.buildNote(4 * SECOND, CLOCK).orElseThrow());
+		assertThat(this.book.hasUnreportedBlocks()).isFalse();
+		assertThat(other.hasUnreportedBlocks()).isFalse();
 	}
 
 	/** Guards against nodes that answer each other's notes for ever. */
 	@Test
 	void noteThatTellsNothingNewCallsForNoAnswer() {
-		this.book.sound(0, List.of(FIRST));
+		this.book.onSuccess(0, List.of(FIRST));
 		for (int i = 1; i < 3; i++) {
 			crash(i * SECOND, FIRST);
 		}
-		CrashBook other = new CrashBook();
-		CrashNote note = this.book.note(3 * SECOND, CLOCK).orElseThrow();
-		other.learn(3 * SECOND, CLOCK, note);
-		other.sound(4 * SECOND, List.of(FIRST));
-		assertThat(other.speaksFor(List.of(FIRST))).isTrue();
-		other.learn(5 * SECOND, CLOCK, note);
-		assertThat(other.speaksFor(List.of(FIRST))).isFalse();
-		assertThat(other.unsettled(14 * SECOND)).isFalse();
-		assertThat(other.note(5 * SECOND, CLOCK).orElseThrow().crashes()).isEmpty();
+		CrashTracker other = new CrashTracker();
+		CrashNote note = this.book.buildNote(3 * SECOND, CLOCK).orElseThrow();
+		other.onNote(3 * SECOND, CLOCK, note);
+		other.onSuccess(4 * SECOND, List.of(FIRST));
+		assertThat(other.shouldReportSuccess(List.of(FIRST))).isTrue();
+		other.onNote(5 * SECOND, CLOCK, note);
+		assertThat(other.shouldReportSuccess(List.of(FIRST))).isFalse();
+		assertThat(other.isAwaitingNotes(14 * SECOND)).isFalse();
+		assertThat(other.buildNote(5 * SECOND, CLOCK).orElseThrow().crashes()).isEmpty();
 	}
 
 	@Nested
@@ -160,22 +160,22 @@
 		void whatWentWellSince() {
 			for (int i = 0; i < 20; i++) {
 				crash(i * SECOND, FIRST);
-				CrashBookTests.this.book.sound(i * SECOND + 500, List.of(FIRST));
+				CrashBookTests.this.book.onSuccess(i * SECOND + 500, List.of(FIRST));
 			}
 			assertThat(refuses(FIRST)).isFalse();
 		}
 
 		@Test
 		void whatWentWellAtAnotherNode() {
-			CrashBook other = new CrashBook();
+			CrashTracker other = new CrashTracker();
 			for (int i = 0; i < 3; i++) {
 				crash(i * SECOND, FIRST);
 			}
-			other.learn(3 * SECOND, CLOCK, CrashBookTests.this.book.note(3 * SECOND, CLOCK).orElseThrow());
-			other.sound(4 * SECOND, List.of(FIRST));
-			assertThat(other.speaksFor(List.of(FIRST))).isTrue();
-			assertThat(other.speaksFor(List.of(FIRST))).isFalse();
-			CrashBookTests.this.book.learn(4 * SECOND, CLOCK, other.note(4 * SECOND, CLOCK).orElseThrow());
+			other.onNote(3 * SECOND, CLOCK, CrashBookTests.this.book.buildNote(3 * SECOND, CLOCK).orElseThrow());
+			other.onSuccess(4 * SECOND, List.of(FIRST));
+			assertThat(other.shouldReportSuccess(List.of(FIRST))).isTrue();
+			assertThat(other.shouldReportSuccess(List.of(FIRST))).isFalse();
+			CrashBookTests.this.book.onNote(4 * SECOND, CLOCK, other.buildNote(4 * SECOND, CLOCK).orElseThrow());
 			crash(5 * SECOND, FIRST);
 			assertThat(refuses(FIRST)).isFalse();
 		}
@@ -185,7 +185,7 @@
 		 */
 		@Test
 		void whatIsAtTheSameCrashesAsOneThatWasNeverSound() {
-			CrashBookTests.this.book.sound(0, List.of(FIRST, SUBJECT));
+			CrashBookTests.this.book.onSuccess(0, List.of(FIRST, SUBJECT));
 			for (int i = 1; i < 12; i++) {
 				crash(i * SECOND, FIRST, SUBJECT, DEADLY);
 			}
@@ -198,7 +198,7 @@
 		 */
 		@Test
 		void whatAllRequestsHaveWhileNoneGoesWell() {
-			CrashBookTests.this.book.sound(0, List.of(FIRST));
+			CrashBookTests.this.book.onSuccess(0, List.of(FIRST));
 			for (int i = 1; i < 30; i++) {
 				crash(i * SECOND, FIRST, Trait.part("subject-" + i));
 			}
@@ -212,7 +212,7 @@
 				crash(i * SECOND, unlucky, DEADLY);
 			}
 			assertThat(refuses(unlucky)).isFalse();
-			CrashBookTests.this.book.look(3 * SECOND);
+			CrashBookTests.this.book.reevaluate(3 * SECOND);
 			assertThat(refuses(unlucky)).isTrue();
 			crash(4 * SECOND, DEADLY);
 			assertThat(refuses(unlucky)).isFalse();
@@ -225,15 +225,15 @@
 		 */
 		@Test
 		void partThatIsAtFourCrashesBeforeAllIsKnownOfThem() {
-			CrashBook other = new CrashBook();
+			CrashTracker other = new CrashTracker();
 			for (int i = 0; i < 4; i++) {
 				crash(other, i * SECOND, 20, "process-" + i, DEADLY);
 				crash(i * SECOND, (i < 3) ? new Trait[] { SUBJECT, DEADLY } : new Trait[] { SUBJECT });
 			}
 			assertThat(refuses(SUBJECT)).isFalse();
 			crash(3 * SECOND + 500, DEADLY);
-			CrashBookTests.this.book.learn(3 * SECOND + 700, CLOCK, other.note(3 * SECOND, CLOCK).orElseThrow());
-			CrashBookTests.this.book.look(4 * SECOND);
+			CrashBookTests.this.book.onNote(3 * SECOND + 700, CLOCK, other.buildNote(3 * SECOND, CLOCK).orElseThrow());
+			CrashBookTests.this.book.reevaluate(4 * SECOND);
 			assertThat(refuses(DEADLY)).isTrue();
 			assertThat(refuses(SUBJECT)).isFalse();
 		}
@@ -241,13 +241,13 @@
 		@Test
 		void contentsThatAnotherNodeRefusesWithoutKnowingThePart() {
 			Trait unlucky = content("unlucky");
-			CrashBook other = new CrashBook();
+			CrashTracker other = new CrashTracker();
 			for (int i = 0; i < 3; i++) {
 				crash(other, i * SECOND, 20, "at-other-" + i, unlucky, DEADLY);
 			}
-			CrashNote note = other.note(3 * SECOND, CLOCK).orElseThrow();
+			CrashNote note = other.buildNote(3 * SECOND, CLOCK).orElseThrow();
 			convict();
-			CrashBookTests.this.book.learn(4 * SECOND, CLOCK, note);
+			CrashBookTests.this.book.onNote(4 * SECOND, CLOCK, note);
 			assertThat(refuses(unlucky)).isFalse();
 		}
 
@@ -257,7 +257,7 @@
 			for (int i = 0; i < 3; i++) {
 				crash(i * SECOND, DEADLY);
 			}
-			CrashBookTests.this.book.alive("process-0", 3 * SECOND);
+			CrashBookTests.this.book.onAlive("process-0", 3 * SECOND);
 			crash(4 * SECOND, DEADLY);
 			assertThat(refuses(DEADLY)).isFalse();
 		}
@@ -274,7 +274,7 @@
 		void partIsRefusedForTheModelThatCrashesOnIt() {
 			for (int i = 0; i < 6; i++) {
 				crash(i * SECOND, FIRST, SUBJECT, UNDER_LARGE);
-				CrashBookTests.this.book.sound(i * SECOND + 500,
+				CrashBookTests.this.book.onSuccess(i * SECOND + 500,
 						List.of(FIRST, SUBJECT, Trait.part("subject", "small")));
 			}
 			assertThat(refuses(FIRST, SUBJECT, UNDER_LARGE)).isTrue();
@@ -299,10 +299,10 @@
 		 */
 		@Test
 		void isRefusedAfterSixCrashesWhileOthersGoWell() {
-			CrashBookTests.this.book.sound(0, List.of(SUBJECT));
+			CrashBookTests.this.book.onSuccess(0, List.of(SUBJECT));
 			for (int i = 1; i <= 5; i++) {
 				crash(i * SECOND, SUBJECT);
-				CrashBookTests.this.book.sound(i * SECOND + 200, List.of(FIRST));
+				CrashBookTests.this.book.onSuccess(i * SECOND + 200, List.of(FIRST));
 			}
 			assertThat(refuses(SUBJECT)).isFalse();
 			assertThat(crash(6 * SECOND, SUBJECT)).containsExactly(SUBJECT);
@@ -318,46 +318,46 @@
 		void lastsAsLongAsSuchRequestsCome() {
 			convict();
 			for (long now = 0; now < 3_600_000; now += 60 * SECOND) {
-				CrashBookTests.this.book.seen(now, List.of(DEADLY));
-				CrashBookTests.this.book.note(now, CLOCK + now);
+				CrashBookTests.this.book.onRequest(now, List.of(DEADLY));
+				CrashBookTests.this.book.buildNote(now, CLOCK + now);
 				assertThat(refuses(DEADLY)).isTrue();
 			}
-			CrashBookTests.this.book.note(4_300_000, CLOCK);
+			CrashBookTests.this.book.buildNote(4_300_000, CLOCK);
 			assertThat(refuses(DEADLY)).isFalse();
 		}
 
 		@Test
 		void isLearntFromAnotherNode() {
 			convict();
-			CrashBook other = new CrashBook();
-			CrashNote note = CrashBookTests.this.book.note(4 * SECOND, CLOCK).orElseThrow();
-			assertThat(other.learn(50_000, CLOCK + 100, note).refused()).containsExactly(DEADLY);
-			assertThat(other.refuses(List.of(DEADLY))).isTrue();
+			CrashTracker other = new CrashTracker();
+			CrashNote note = CrashBookTests.this.book.buildNote(4 * SECOND, CLOCK).orElseThrow();
+			assertThat(other.onNote(50_000, CLOCK + 100, note).blocked()).containsExactly(DEADLY);
+			assertThat(other.isBlocked(List.of(DEADLY))).isTrue();
 		}
 
 		/** Guards against what was refused long ago and never again asked for. */
 		@Test
 		void isNotLearntFromANoteOfLongAgo() {
 			convict();
-			CrashBook other = new CrashBook();
-			CrashNote note = CrashBookTests.this.book.note(4 * SECOND, CLOCK).orElseThrow();
-			other.learn(50_000, CLOCK + 700_000, note);
-			assertThat(other.refuses(List.of(DEADLY))).isFalse();
+			CrashTracker other = new CrashTracker();
+			CrashNote note = CrashBookTests.this.book.buildNote(4 * SECOND, CLOCK).orElseThrow();
+			other.onNote(50_000, CLOCK + 700_000, note);
+			assertThat(other.isBlocked(List.of(DEADLY))).isFalse();
 		}
 
 		@Test
 		void endsOnceARequestWentWell() {
 			convict();
-			assertThat(CrashBookTests.this.book.sound(5 * SECOND, List.of(FIRST, DEADLY))).containsExactly(DEADLY);
+			assertThat(CrashBookTests.this.book.onSuccess(5 * SECOND, List.of(FIRST, DEADLY))).containsExactly(DEADLY);
 			assertThat(refuses(DEADLY)).isFalse();
 		}
 
 		@Test
 		void isNotTakenUpAgainFromANoteOfBefore() {
 			convict();
-			CrashNote before = CrashBookTests.this.book.note(4 * SECOND, CLOCK).orElseThrow();
-			CrashBookTests.this.book.sound(5 * SECOND, List.of(DEADLY));
-			CrashBookTests.this.book.learn(60 * SECOND, CLOCK + 56 * SECOND, before);
+			CrashNote before = CrashBookTests.this.book.buildNote(4 * SECOND, CLOCK).orElseThrow();
+			CrashBookTests.this.book.onSuccess(5 * SECOND, List.of(DEADLY));
+			CrashBookTests.this.book.onNote(60 * SECOND, CLOCK + 56 * SECOND, before);
 			assertThat(refuses(DEADLY)).isFalse();
 		}
 
@@ -367,13 +367,13 @@
 			long now = 3 * SECOND;
 			for (int number = 1; number <= 3; number++) {
 				long pause = FIRST_TRIAL << (2 * (number - 1));
-				assertThat(CrashBookTests.this.book.backMillis(now, List.of(DEADLY))).isEqualTo(pause);
-				assertThat(CrashBookTests.this.book.trial(now + pause - 1, List.of(DEADLY))).isEmpty();
+				assertThat(CrashBookTests.this.book.retryAfterMillis(now, List.of(DEADLY))).isEqualTo(pause);
+				assertThat(CrashBookTests.this.book.findTrial(now + pause - 1, List.of(DEADLY))).isEmpty();
 				now += pause;
-				CrashBook.Trial trial = CrashBookTests.this.book.trial(now, List.of(DEADLY)).orElseThrow();
-				assertThat(trial).isEqualTo(new CrashBook.Trial(DEADLY, number));
-				CrashBookTests.this.book.tried(now, trial);
-				CrashBookTests.this.book.tried(now, trial);
+				CrashTracker.Trial trial = CrashBookTests.this.book.findTrial(now, List.of(DEADLY)).orElseThrow();
+				assertThat(trial).isEqualTo(new CrashTracker.Trial(DEADLY, number));
+				CrashBookTests.this.book.onTrialDecided(now, trial);
+				CrashBookTests.this.book.onTrialDecided(now, trial);
 			}
 		}
 
@@ -388,7 +388,7 @@
 			convict();
 			for (int i = 0; i < 2000; i++) {
 				crash(10 * SECOND + i, Trait.part("part-" + i), Trait.part("more-" + i));
-				CrashBookTests.this.book.sound(10 * SECOND + i, List.of(Trait.part("sound-" + i)));
+				CrashBookTests.this.book.onSuccess(10 * SECOND + i, List.of(Trait.part("sound-" + i)));
 			}
 			assertThat(refuses(DEADLY)).isTrue();
 		}
@@ -402,7 +402,7 @@
 				}
 				crash(10 * SECOND + i, traits);
 			}
-			CrashNote note = CrashBookTests.this.book.note(20 * SECOND, CLOCK).orElseThrow();
+			CrashNote note = CrashBookTests.this.book.buildNote(20 * SECOND, CLOCK).orElseThrow();
 			assertThat(note.crashes()).hasSize(16).allSatisfy((crash) -> assertThat(crash.ran()).hasSize(24));
 		}
 
--- a/core/src/test/java/org/gullsaddle/suspect/CrashModel.java
+++ b/core/src/test/java/org/gullsaddle/suspect/CrashModel.java
@@ -14,7 +14,7 @@
 import org.gullsaddle.base.Fingerprint;
 
 /**
- * Nodes with a {@link CrashBook} each before replicas that end on a part, or for no
+ * Nodes with a {@link CrashTracker} each before replicas that end on a part, or for no
  * reason of their requests, on a virtual clock. Notes take a while from node to node.
  */
 final class CrashModel {
@@ -51,7 +51,7 @@
 	private final PriorityQueue<Event> events = new PriorityQueue<>(
 			Comparator.comparingLong(Event::at).thenComparingInt(Event::number));
 
-	private final List<CrashBook> books = new ArrayList<>();
+	private final List<CrashTracker> books = new ArrayList<>();
 
 	private final Set<Integer> telling = new HashSet<>();
 
@@ -80,7 +80,7 @@
 	CrashModel(long seed, int nodes, int replicas) {
 		this.random = new Random(seed);
 		for (int i = 0; i < nodes; i++) {
-			this.books.add(new CrashBook());
+			this.books.add(new CrashTracker());
 		}
 		for (int i = 0; i < replicas; i++) {
 			this.replicas.add(new HashSet<>());
@@ -159,10 +159,10 @@
 	private void look() {
 		for (int i = 0; i < this.books.size(); i++) {
 			int node = i;
-			this.refused.addAll(this.books.get(i).look(this.now));
-			if (this.books.get(i).untold()) {
+			this.refused.addAll(this.books.get(i).reevaluate(this.now));
+			if (this.books.get(i).hasUnreportedBlocks()) {
 				at(this.now + this.random.nextInt(SPREAD_MILLIS), () -> {
-					if (this.books.get(node).untold()) {
+					if (this.books.get(node).hasUnreportedBlocks()) {
 						tell(node);
 					}
 				});
@@ -171,7 +171,7 @@
 	}
 
 	private void send(int node, List<Trait> traits, int attempt) {
-		if (this.books.get(node).refuses(traits)) {
+		if (this.books.get(node).isBlocked(traits)) {
 			return;
 		}
 		int replica = this.random.nextInt(this.replicas.size());
@@ -211,9 +211,9 @@
 	}
 
 	private void sound(Run run) {
-		CrashBook book = this.books.get(run.node);
-		boolean cleared = !book.sound(this.now, run.traits).isEmpty();
-		if (cleared || book.speaksFor(run.traits)) {
+		CrashTracker book = this.books.get(run.node);
+		boolean cleared = !book.onSuccess(this.now, run.traits).isEmpty();
+		if (cleared || book.shouldReportSuccess(run.traits)) {
 			tell(run.node);
 		}
 	}
@@ -236,7 +236,7 @@
 		this.up[replica] = false;
 		long died = this.now;
 		seen.forEach((node, ran) -> at(died + FOUND_MILLIS, () -> {
-			this.refused.addAll(this.books.get(node).crashed(this.now, new Crash(process, died, ran)));
+			this.refused.addAll(this.books.get(node).onCrash(this.now, new Crash(process, died, ran)));
 			tell(node);
 		}));
 		at(died + BACK_MILLIS, () -> {
@@ -251,12 +251,12 @@
 		}
 		at(this.now + NOTE_MILLIS, () -> {
 			this.telling.remove(node);
-			this.books.get(node).note(this.now, CLOCK + this.now).ifPresent((note) -> {
+			this.books.get(node).buildNote(this.now, CLOCK + this.now).ifPresent((note) -> {
 				for (int i = 0; i < this.books.size(); i++) {
-					CrashBook other = this.books.get(i);
+					CrashTracker other = this.books.get(i);
 					if (i != node) {
 						at(this.now + 20 + this.random.nextInt(READ_MILLIS),
-								() -> this.refused.addAll(other.learn(this.now, CLOCK + this.now, note).refused()));
+								() -> this.refused.addAll(other.onNote(this.now, CLOCK + this.now, note).blocked()));
 					}
 				}
 			});
@@ -285,7 +285,7 @@
 	}
 
 	boolean allRefuse(Trait trait) {
-		return this.books.stream().allMatch((book) -> book.refuses(List.of(trait)));
+		return this.books.stream().allMatch((book) -> book.isBlocked(List.of(trait)));
 	}
 
 	private record Run(int node, List<Trait> traits, long startedAt, int attempt) {
--- a/core/src/test/java/org/gullsaddle/suspect/RepeatedContentTests.java
+++ b/core/src/test/java/org/gullsaddle/suspect/RepeatedContentTests.java
@@ -36,7 +36,7 @@
 	/** How many requests may come after contact since the third crash. */
 	private static final int ALLOWED = 3;
 
-	private final CrashBook book = new CrashBook();
+	private final CrashTracker book = new CrashTracker();
 
 	private int processes;
 
@@ -52,18 +52,18 @@
 		crash(this.book, now, ranMillis, traits);
 	}
 
-	private void crash(CrashBook at, long now, long ranMillis, Trait... traits) {
+	private void crash(CrashTracker at, long now, long ranMillis, Trait... traits) {
 		Map<Trait, Long> ran = new LinkedHashMap<>();
 		List.of(traits).forEach((trait) -> ran.put(trait, ranMillis));
-		at.crashed(now, new Crash("process-" + this.processes++, now, ran));
+		at.onCrash(now, new Crash("process-" + this.processes++, now, ran));
 	}
 
 	private void sound(long now, Trait... traits) {
-		this.book.sound(now, List.of(traits));
+		this.book.onSuccess(now, List.of(traits));
 	}
 
 	private boolean refuses(Trait... traits) {
-		return this.book.refuses(List.of(traits));
+		return this.book.isBlocked(List.of(traits));
 	}
 
 	/** Guards against twice the crashes for a content that went well before. */
@@ -76,7 +76,7 @@
 			crash(i * SECOND, SYSTEM, POISON);
 			sound(i * SECOND + 500, SYSTEM, content("sound-" + i));
 		}
-		RepeatedContentTests.this.book.look(5 * SECOND);
+		RepeatedContentTests.this.book.reevaluate(5 * SECOND);
 		assertThat(refuses(POISON)).isTrue();
 	}
 
@@ -88,7 +88,7 @@
 			crash(i * SECOND, SYSTEM, content("own-" + i));
 			sound(i * SECOND + 500, content("plain-" + i));
 		}
-		RepeatedContentTests.this.book.look(10 * SECOND);
+		RepeatedContentTests.this.book.reevaluate(10 * SECOND);
 		assertThat(refuses(SYSTEM)).isFalse();
 	}
 
@@ -105,7 +105,7 @@
 			traits[40] = POISON;
 			crash(i * SECOND, traits);
 		}
-		CrashNote note = this.book.note(2 * SECOND, CLOCK).orElseThrow();
+		CrashNote note = this.book.buildNote(2 * SECOND, CLOCK).orElseThrow();
 		assertThat(note.crashes()).hasSize(2).allSatisfy((crash) -> assertThat(crash.ran()).containsKey(POISON));
 	}
 
@@ -128,7 +128,7 @@
 					thirdAt = (RepeatedContentTests.this.processes == 3) ? now + 300 + i : thirdAt;
 				}
 				sound(now + 800, SYSTEM, SUBJECT, content("sound-" + now));
-				RepeatedContentTests.this.book.look(now + 1400);
+				RepeatedContentTests.this.book.reevaluate(now + 1400);
 			}
 			assertThat(refuses(POISON)).isTrue();
 			assertThat(late).isLessThanOrEqualTo(ALLOWED);
@@ -145,7 +145,7 @@
 			}
 			crash(SECOND + 10, 300, SYSTEM, content("other"));
 			sound(2 * SECOND, SYSTEM, content("sound"));
-			RepeatedContentTests.this.book.look(4 * SECOND);
+			RepeatedContentTests.this.book.reevaluate(4 * SECOND);
 			assertThat(refuses(POISON)).isFalse();
 		}
 
@@ -156,7 +156,7 @@
 				crash(SECOND + i, 300, SYSTEM, POISON);
 			}
 			sound(2 * SECOND, SYSTEM, content("sound"));
-			RepeatedContentTests.this.book.look(4 * SECOND);
+			RepeatedContentTests.this.book.reevaluate(4 * SECOND);
 			assertThat(refuses(POISON)).isFalse();
 		}
 
@@ -172,10 +172,10 @@
 				crash(i * SECOND, DEADLY_PART, POISON, content("beside-" + i));
 			}
 			crash(3 * SECOND, DEADLY_PART, content("another"));
-			RepeatedContentTests.this.book.look(4 * SECOND);
+			RepeatedContentTests.this.book.reevaluate(4 * SECOND);
 			assertThat(refuses(DEADLY_PART)).isTrue();
 			crash(20 * SECOND, SYSTEM, POISON);
-			RepeatedContentTests.this.book.look(21 * SECOND);
+			RepeatedContentTests.this.book.reevaluate(21 * SECOND);
 			assertThat(refuses(POISON)).isTrue();
 		}
 
@@ -191,7 +191,7 @@
 			for (int i = 6; i < 10; i++) {
 				crash(i * SECOND, DEADLY_PART, content("with-part-" + i));
 			}
-			RepeatedContentTests.this.book.look(11 * SECOND);
+			RepeatedContentTests.this.book.reevaluate(11 * SECOND);
 			assertThat(refuses(DEADLY_PART)).isTrue();
 			assertThat(refuses(POISON)).isTrue();
 		}
@@ -202,7 +202,7 @@
 			Trait bystander = content("bystander");
 			for (int i = 0; i < 4; i++) {
 				crash(i * SECOND, (i < 3) ? new Trait[] { DEADLY_PART, bystander } : new Trait[] { DEADLY_PART });
-				RepeatedContentTests.this.book.look(i * SECOND + 900);
+				RepeatedContentTests.this.book.reevaluate(i * SECOND + 900);
 			}
 			assertThat(refuses(DEADLY_PART)).isTrue();
 			assertThat(refuses(bystander)).isFalse();
@@ -219,7 +219,7 @@
 			for (int i = 0; i < 6; i++) {
 				crash(i * 200L, SYSTEM, SUBJECT, POISON);
 			}
-			RepeatedContentTests.this.book.look(3 * SECOND);
+			RepeatedContentTests.this.book.reevaluate(3 * SECOND);
 			assertThat(refuses(POISON)).isTrue();
 			assertThat(refuses(SYSTEM, SUBJECT)).isFalse();
 		}
@@ -230,9 +230,9 @@
 			Trait bystander = content("a-bystander");
 			for (int i = 0; i < 3; i++) {
 				Map<Trait, Long> ran = Map.of(POISON, 30L, bystander, 400L);
-				RepeatedContentTests.this.book.crashed(i * SECOND, new Crash("engine-" + i, i * SECOND, ran));
+				RepeatedContentTests.this.book.onCrash(i * SECOND, new Crash("engine-" + i, i * SECOND, ran));
 			}
-			RepeatedContentTests.this.book.look(3 * SECOND);
+			RepeatedContentTests.this.book.reevaluate(3 * SECOND);
 			assertThat(refuses(POISON)).isTrue();
 			assertThat(refuses(bystander)).isFalse();
 		}
@@ -247,7 +247,7 @@
 				crash(i * 100L, SYSTEM, underModel, POISON);
 				sound(i * 100L + 50, SYSTEM);
 			}
-			RepeatedContentTests.this.book.look(3 * SECOND);
+			RepeatedContentTests.this.book.reevaluate(3 * SECOND);
 			assertThat(refuses(POISON)).isTrue();
 			assertThat(refuses(underModel)).isFalse();
 		}
@@ -257,10 +257,10 @@
 	@Nested
 	class AfterARestart {
 
-		private final CrashBook fresh = new CrashBook();
+		private final CrashTracker fresh = new CrashTracker();
 
-		private void learn(long now, CrashBook from) {
-			from.note(now, CLOCK + now).ifPresent((note) -> this.fresh.learn(now, CLOCK + now, note));
+		private void learn(long now, CrashTracker from) {
+			from.buildNote(now, CLOCK + now).ifPresent((note) -> this.fresh.onNote(now, CLOCK + now, note));
 		}
 
 		/**
@@ -274,27 +274,27 @@
 				List<Trait> beside = IntStream.range(8 * i, 8 * i + 8)
 					.mapToObj((j) -> Trait.part("part-" + j))
 					.toList();
-				RepeatedContentTests.this.book.sound(i * SECOND - 1, beside);
+				RepeatedContentTests.this.book.onSuccess(i * SECOND - 1, beside);
 				List<Trait> ran = new ArrayList<>(beside);
 				ran.addAll(List.of(SYSTEM, SUBJECT, content("own-" + i)));
 				crash(i * SECOND, ran.toArray(Trait[]::new));
 			}
 			assertThat(refuses(SYSTEM, SUBJECT)).isFalse();
-			this.fresh.look(9 * SECOND);
+			this.fresh.reevaluate(9 * SECOND);
 			learn(10 * SECOND, RepeatedContentTests.this.book);
-			this.fresh.look(12 * SECOND);
-			assertThat(this.fresh.refuses(List.of(SYSTEM, SUBJECT))).isFalse();
+			this.fresh.reevaluate(12 * SECOND);
+			assertThat(this.fresh.isBlocked(List.of(SYSTEM, SUBJECT))).isFalse();
 		}
 
 		@Test
 		void contentAtEarlierCrashesIsRefusedAtItsNextOne() {
 			crash(0, SYSTEM, POISON);
 			crash(SECOND, SYSTEM, POISON);
-			this.fresh.look(3 * SECOND);
+			this.fresh.reevaluate(3 * SECOND);
 			learn(3 * SECOND, RepeatedContentTests.this.book);
 			crash(this.fresh, 4 * SECOND, 20, SYSTEM, POISON);
-			this.fresh.look(6 * SECOND);
-			assertThat(this.fresh.refuses(List.of(POISON))).isTrue();
+			this.fresh.reevaluate(6 * SECOND);
+			assertThat(this.fresh.isBlocked(List.of(POISON))).isTrue();
 		}
 
 		/**
@@ -304,10 +304,10 @@
 		void earlierNoteOfTheNodeIsToldAgain() {
 			crash(0, POISON);
 			learn(SECOND, RepeatedContentTests.this.book);
-			this.fresh.learnOwn(SECOND, CLOCK + SECOND,
-					RepeatedContentTests.this.book.note(SECOND, CLOCK + SECOND).orElseThrow());
+			this.fresh.onOwnNote(SECOND, CLOCK + SECOND,
+					RepeatedContentTests.this.book.buildNote(SECOND, CLOCK + SECOND).orElseThrow());
 			crash(this.fresh, 2 * SECOND, 20, content("another"));
-			assertThat(this.fresh.note(3 * SECOND, CLOCK + 3 * SECOND).orElseThrow().crashes()).hasSize(2);
+			assertThat(this.fresh.buildNote(3 * SECOND, CLOCK + 3 * SECOND).orElseThrow().crashes()).hasSize(2);
 		}
 
 		/** Guards against a refusal that was lifted and comes back by an older note. */
@@ -316,14 +316,14 @@
 			for (int i = 0; i < 4; i++) {
 				crash(i * SECOND, DEADLY_PART, content("own-" + i));
 			}
-			CrashNote before = RepeatedContentTests.this.book.note(4 * SECOND, CLOCK + 4 * SECOND).orElseThrow();
-			CrashBook other = new CrashBook();
-			other.learn(5 * SECOND, CLOCK + 5 * SECOND, before);
-			other.sound(40 * SECOND, List.of(DEADLY_PART));
+			CrashNote before = RepeatedContentTests.this.book.buildNote(4 * SECOND, CLOCK + 4 * SECOND).orElseThrow();
+			CrashTracker other = new CrashTracker();
+			other.onNote(5 * SECOND, CLOCK + 5 * SECOND, before);
+			other.onSuccess(40 * SECOND, List.of(DEADLY_PART));
 			crash(other, 50 * SECOND, 20, content("later"));
-			this.fresh.learn(60 * SECOND, CLOCK + 60 * SECOND, before);
+			this.fresh.onNote(60 * SECOND, CLOCK + 60 * SECOND, before);
 			learn(60 * SECOND, other);
-			assertThat(this.fresh.refuses(List.of(DEADLY_PART))).isFalse();
+			assertThat(this.fresh.isBlocked(List.of(DEADLY_PART))).isFalse();
 		}
 
 	}
--- a/daemon/src/main/java/org/gullsaddle/gateway/CrashController.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/CrashController.java
@@ -17,8 +17,8 @@
 import org.gullsaddle.serve.AttemptEnd;
 import org.gullsaddle.store.Store;
 import org.gullsaddle.suspect.Crash;
-import org.gullsaddle.suspect.CrashBook;
 import org.gullsaddle.suspect.CrashNote;
+import org.gullsaddle.suspect.CrashTracker;
 import org.gullsaddle.suspect.CrashWatch;
 import org.gullsaddle.suspect.Trait;
 import org.gullsaddle.telemetry.Telemetry;
@@ -84,7 +84,7 @@
 
 	private final CrashWatch watch = new CrashWatch();
 
-	private final CrashBook book = new CrashBook();
+	private final CrashTracker book = new CrashTracker();
 
 	/** The processes that are asked whether they live. */
 	private final Set<String> asked = new HashSet<>();
@@ -108,10 +108,10 @@
 		this.key = NOTES + node;
 		this.note = new NodeNote(store, this.key);
 		this.trials = new CrashTrials(store, node, this.book, log, telemetry);
-		telemetry.gauge("traits.refused", this.book::countRefused);
+		telemetry.gauge("traits.refused", this.book::blockedCount);
 	}
 
-	CrashBook book() {
+	CrashTracker book() {
 		return this.book;
 	}
 
@@ -119,7 +119,7 @@
 	 * Says whether others' news of crashes are awaited.
 	 */
 	boolean unsettled() {
-		return this.book.unsettled(Clock.millis());
+		return this.book.isAwaitingNotes(Clock.millis());
 	}
 
 	/**
@@ -128,12 +128,12 @@
 	 * @param model the model that is to run it first
 	 */
 	void ask(ServedRequest request, String model, Runnable then) {
-		List<Trait> traits = (this.book.countRefused() > 0) ? request.traits(model) : List.of();
-		if (!this.book.refuses(traits)) {
+		List<Trait> traits = (this.book.blockedCount() > 0) ? request.traits(model) : List.of();
+		if (!this.book.isBlocked(traits)) {
 			then.run();
 			return;
 		}
-		if (this.book.seen(Clock.millis(), traits)) {
+		if (this.book.onRequest(Clock.millis(), traits)) {
 			tellIn(GATHER_MILLIS);
 		}
 		this.trials.ask(request, traits, then);
@@ -144,7 +144,7 @@
 	 */
 	void head(Attempt attempt) {
 		Replica replica = attempt.choice().replica();
-		this.book.alive(Crash.process(replica), attempt.startedAt());
+		this.book.onAlive(Crash.process(replica), attempt.startedAt());
 		whole(this.watch.answered(replica, attempt.startedAt()));
 	}
 
@@ -180,7 +180,7 @@
 		if (attempt.endedWithConnection()) {
 			ended(request, model, attempt, CrashWatch.Manner.CLOSED);
 			boolean again = this.watch.closedAgain(Trait.content(request.content()));
-			if (again || !this.book.everSound(request.partTraits(model))) {
+			if (again || !this.book.hasSuccessWithEach(request.partTraits(model))) {
 				askWhetherItLives(attempt.choice().replica());
 			}
 		}
@@ -265,13 +265,13 @@
 	 * Is called some times a second.
 	 */
 	void look(long now) {
-		refused(this.book.look(now), "this node");
-		if (this.book.untold() && !this.telling) {
+		refused(this.book.reevaluate(now), "this node");
+		if (this.book.hasUnreportedBlocks() && !this.telling) {
 			// Other nodes find the same out at the same time; one of them tells it.
 			this.telling = true;
 			this.vertx.setTimer(spreadMillis(), (timer) -> {
 				this.telling = false;
-				if (this.book.untold()) {
+				if (this.book.hasUnreportedBlocks()) {
 					tellIn(1);
 				}
 			});
@@ -313,18 +313,18 @@
 		long now = Clock.millis();
 		this.log.replicaEnded(crash, now, how);
 		this.telemetry.count("replicas.ended.under.work");
-		refused(this.book.crashed(now, crash), "this node");
+		refused(this.book.onCrash(now, crash), "this node");
 		tellIn(GATHER_MILLIS);
 	}
 
 	private void sound(List<Trait> traits) {
 		long now = Clock.millis();
-		List<Trait> cleared = this.book.sound(now, traits);
+		List<Trait> cleared = this.book.onSuccess(now, traits);
 		cleared.forEach((trait) -> this.log.acquitted(trait, "this node"));
 		if (!cleared.isEmpty()) {
 			tellIn(GATHER_MILLIS);
 		}
-		else if (this.book.speaksFor(traits)) {
+		else if (this.book.shouldReportSuccess(traits)) {
 			tellIn(GATHER_MILLIS + spreadMillis());
 		}
 	}
@@ -333,7 +333,7 @@
 	 * Hashing the content is left out while nothing is known of any crash.
 	 */
 	private List<Trait> traits(ServedRequest request, String model) {
-		return this.book.any() ? request.traits(model) : request.partTraits(model);
+		return this.book.hasCrashEvidence() ? request.traits(model) : request.partTraits(model);
 	}
 
 	private void learn(FleetChange.Noted noted, boolean own) {
@@ -341,11 +341,11 @@
 			CrashNote told = Json.read(noted.value(), CrashNote.class);
 			long now = Clock.millis();
 			long timeOfDay = System.currentTimeMillis();
-			CrashBook.Learned learned = own ? this.book.learnOwn(now, timeOfDay, told)
-					: this.book.learn(now, timeOfDay, told);
-			refused(learned.refused(), noted.key());
-			learned.cleared().forEach((trait) -> this.log.acquitted(trait, noted.key()));
-			if (this.book.toldRefused(learned.cleared())) {
+			CrashTracker.NoteEffect learned = own ? this.book.onOwnNote(now, timeOfDay, told)
+					: this.book.onNote(now, timeOfDay, told);
+			refused(learned.blocked(), noted.key());
+			learned.unblocked().forEach((trait) -> this.log.acquitted(trait, noted.key()));
+			if (this.book.hasReportedAnyBlocked(learned.unblocked())) {
 				tellIn(GATHER_MILLIS + spreadMillis());
 			}
 		}
@@ -371,7 +371,7 @@
 			tellIn(GATHER_MILLIS);
 			return;
 		}
-		Optional<CrashNote> told = this.book.note(Clock.millis(), System.currentTimeMillis());
+		Optional<CrashNote> told = this.book.buildNote(Clock.millis(), System.currentTimeMillis());
 		if (told.isPresent()) {
 			this.wrote = true;
 			this.note.write(Json.write(told.get()), () -> tellIn(AGAIN_MILLIS));
--- a/daemon/src/main/java/org/gullsaddle/gateway/CrashTrials.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/CrashTrials.java
@@ -11,7 +11,7 @@
 
 import org.gullsaddle.base.Json;
 import org.gullsaddle.store.Store;
-import org.gullsaddle.suspect.CrashBook;
+import org.gullsaddle.suspect.CrashTracker;
 import org.gullsaddle.suspect.Trait;
 import org.gullsaddle.telemetry.Telemetry;
 
@@ -34,7 +34,7 @@
 
 	private final String node;
 
-	private final CrashBook book;
+	private final CrashTracker book;
 
 	private final DecisionLog log;
 
@@ -42,7 +42,7 @@
 
 	private final Set<Trait> asking = new HashSet<>();
 
-	CrashTrials(Store store, String node, CrashBook book, DecisionLog log, Telemetry telemetry) {
+	CrashTrials(Store store, String node, CrashTracker book, DecisionLog log, Telemetry telemetry) {
 		this.store = store;
 		this.node = node;
 		this.book = book;
@@ -56,7 +56,7 @@
 	 * @param then goes on with it
 	 */
 	void ask(ServedRequest request, List<Trait> traits, Runnable then) {
-		Optional<CrashBook.Trial> trial = this.book.trial(Clock.millis(), traits);
+		Optional<CrashTracker.Trial> trial = this.book.findTrial(Clock.millis(), traits);
 		if (trial.isEmpty() || !this.asking.add(trial.get().trait())) {
 			then.run();
 			return;
@@ -68,7 +68,7 @@
 	 * Writes the trial down. Where the store gives no answer, whether it was written is
 	 * not known, and no request of this node goes.
 	 */
-	private void claim(CrashBook.Trial trial, ServedRequest request, Runnable then) {
+	private void claim(CrashTracker.Trial trial, ServedRequest request, Runnable then) {
 		// Keys are short: traits of the same hash share their trials.
 		String key = TRIALS + Integer.toHexString(trial.trait().value().hashCode());
 		this.store.get(key).flatMap((before) -> {
@@ -83,7 +83,7 @@
 					(failure) -> notDecided(trial, failure, request, then));
 	}
 
-	private void notDecided(CrashBook.Trial trial, Throwable failure, ServedRequest request, Runnable then) {
+	private void notDecided(CrashTracker.Trial trial, Throwable failure, ServedRequest request, Runnable then) {
 		this.log.trialNotDecided(trial, failure.getMessage());
 		decided(trial, false, request, then);
 	}
@@ -97,9 +97,9 @@
 		}
 	}
 
-	private void decided(CrashBook.Trial trial, boolean mine, ServedRequest request, Runnable then) {
+	private void decided(CrashTracker.Trial trial, boolean mine, ServedRequest request, Runnable then) {
 		this.asking.remove(trial.trait());
-		this.book.tried(Clock.millis(), trial);
+		this.book.onTrialDecided(Clock.millis(), trial);
 		if (mine) {
 			this.telemetry.count("crash.trials");
 			this.log.trial(trial, request.id());
--- a/daemon/src/main/java/org/gullsaddle/gateway/DecisionLog.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/DecisionLog.java
@@ -16,7 +16,7 @@
 import org.gullsaddle.serve.Rollout;
 import org.gullsaddle.serve.RolloutProgress;
 import org.gullsaddle.suspect.Crash;
-import org.gullsaddle.suspect.CrashBook;
+import org.gullsaddle.suspect.CrashTracker;
 import org.gullsaddle.suspect.Trait;
 
 /**
@@ -142,7 +142,7 @@
 		}
 	}
 
-	void trialNotDecided(CrashBook.Trial trial, String reason) {
+	void trialNotDecided(CrashTracker.Trial trial, String reason) {
 		if (allowed(true)) {
 			LOG.atInfo()
 				.addKeyValue("trait", trial.trait().value())
@@ -316,13 +316,13 @@
 		}
 	}
 
-	void convicted(Trait trait, CrashBook book, String source) {
+	void convicted(Trait trait, CrashTracker book, String source) {
 		if (allowed(true)) {
 			LOG.atInfo()
 				.addKeyValue("trait", trait.value())
 				.addKeyValue("source", source)
-				.addKeyValue("crashes", book.crashesWith(trait))
-				.addKeyValue("soundBefore", book.everSound(List.of(trait)))
+				.addKeyValue("crashes", book.crashCount(trait))
+				.addKeyValue("soundBefore", book.hasSuccessWithEach(List.of(trait)))
 				.log("refused for crashes");
 		}
 	}
@@ -336,7 +336,7 @@
 		}
 	}
 
-	void trial(CrashBook.Trial trial, String id) {
+	void trial(CrashTracker.Trial trial, String id) {
 		if (allowed(true)) {
 			LOG.atInfo()
 				.addKeyValue("trait", trial.trait().value())
--- a/daemon/src/main/java/org/gullsaddle/gateway/ReplicaChooser.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/ReplicaChooser.java
@@ -18,7 +18,7 @@
 import org.gullsaddle.serve.ReplicaPicker;
 import org.gullsaddle.serve.ReplicaRules;
 import org.gullsaddle.serve.Task;
-import org.gullsaddle.suspect.CrashBook;
+import org.gullsaddle.suspect.CrashTracker;
 import org.gullsaddle.suspect.Trait;
 
 /**
@@ -109,8 +109,8 @@
 	}
 
 	private ReplicaRules.Wanted wanted(String model) {
-		CrashBook crashes = this.gateway.crashes().book();
-		List<Trait> traits = (crashes.countRefused() == 0 || this.request.isTrial()) ? List.of()
+		CrashTracker crashes = this.gateway.crashes().book();
+		List<Trait> traits = (crashes.blockedCount() == 0 || this.request.isTrial()) ? List.of()
 				: this.request.traits(model);
 		return new ReplicaRules.Wanted(this.request.service(), this.request.limit(), this.request.coldStart(),
 				this.gateway.nodes().known(), this.gateway.fleet().rollout(this.request.service()),
