--- a/core/src/main/java/org/gullsaddle/agent/Admission.java
+++ b/core/src/main/java/org/gullsaddle/agent/Admission.java
@@ -21,8 +21,8 @@
 import org.gullsaddle.clock.Moment;
 import org.gullsaddle.ledger.AttemptLine;
 import org.gullsaddle.ledger.HeldLine;
-import org.gullsaddle.suspect.SuspectBook;
-import org.gullsaddle.suspect.Suspicion;
+import org.gullsaddle.suspect.SuspectContent;
+import org.gullsaddle.suspect.SuspectTracker;
 import org.gullsaddle.template.Template;
 import org.gullsaddle.template.TemplateBook;
 import org.gullsaddle.template.TemplateRevision;
@@ -54,7 +54,7 @@
 
 	private final TemplateBook templates = new TemplateBook();
 
-	private final SuspectBook suspects = new SuspectBook();
+	private final SuspectTracker suspects = new SuspectTracker();
 
 	private final FairQueue queue = new FairQueue();
 
@@ -120,7 +120,7 @@
 			case AdmissionEvent.BackendUp backend -> backendUp(now, backend);
 			case AdmissionEvent.BackendDown down -> backendDown();
 			case AdmissionEvent.TemplateChanged changed -> this.templates.apply(changed.revision());
-			case AdmissionEvent.SuspectLearned learned -> this.suspects.learn(learned.suspicion());
+			case AdmissionEvent.SuspectLearned learned -> this.suspects.merge(learned.suspicion());
 			case AdmissionEvent.DrainStarted drain -> drain();
 			case AdmissionEvent.Tick tick -> {
 				closeLate(now);
@@ -162,8 +162,8 @@
 	 * Returns what is remembered of crashes, to tell an entry that has just been linked.
 	 * @return the suspicions
 	 */
-	public List<Suspicion> suspects() {
-		return this.suspects.all();
+	public List<SuspectContent> suspects() {
+		return this.suspects.suspects();
 	}
 
 	/**
@@ -209,7 +209,7 @@
 		if (!permitted(dispatch)) {
 			return Optional.of(Refusal.notRun(RefusalReason.FORBIDDEN, COME_BACK_MILLIS));
 		}
-		if (this.suspects.convicted(dispatch.fingerprint())) {
+		if (this.suspects.isBlocked(dispatch.fingerprint())) {
 			return Optional.of(Refusal.notRun(RefusalReason.POISON, 0));
 		}
 		if (now.millis() >= work.deadline()) {
@@ -311,7 +311,7 @@
 	}
 
 	private boolean mustBeAlone(Work work) {
-		return work.dispatch().alone() || this.suspects.suspected(work.dispatch().fingerprint());
+		return work.dispatch().alone() || this.suspects.isSuspect(work.dispatch().fingerprint());
 	}
 
 	private void start(Moment now, Work work) {
@@ -411,7 +411,7 @@
 			return;
 		}
 		if (event.crashed()) {
-			Suspicion known = this.suspects.crashed(work.dispatch().fingerprint(), work.attempt(), work.alone());
+			SuspectContent known = this.suspects.onCrash(work.dispatch().fingerprint(), work.attempt(), work.alone());
 			this.actions.add(new AdmissionAction.AnnounceSuspect(known));
 		}
 		if (event.verdict() != Verdict.NOT_RUN) {
--- a/core/src/main/java/org/gullsaddle/agent/AdmissionAction.java
+++ b/core/src/main/java/org/gullsaddle/agent/AdmissionAction.java
@@ -8,7 +8,7 @@
 import org.gullsaddle.base.Usage;
 import org.gullsaddle.base.Verdict;
 import org.gullsaddle.ledger.HeldLine;
-import org.gullsaddle.suspect.Suspicion;
+import org.gullsaddle.suspect.SuspectContent;
 
 /**
  * Something that {@link Admission} wants done.
@@ -112,7 +112,7 @@
 	 *
 	 * @param suspicion what is known against its content
 	 */
-	record AnnounceSuspect(Suspicion suspicion) implements AdmissionAction {
+	record AnnounceSuspect(SuspectContent suspicion) implements AdmissionAction {
 	}
 
 	/**
--- a/core/src/main/java/org/gullsaddle/agent/AdmissionEvent.java
+++ b/core/src/main/java/org/gullsaddle/agent/AdmissionEvent.java
@@ -9,7 +9,7 @@
 import org.gullsaddle.base.NodeId;
 import org.gullsaddle.base.Usage;
 import org.gullsaddle.base.Verdict;
-import org.gullsaddle.suspect.Suspicion;
+import org.gullsaddle.suspect.SuspectContent;
 import org.gullsaddle.template.TemplateRevision;
 
 /**
@@ -118,7 +118,7 @@
 	 *
 	 * @param suspicion what it knows
 	 */
-	record SuspectLearned(Suspicion suspicion) implements AdmissionEvent {
+	record SuspectLearned(SuspectContent suspicion) implements AdmissionEvent {
 	}
 
 	/**
--- a/core/src/main/java/org/gullsaddle/route/Gate.java
+++ b/core/src/main/java/org/gullsaddle/route/Gate.java
@@ -5,7 +5,7 @@
 import org.gullsaddle.base.Refusal;
 import org.gullsaddle.base.RefusalReason;
 import org.gullsaddle.clock.Moment;
-import org.gullsaddle.suspect.SuspectBook;
+import org.gullsaddle.suspect.SuspectTracker;
 import org.gullsaddle.template.CutOffBehaviour;
 import org.gullsaddle.template.TeamRule;
 import org.gullsaddle.template.TemplateBook;
@@ -23,13 +23,13 @@
 
 	private final TemplateBook templates;
 
-	private final SuspectBook suspects;
+	private final SuspectTracker suspects;
 
 	private final ComeBack comeBack;
 
 	private boolean cutOff;
 
-	Gate(RouterSettings settings, TemplateBook templates, SuspectBook suspects, ComeBack comeBack) {
+	Gate(RouterSettings settings, TemplateBook templates, SuspectTracker suspects, ComeBack comeBack) {
 		this.settings = settings;
 		this.templates = templates;
 		this.suspects = suspects;
@@ -56,7 +56,7 @@
 		if (this.cutOff && team.cutOff() == CutOffBehaviour.REFUSE) {
 			return Optional.of(this.comeBack.later(RefusalReason.FORBIDDEN, CUT_OFF_COME_BACK_MILLIS));
 		}
-		if (this.suspects.convicted(request.fingerprint())) {
+		if (this.suspects.isBlocked(request.fingerprint())) {
 			return Optional.of(Refusal.notRun(RefusalReason.POISON, 0));
 		}
 		if (request.deadline() <= now.millis()) {
--- a/core/src/main/java/org/gullsaddle/route/Router.java
+++ b/core/src/main/java/org/gullsaddle/route/Router.java
@@ -19,8 +19,8 @@
 import org.gullsaddle.rollout.Halt;
 import org.gullsaddle.rollout.VersionGuard;
 import org.gullsaddle.serve.RetryBudget;
-import org.gullsaddle.suspect.SuspectBook;
-import org.gullsaddle.suspect.Suspicion;
+import org.gullsaddle.suspect.SuspectContent;
+import org.gullsaddle.suspect.SuspectTracker;
 import org.gullsaddle.template.Template;
 import org.gullsaddle.template.TemplateBook;
 import org.gullsaddle.template.TemplateRevision;
@@ -56,7 +56,7 @@
 
 	private final Planner planner = new Planner(this.quality, this.guard);
 
-	private final SuspectBook suspects = new SuspectBook();
+	private final SuspectTracker suspects = new SuspectTracker();
 
 	private final ComeBack comeBack;
 
@@ -136,8 +136,8 @@
 	 * Returns what is remembered of crashes, to tell an entry that has just been linked.
 	 * @return the suspicions
 	 */
-	public List<Suspicion> suspects() {
-		return this.suspects.all();
+	public List<SuspectContent> suspects() {
+		return this.suspects.suspects();
 	}
 
 	private void arrived(Moment now, IncomingRequest request) {
@@ -269,11 +269,11 @@
 			return;
 		}
 		IncomingRequest request = state.request();
-		if (this.suspects.convicted(request.fingerprint())) {
+		if (this.suspects.isBlocked(request.fingerprint())) {
 			this.answers.giveUp(now, state, Refusal.notRun(RefusalReason.POISON, 0));
 			return;
 		}
-		if (this.suspects.suspected(request.fingerprint()) && this.open.underWay(request.fingerprint())) {
+		if (this.suspects.isSuspect(request.fingerprint()) && this.open.underWay(request.fingerprint())) {
 			// Two copies, each alone on its backend server, would kill two at once.
 			this.answers.giveUp(now, state, this.comeBack.later(RefusalReason.POISON, COME_BACK_MILLIS));
 			return;
@@ -284,7 +284,7 @@
 					state.tried().isEmpty() ? RefusalReason.NO_VERSION : RefusalReason.OVERLOADED, COME_BACK_MILLIS));
 			return;
 		}
-		boolean alone = this.suspects.suspected(request.fingerprint());
+		boolean alone = this.suspects.isSuspect(request.fingerprint());
 		AttemptId attempt = state.sent(agent.get(), alone, now.stamp());
 		this.balancer.sent(agent.get(), attempt);
 		this.outbox.send(state, agent.get(), attempt, alone);
@@ -467,7 +467,7 @@
 		}
 		if (event.crashed()) {
 			this.outbox.add(new RouterAction.Suspect(
-					this.suspects.crashed(state.request().fingerprint(), event.attempt(), closed.alone())));
+					this.suspects.onCrash(state.request().fingerprint(), event.attempt(), closed.alone())));
 		}
 		if (state.answered()) {
 			if (event.verdict() == Verdict.NOT_RUN) {
@@ -476,7 +476,7 @@
 			this.answers.record(state);
 			return;
 		}
-		if (this.suspects.convicted(state.request().fingerprint())) {
+		if (this.suspects.isBlocked(state.request().fingerprint())) {
 			this.answers.giveUp(now, state, Refusal.notRun(RefusalReason.POISON, 0));
 		}
 		else if ((state.request().repeatable() || event.verdict() == Verdict.NOT_RUN)
@@ -521,8 +521,8 @@
 		halt.ifPresent((found) -> this.outbox.add(new RouterAction.Announce(found)));
 	}
 
-	private void learn(Suspicion suspicion) {
-		if (this.suspects.learn(suspicion)) {
+	private void learn(SuspectContent suspicion) {
+		if (this.suspects.merge(suspicion)) {
 			// The node that told may have told no other, and may be dying.
 			this.outbox.add(new RouterAction.Suspect(suspicion));
 		}
--- a/core/src/main/java/org/gullsaddle/route/RouterAction.java
+++ b/core/src/main/java/org/gullsaddle/route/RouterAction.java
@@ -13,7 +13,7 @@
 import org.gullsaddle.base.TemplateName;
 import org.gullsaddle.ledger.RequestRecord;
 import org.gullsaddle.rollout.Halt;
-import org.gullsaddle.suspect.Suspicion;
+import org.gullsaddle.suspect.SuspectContent;
 
 /**
  * Something the {@link Router} wants done.
@@ -134,7 +134,7 @@
 	 *
 	 * @param suspicion what is known against its content
 	 */
-	record Suspect(Suspicion suspicion) implements RouterAction {
+	record Suspect(SuspectContent suspicion) implements RouterAction {
 	}
 
 	/**
--- a/core/src/main/java/org/gullsaddle/route/RouterEvent.java
+++ b/core/src/main/java/org/gullsaddle/route/RouterEvent.java
@@ -14,7 +14,7 @@
 import org.gullsaddle.base.Usage;
 import org.gullsaddle.base.Verdict;
 import org.gullsaddle.rollout.Halt;
-import org.gullsaddle.suspect.Suspicion;
+import org.gullsaddle.suspect.SuspectContent;
 import org.gullsaddle.template.TemplateRevision;
 
 /**
@@ -168,7 +168,7 @@
 	 *
 	 * @param suspicion what it knows
 	 */
-	record SuspectLearned(Suspicion suspicion) implements RouterEvent {
+	record SuspectLearned(SuspectContent suspicion) implements RouterEvent {
 	}
 
 	/**
--- a/core/src/main/java/org/gullsaddle/suspect/Conviction.java
+++ b/core/src/main/java/org/gullsaddle/suspect/Conviction.java
@@ -48,7 +48,7 @@
 	/**
 	 * Takes in what another node told.
 	 */
-	void learn(long now, CrashNote.Refused told, long lagMillis) {
+	void learn(long now, CrashNote.NotedBlock told, long lagMillis) {
 		this.told = true;
 		this.crashAt = Math.max(this.crashAt, now - lagMillis - told.crashAgeMillis());
 		this.seenAt = Math.max(this.seenAt, now - lagMillis - told.seenAgeMillis());
@@ -57,10 +57,10 @@
 		this.trials = Math.max(this.trials, told.trials());
 	}
 
-	CrashNote.Refused tell(long now) {
+	CrashNote.NotedBlock tell(long now) {
 		this.told = true;
 		this.toldAt = now;
-		return new CrashNote.Refused(this.trait, now - this.crashAt, now - this.seenAt, this.trials,
+		return new CrashNote.NotedBlock(this.trait, now - this.crashAt, now - this.seenAt, this.trials,
 				this.trialAt - now);
 	}
 
--- a/core/src/main/java/org/gullsaddle/suspect/Crash.java
+++ b/core/src/main/java/org/gullsaddle/suspect/Crash.java
@@ -11,15 +11,15 @@
 /**
  * The end of a replica's process while requests ran there.
  *
- * @param process the process
+ * @param processName the process
  * @param at when it was, in milliseconds
- * @param ran for each trait of those requests how long the last of them that has it had
- * been there, in milliseconds
+ * @param runMillis for each trait of those requests how long the last of them that has it
+ * had been there, in milliseconds
  */
-public record Crash(String process, long at, Map<Trait, Long> ran) {
+public record Crash(String processName, long at, Map<Trait, Long> runMillis) {
 
 	public Crash {
-		ran = Map.copyOf(ran);
+		runMillis = Map.copyOf(runMillis);
 	}
 
 	/**
@@ -27,7 +27,7 @@
 	 * @param replica the replica
 	 * @return the name
 	 */
-	public static String process(Replica replica) {
+	public static String processName(Replica replica) {
 		return replica.id().value() + '@' + replica.startedAt();
 	}
 
@@ -48,7 +48,7 @@
 	}
 
 	private List<String> values(boolean parts) {
-		return this.ran.keySet()
+		return this.runMillis.keySet()
 			.stream()
 			.filter((trait) -> trait.isPart() == parts)
 			.map(Trait::value)
@@ -57,36 +57,36 @@
 	}
 
 	Set<Trait> traits() {
-		return this.ran.keySet();
+		return this.runMillis.keySet();
 	}
 
-	boolean has(Trait trait) {
-		return this.ran.containsKey(trait);
+	boolean hasTrait(Trait trait) {
+		return this.runMillis.containsKey(trait);
 	}
 
 	/**
 	 * Returns when the last request with a trait came there.
 	 */
-	long startedAt(Trait trait) {
-		return this.at - this.ran.get(trait);
+	long lastRequestAt(Trait trait) {
+		return this.at - this.runMillis.get(trait);
 	}
 
 	/**
 	 * Joins what two nodes saw of the same end.
 	 */
-	Crash and(Crash other) {
-		Map<Trait, Long> both = new LinkedHashMap<>(this.ran);
-		other.ran.forEach((trait, millis) -> both.merge(trait, millis, Math::min));
-		return new Crash(this.process, Math.min(this.at, other.at), both);
+	Crash merge(Crash other) {
+		Map<Trait, Long> both = new LinkedHashMap<>(this.runMillis);
+		other.runMillis.forEach((trait, millis) -> both.merge(trait, millis, Math::min));
+		return new Crash(this.processName, Math.min(this.at, other.at), both);
 	}
 
 	/**
 	 * Returns the same end with some of its traits only.
 	 */
-	Crash with(Set<Trait> traits) {
-		Map<Trait, Long> some = new HashMap<>(this.ran);
+	Crash retainTraits(Set<Trait> traits) {
+		Map<Trait, Long> some = new HashMap<>(this.runMillis);
 		some.keySet().retainAll(traits);
-		return new Crash(this.process, this.at, some);
+		return new Crash(this.processName, this.at, some);
 	}
 
 }
--- a/core/src/main/java/org/gullsaddle/suspect/CrashWatch.java
+++ b/core/src/main/java/org/gullsaddle/suspect/CrashDetector.java
@@ -23,7 +23,7 @@
  * that ends with its connection, without a length, may be whole or not: that shows when
  * the replica answers a later request, or is found dead.
  */
-public final class CrashWatch {
+public final class CrashDetector {
 
 	/**
 	 * How long after a broken connection a replica's death explains it, in milliseconds:
@@ -46,7 +46,7 @@
 
 	private static final int MAX_CLOSED = 256;
 
-	private final Map<ReplicaId, List<Ended>> ended = new HashMap<>();
+	private final Map<ReplicaId, List<EndedAttempt>> ended = new HashMap<>();
 
 	/** The processes that were found dead lately. */
 	private final Map<String, Crash> found = new LinkedHashMap<>() {
@@ -81,17 +81,18 @@
 	 * @param traits the request's traits
 	 * @return a crash that was found before, if this is a part of it
 	 */
-	public Optional<Crash> ended(long now, Replica replica, long startedAt, Manner manner, Collection<Trait> traits) {
+	public Optional<Crash> onAttemptEnd(long now, Replica replica, long startedAt, EndKind manner,
+			Collection<Trait> traits) {
 		if (now - this.leaving.getOrDefault(replica.id(), now) >= PLANNED_MILLIS) {
 			return Optional.empty();
 		}
-		Ended one = new Ended(replica, startedAt, now, manner, List.copyOf(traits));
-		Crash known = this.found.get(Crash.process(replica));
+		EndedAttempt one = new EndedAttempt(replica, startedAt, now, manner, List.copyOf(traits));
+		Crash known = this.found.get(Crash.processName(replica));
 		if (known != null) {
 			boolean same = Math.abs(now - known.at()) <= SAME_MOMENT_MILLIS;
-			return same ? Optional.of(crash(known.process(), known.at(), List.of(one))) : Optional.empty();
+			return same ? Optional.of(crash(known.processName(), known.at(), List.of(one))) : Optional.empty();
 		}
-		List<Ended> list = this.ended.computeIfAbsent(replica.id(), (id) -> new ArrayList<>());
+		List<EndedAttempt> list = this.ended.computeIfAbsent(replica.id(), (id) -> new ArrayList<>());
 		list.removeIf((each) -> now - each.at > SAME_CRASH_MILLIS);
 		list.add(one);
 		return Optional.empty();
@@ -102,7 +103,7 @@
 	 * @param content the request's content
 	 * @return whether another one to this content did so before
 	 */
-	public boolean closedAgain(Trait content) {
+	public boolean isRepeatedCloseDelimited(Trait content) {
 		return this.closed.put(content, true) != null;
 	}
 
@@ -112,10 +113,10 @@
 	 * @param replica the replica
 	 * @return true if so
 	 */
-	public boolean awaitsProof(Replica replica) {
+	public boolean hasUnconfirmedAnswers(Replica replica) {
 		return this.ended.getOrDefault(replica.id(), List.of())
 			.stream()
-			.anyMatch((each) -> each.manner == Manner.CLOSED && each.replica.sameProcess(replica));
+			.anyMatch((each) -> each.manner == EndKind.CLOSE_DELIMITED && each.replica.sameProcess(replica));
 	}
 
 	/**
@@ -123,7 +124,7 @@
 	 * @param now the time in milliseconds
 	 * @param replica the replica
 	 */
-	public void leaves(long now, ReplicaId replica) {
+	public void onLeaving(long now, ReplicaId replica) {
 		this.leaving.putIfAbsent(replica, now);
 	}
 
@@ -133,8 +134,8 @@
 	 * @param sentAt when the request was sent that it answers, in milliseconds
 	 * @return traits of earlier answers that are known to be whole by that
 	 */
-	public Set<Trait> answered(Replica replica, long sentAt) {
-		return lives(replica, sentAt, EnumSet.allOf(Manner.class));
+	public Set<Trait> onAnswer(Replica replica, long sentAt) {
+		return lives(replica, sentAt, EnumSet.allOf(EndKind.class));
 	}
 
 	/**
@@ -144,19 +145,19 @@
 	 * @param askedAt when it was asked, in milliseconds
 	 * @return traits of earlier answers that are known to be whole by that
 	 */
-	public Set<Trait> accepts(Replica replica, long askedAt) {
-		return lives(replica, askedAt, EnumSet.of(Manner.CLOSED));
+	public Set<Trait> onConnectionAccepted(Replica replica, long askedAt) {
+		return lives(replica, askedAt, EnumSet.of(EndKind.CLOSE_DELIMITED));
 	}
 
-	private Set<Trait> lives(Replica replica, long since, Set<Manner> settled) {
-		List<Ended> list = this.ended.get(replica.id());
+	private Set<Trait> lives(Replica replica, long since, Set<EndKind> settled) {
+		List<EndedAttempt> list = this.ended.get(replica.id());
 		if (list == null) {
 			return Set.of();
 		}
 		Set<Trait> whole = new LinkedHashSet<>();
 		list.removeIf((each) -> {
 			boolean over = each.replica.sameProcess(replica) && each.at < since && settled.contains(each.manner);
-			if (over && each.manner == Manner.CLOSED) {
+			if (over && each.manner == EndKind.CLOSE_DELIMITED) {
 				whole.addAll(each.traits);
 			}
 			return over;
@@ -174,30 +175,30 @@
 	 * @param replica the replica
 	 * @return the crash, if anything ran there when it died
 	 */
-	public Optional<Crash> down(long now, ReplicaId replica) {
-		List<Ended> list = this.ended.remove(replica);
+	public Optional<Crash> onDead(long now, ReplicaId replica) {
+		List<EndedAttempt> list = this.ended.remove(replica);
 		if (list == null) {
 			return Optional.empty();
 		}
 		list.removeIf((each) -> now - each.at > SAME_CRASH_MILLIS);
 		// One that lived on after an answer without a length did not end under it.
-		Optional<Ended> last = last(list, Manner.BROKEN)
-			.or(() -> last(list, Manner.CLOSED).filter((end) -> now - end.at <= SAME_MOMENT_MILLIS));
+		Optional<EndedAttempt> last = last(list, EndKind.BROKEN)
+			.or(() -> last(list, EndKind.CLOSE_DELIMITED).filter((end) -> now - end.at <= SAME_MOMENT_MILLIS));
 		return last.map((end) -> {
 			list.removeIf((each) -> Math.abs(each.at - end.at) > SAME_MOMENT_MILLIS);
-			Crash crash = crash(Crash.process(end.replica), end.at, list);
-			this.found.put(crash.process(), crash);
+			Crash crash = crash(Crash.processName(end.replica), end.at, list);
+			this.found.put(crash.processName(), crash);
 			return crash;
 		});
 	}
 
-	private static Optional<Ended> last(List<Ended> list, Manner manner) {
+	private static Optional<EndedAttempt> last(List<EndedAttempt> list, EndKind manner) {
 		return list.stream().filter((each) -> each.manner == manner).reduce((one, later) -> later);
 	}
 
-	private static Crash crash(String process, long at, List<Ended> list) {
+	private static Crash crash(String process, long at, List<EndedAttempt> list) {
 		Map<Trait, Long> ran = new LinkedHashMap<>();
-		for (Ended each : list) {
+		for (EndedAttempt each : list) {
 			each.traits.forEach((trait) -> ran.merge(trait, Math.max(0, each.at - each.startedAt), Math::min));
 		}
 		return new Crash(process, at, ran);
@@ -209,35 +210,35 @@
 	 * @param replica the entry
 	 * @return the crash, if anything ran there when the process before died
 	 */
-	public Optional<Crash> listed(long now, Replica replica) {
+	public Optional<Crash> onListed(long now, Replica replica) {
 		if (replica.draining()) {
-			leaves(now, replica.id());
+			onLeaving(now, replica.id());
 		}
 		else {
 			this.leaving.remove(replica.id());
 		}
-		List<Ended> list = this.ended.get(replica.id());
+		List<EndedAttempt> list = this.ended.get(replica.id());
 		boolean another = list != null && !list.get(0).replica.sameProcess(replica);
-		return another ? down(now, replica.id()) : Optional.empty();
+		return another ? onDead(now, replica.id()) : Optional.empty();
 	}
 
 	/**
 	 * How an attempt ended.
 	 */
-	public enum Manner {
+	public enum EndKind {
 
 		/** Its connection broke. */
 		BROKEN,
 
 		/** Its answer ended with the connection and had no length. */
-		CLOSED,
+		CLOSE_DELIMITED,
 
 		/** It was given up, or its caller left, before it ended. */
-		GIVEN_UP
+		CANCELLED
 
 	}
 
-	private record Ended(Replica replica, long startedAt, long at, Manner manner, List<Trait> traits) {
+	private record EndedAttempt(Replica replica, long startedAt, long at, EndKind manner, List<Trait> traits) {
 	}
 
 }
--- a/core/src/main/java/org/gullsaddle/suspect/CrashEvidence.java
+++ b/core/src/main/java/org/gullsaddle/suspect/CrashEvidence.java
@@ -100,11 +100,11 @@
 	 * @return whether it was not known of before
 	 */
 	boolean add(Crash crash) {
-		if (this.living.getOrDefault(crash.process(), Long.MIN_VALUE) > crash.at()) {
+		if (this.living.getOrDefault(crash.processName(), Long.MIN_VALUE) > crash.at()) {
 			return false;
 		}
-		Crash known = this.crashes.get(crash.process());
-		this.crashes.put(crash.process(), (known != null) ? known.and(crash) : crash);
+		Crash known = this.crashes.get(crash.processName());
+		this.crashes.put(crash.processName(), (known != null) ? known.merge(crash) : crash);
 		if (this.crashes.size() > MAX_CRASHES) {
 			this.crashes.remove(this.crashes.keySet().iterator().next());
 		}
@@ -135,7 +135,7 @@
 	}
 
 	int countWith(Trait trait) {
-		return (int) this.crashes.values().stream().filter((crash) -> crash.has(trait)).count();
+		return (int) this.crashes.values().stream().filter((crash) -> crash.hasTrait(trait)).count();
 	}
 
 	void forget(long now) {
@@ -172,7 +172,7 @@
 	private List<Crash> with(Trait trait) {
 		return this.crashes.values()
 			.stream()
-			.filter((crash) -> crash.has(trait))
+			.filter((crash) -> crash.hasTrait(trait))
 			.sorted(Comparator.comparingLong(Crash::at))
 			.toList();
 	}
@@ -197,7 +197,7 @@
 	List<Trait> accused(Collection<Trait> traits) {
 		List<Crash> open = open();
 		return traits.stream()
-			.filter((trait) -> open.stream().filter((crash) -> crash.has(trait)).count() > 1)
+			.filter((trait) -> open.stream().filter((crash) -> crash.hasTrait(trait)).count() > 1)
 			.toList();
 	}
 
@@ -266,7 +266,7 @@
 		long ran = 0;
 		boolean copies = false;
 		for (Crash crash : counted) {
-			if (crash.at() - last >= APART_MILLIS || crash.startedAt(trait) >= last) {
+			if (crash.at() - last >= APART_MILLIS || crash.lastRequestAt(trait) >= last) {
 				count++;
 				last = crash.at();
 				first = Math.min(first, last);
@@ -276,7 +276,7 @@
 				count++;
 				copies = true;
 			}
-			ran += crash.at() - crash.startedAt(trait);
+			ran += crash.at() - crash.lastRequestAt(trait);
 		}
 		return new Accused(trait, soundBefore, count, first, last, ran, trait.isPart() && ofOneContent(counted));
 	}
@@ -295,7 +295,7 @@
 			.flatMapToLong(OptionalLong::stream)
 			.max()
 			.orElse(Long.MAX_VALUE);
-		return open.stream().anyMatch((crash) -> crash.startedAt(trait) >= refusedAt) ? against : open;
+		return open.stream().anyMatch((crash) -> crash.lastRequestAt(trait) >= refusedAt) ? against : open;
 	}
 
 	/**
@@ -306,7 +306,7 @@
 				&& this.crashes.values()
 					.stream()
 					.filter((crash) -> crash.at() > from - APART_MILLIS && crash.at() < to + APART_MILLIS)
-					.allMatch((crash) -> crash.has(trait));
+					.allMatch((crash) -> crash.hasTrait(trait));
 	}
 
 	/**
@@ -316,7 +316,7 @@
 		return crashes.size() > 1 && crashes.get(0)
 			.traits()
 			.stream()
-			.anyMatch((trait) -> !trait.isPart() && crashes.stream().allMatch((crash) -> crash.has(trait)));
+			.anyMatch((trait) -> !trait.isPart() && crashes.stream().allMatch((crash) -> crash.hasTrait(trait)));
 	}
 
 	private static int needed(Trait trait, boolean soundBefore) {
--- a/core/src/main/java/org/gullsaddle/suspect/CrashNote.java
+++ b/core/src/main/java/org/gullsaddle/suspect/CrashNote.java
@@ -13,7 +13,7 @@
  * was answered
  * @param refused what is refused
  */
-public record CrashNote(long writtenAt, List<Ended> crashes, Map<Trait, Long> sound, List<Refused> refused) {
+public record CrashNote(long writtenAt, List<NotedCrash> crashes, Map<Trait, Long> sound, List<NotedBlock> refused) {
 
 	public CrashNote {
 		crashes = (crashes != null) ? List.copyOf(crashes) : List.of();
@@ -32,9 +32,9 @@
 	 * @param ageMillis how long ago it was
 	 * @param ran see {@link Crash}
 	 */
-	public record Ended(String process, long ageMillis, Map<Trait, Long> ran) {
+	public record NotedCrash(String process, long ageMillis, Map<Trait, Long> ran) {
 
-		public Ended {
+		public NotedCrash {
 			ran = (ran != null) ? Map.copyOf(ran) : Map.of();
 		}
 
@@ -49,7 +49,7 @@
 	 * @param trials how many requests were let through to try it again
 	 * @param trialInMillis how soon the next one may be
 	 */
-	public record Refused(Trait trait, long crashAgeMillis, long seenAgeMillis, int trials, long trialInMillis) {
+	public record NotedBlock(Trait trait, long crashAgeMillis, long seenAgeMillis, int trials, long trialInMillis) {
 	}
 
 }
--- a/core/src/main/java/org/gullsaddle/suspect/CrashTracker.java
+++ b/core/src/main/java/org/gullsaddle/suspect/CrashTracker.java
@@ -79,7 +79,7 @@
 	 */
 	public List<Trait> onCrash(long now, Crash crash) {
 		this.evidence.seesFrom(crash.at());
-		this.own.merge(crash.process(), crash, Crash::and);
+		this.own.merge(crash.processName(), crash, Crash::merge);
 		add(now, crash);
 		return judge(now);
 	}
@@ -233,13 +233,13 @@
 		}
 		note.sound().forEach((trait, age) -> this.sound.mark(now - lag - age, trait));
 		List<Trait> cleared = clear(note.sound().keySet());
-		for (CrashNote.Ended each : note.crashes()) {
+		for (CrashNote.NotedCrash each : note.crashes()) {
 			if (lag + each.ageMillis() < CrashEvidence.MEMORY_MILLIS) {
 				add(now, new Crash(each.process(), now - lag - each.ageMillis(), each.ran()));
 			}
 		}
 		List<Trait> refused = new ArrayList<>();
-		for (CrashNote.Refused each : note.refused()) {
+		for (CrashNote.NotedBlock each : note.refused()) {
 			if (adopt(now, lag, each)) {
 				refused.add(each.trait());
 			}
@@ -257,13 +257,13 @@
 	 */
 	public NoteEffect onOwnNote(long now, long clock, CrashNote note) {
 		NoteEffect learned = onNote(now, clock, note);
-		for (CrashNote.Ended each : note.crashes()) {
+		for (CrashNote.NotedCrash each : note.crashes()) {
 			this.evidence.find(each.process()).ifPresent((crash) -> this.own.putIfAbsent(each.process(), crash));
 		}
 		return learned;
 	}
 
-	private boolean adopt(long now, long lag, CrashNote.Refused told) {
+	private boolean adopt(long now, long lag, CrashNote.NotedBlock told) {
 		boolean soundSince = this.sound.last(told.trait()) > now - lag - told.crashAgeMillis();
 		if (soundSince || this.evidence.explained(told.trait())) {
 			return false;
@@ -298,10 +298,10 @@
 	 */
 	public Optional<CrashNote> buildNote(long now, long clock) {
 		forget(now);
-		List<CrashNote.Ended> ended = this.own.values()
+		List<CrashNote.NotedCrash> ended = this.own.values()
 			.stream()
-			.map((crash) -> crash.with(mostSuspect(crash)))
-			.map((crash) -> new CrashNote.Ended(crash.process(), now - crash.at(), crash.ran()))
+			.map((crash) -> crash.retainTraits(mostSuspect(crash)))
+			.map((crash) -> new CrashNote.NotedCrash(crash.processName(), now - crash.at(), crash.runMillis()))
 			.toList();
 		Set<Trait> accused = new LinkedHashSet<>(this.convictions.keySet());
 		accused.addAll(this.acquitted.keySet());
@@ -312,7 +312,7 @@
 			.sorted(Comparator.comparingLong(this.sound::last).reversed())
 			.limit(MAX_TOLD)
 			.forEach((trait) -> marks.put(trait, Math.max(0, now - this.sound.last(trait))));
-		List<CrashNote.Refused> refused = this.convictions.values()
+		List<CrashNote.NotedBlock> refused = this.convictions.values()
 			.stream()
 			.sorted(Comparator.comparingLong(Conviction::seenAt).reversed())
 			.limit(MAX_TOLD)
--- a/core/src/main/java/org/gullsaddle/suspect/Suspicion.java
+++ b/core/src/main/java/org/gullsaddle/suspect/SuspectContent.java
@@ -13,11 +13,11 @@
  * @param crashes attempts that ran when a backend server crashed
  * @param alone whether nothing else ran in one of them
  */
-public record Suspicion(Fingerprint fingerprint, Set<AttemptId> crashes, boolean alone) {
+public record SuspectContent(Fingerprint fingerprint, Set<AttemptId> crashes, boolean alone) {
 
-	private static final int CRASHES_TO_CONVICT = 2;
+	private static final int BLOCKING_CRASHES = 2;
 
-	public Suspicion {
+	public SuspectContent {
 		Check.notNull(fingerprint, "fingerprint");
 		crashes = Set.copyOf(crashes);
 		Check.that(!crashes.isEmpty(), "crashes must not be empty");
@@ -27,8 +27,8 @@
 	 * Says whether the content must not run at all.
 	 * @return true after a crash alone, or two crashes
 	 */
-	public boolean convicts() {
-		return this.alone || this.crashes.size() >= CRASHES_TO_CONVICT;
+	public boolean shouldBlock() {
+		return this.alone || this.crashes.size() >= BLOCKING_CRASHES;
 	}
 
 }
--- a/core/src/main/java/org/gullsaddle/suspect/SuspectBook.java
+++ b/core/src/main/java/org/gullsaddle/suspect/SuspectTracker.java
@@ -20,13 +20,13 @@
  * was heard of. Entries and agents both remember, and tell each other, so that the loss
  * of either does not start the count anew.
  */
-public final class SuspectBook {
+public final class SuspectTracker {
 
 	private static final int MAX_REMEMBERED = 10_000;
 
-	private final Map<Fingerprint, Suspicion> suspicions = new LinkedHashMap<>() {
+	private final Map<Fingerprint, SuspectContent> contents = new LinkedHashMap<>() {
 		@Override
-		protected boolean removeEldestEntry(Map.Entry<Fingerprint, Suspicion> eldest) {
+		protected boolean removeEldestEntry(Map.Entry<Fingerprint, SuspectContent> eldest) {
 			return size() > MAX_REMEMBERED;
 		}
 	};
@@ -36,8 +36,8 @@
 	 * @param fingerprint its team and content
 	 * @return true if a backend server crashed while it ran
 	 */
-	public boolean suspected(Fingerprint fingerprint) {
-		return this.suspicions.containsKey(fingerprint);
+	public boolean isSuspect(Fingerprint fingerprint) {
+		return this.contents.containsKey(fingerprint);
 	}
 
 	/**
@@ -45,9 +45,9 @@
 	 * @param fingerprint its team and content
 	 * @return true if a backend server crashed while it ran alone, or two crashed
 	 */
-	public boolean convicted(Fingerprint fingerprint) {
-		Suspicion suspicion = this.suspicions.get(fingerprint);
-		return suspicion != null && suspicion.convicts();
+	public boolean isBlocked(Fingerprint fingerprint) {
+		SuspectContent suspicion = this.contents.get(fingerprint);
+		return suspicion != null && suspicion.shouldBlock();
 	}
 
 	/**
@@ -57,9 +57,9 @@
 	 * @param alone whether nothing else ran
 	 * @return what is known now, to tell others
 	 */
-	public Suspicion crashed(Fingerprint fingerprint, AttemptId attempt, boolean alone) {
-		learn(new Suspicion(fingerprint, Set.of(attempt), alone));
-		return this.suspicions.get(fingerprint);
+	public SuspectContent onCrash(Fingerprint fingerprint, AttemptId attempt, boolean alone) {
+		merge(new SuspectContent(fingerprint, Set.of(attempt), alone));
+		return this.contents.get(fingerprint);
 	}
 
 	/**
@@ -67,9 +67,9 @@
 	 * @param suspicion what it knows
 	 * @return true if any of it was new
 	 */
-	public boolean learn(Suspicion suspicion) {
-		Suspicion before = this.suspicions.get(suspicion.fingerprint());
-		Suspicion after = this.suspicions.merge(suspicion.fingerprint(), suspicion, SuspectBook::join);
+	public boolean merge(SuspectContent suspicion) {
+		SuspectContent before = this.contents.get(suspicion.fingerprint());
+		SuspectContent after = this.contents.merge(suspicion.fingerprint(), suspicion, SuspectTracker::join);
 		return !after.equals(before);
 	}
 
@@ -78,21 +78,21 @@
 	 * @param fingerprint its team and content
 	 */
 	public void clear(Fingerprint fingerprint) {
-		this.suspicions.remove(fingerprint);
+		this.contents.remove(fingerprint);
 	}
 
 	/**
 	 * Returns all that is remembered, to tell a node that starts.
 	 * @return the suspicions
 	 */
-	public List<Suspicion> all() {
-		return List.copyOf(this.suspicions.values());
+	public List<SuspectContent> suspects() {
+		return List.copyOf(this.contents.values());
 	}
 
-	private static Suspicion join(Suspicion one, Suspicion two) {
+	private static SuspectContent join(SuspectContent one, SuspectContent two) {
 		Set<AttemptId> crashes = new HashSet<>(one.crashes());
 		crashes.addAll(two.crashes());
-		return new Suspicion(one.fingerprint(), crashes, one.alone() || two.alone());
+		return new SuspectContent(one.fingerprint(), crashes, one.alone() || two.alone());
 	}
 
 }
--- a/core/src/test/java/org/gullsaddle/agent/AdmissionTests.java
+++ b/core/src/test/java/org/gullsaddle/agent/AdmissionTests.java
@@ -20,7 +20,7 @@
 import org.gullsaddle.base.Usage;
 import org.gullsaddle.base.Verdict;
 import org.gullsaddle.clock.Moment;
-import org.gullsaddle.suspect.Suspicion;
+import org.gullsaddle.suspect.SuspectContent;
 import org.gullsaddle.template.Template;
 import org.gullsaddle.template.Templates;
 import org.gullsaddle.template.VersionState;
@@ -273,8 +273,8 @@
 		void contentThatCrashedAloneIsRefused() {
 			arrives("poison", "basic", 1);
 			crashes("poison");
-			happens(new AdmissionEvent.SuspectLearned(
-					new Suspicion(new Fingerprint("poison"), Set.of(new AttemptId(new RequestId("poison"), 2)), true)));
+			happens(new AdmissionEvent.SuspectLearned(new SuspectContent(new Fingerprint("poison"),
+					Set.of(new AttemptId(new RequestId("poison"), 2)), true)));
 			arrives("again", "basic", 1);
 			happens(new AdmissionEvent.Dispatched(ENTRY,
 					new Dispatch(new AttemptId(new RequestId("poison"), 3), new TeamId("basic"),
--- a/core/src/test/java/org/gullsaddle/base/StoredDocumentTests.java
+++ b/core/src/test/java/org/gullsaddle/base/StoredDocumentTests.java
@@ -82,9 +82,9 @@
 		documents.put("rollout-note",
 				new RolloutNote("node-1", -1.5, Map.of("chat", 0.25), 12, 13, Map.of("chat", 14), 15, 0.5, 16, 17, 18));
 		documents.put("crash-note",
-				new CrashNote(1000, List.of(new CrashNote.Ended("replica-1@5", 20, Map.of(Trait.part("p1"), 21L))),
+				new CrashNote(1000, List.of(new CrashNote.NotedCrash("replica-1@5", 20, Map.of(Trait.part("p1"), 21L))),
 						Map.of(Trait.part("p2", "large"), 22L),
-						List.of(new CrashNote.Refused(Trait.content(CONTENT), 23, 24, 25, 26))));
+						List.of(new CrashNote.NotedBlock(Trait.content(CONTENT), 23, 24, 25, 26))));
 		documents.put("limit-note", new LimitNote(27, true, 2.5));
 		documents.put("segment", new Segment("node-1", 1, "", List.of(row(new LedgerEntry.Whole(RECORD).text()))));
 		documents.put("ledger-head", new LedgerHead("node-1", 28, "hash-1"));
--- a/core/src/test/java/org/gullsaddle/fuzz/FuzzEntry.java
+++ b/core/src/test/java/org/gullsaddle/fuzz/FuzzEntry.java
@@ -40,7 +40,7 @@
 import org.gullsaddle.route.RouterAction;
 import org.gullsaddle.route.RouterEvent;
 import org.gullsaddle.route.RouterSettings;
-import org.gullsaddle.suspect.Suspicion;
+import org.gullsaddle.suspect.SuspectContent;
 
 /**
  * An entry's core with the thinnest wiring: actions go to the world's queues.
@@ -103,7 +103,7 @@
 		return this.dead;
 	}
 
-	List<Suspicion> suspects() {
+	List<SuspectContent> suspects() {
 		return this.router.suspects();
 	}
 
--- a/core/src/test/java/org/gullsaddle/fuzz/World.java
+++ b/core/src/test/java/org/gullsaddle/fuzz/World.java
@@ -31,7 +31,7 @@
 import org.gullsaddle.route.IncomingRequest;
 import org.gullsaddle.route.RouterAction;
 import org.gullsaddle.route.RouterEvent;
-import org.gullsaddle.suspect.Suspicion;
+import org.gullsaddle.suspect.SuspectContent;
 import org.gullsaddle.template.Template;
 import org.gullsaddle.template.TemplateRevision;
 import org.gullsaddle.template.VersionState;
@@ -263,7 +263,7 @@
 	 * Tells the oracle of crashes that only the dying agent knew of.
 	 */
 	private void untold(FuzzAgent agent) {
-		for (Suspicion suspicion : agent.admission().suspects()) {
+		for (SuspectContent suspicion : agent.admission().suspects()) {
 			boolean told = this.links.values()
 				.stream()
 				.filter((link) -> link.agent.equals(agent.id) && link.open)
@@ -336,7 +336,7 @@
 		this.entries.keySet().forEach((entry) -> toEntry(agent, entry, new AdmissionAction.AnnounceLeaving()));
 	}
 
-	void suspect(NodeId from, Suspicion suspicion) {
+	void suspect(NodeId from, SuspectContent suspicion) {
 		this.entries.values()
 			.stream()
 			.filter((entry) -> !entry.id.equals(from))
--- a/daemon/src/main/java/org/gullsaddle/backend/AgentNode.java
+++ b/daemon/src/main/java/org/gullsaddle/backend/AgentNode.java
@@ -36,7 +36,7 @@
 import org.gullsaddle.ledger.LedgerEntry;
 import org.gullsaddle.settings.Role;
 import org.gullsaddle.settings.Settings;
-import org.gullsaddle.suspect.Suspicion;
+import org.gullsaddle.suspect.SuspectContent;
 import org.gullsaddle.telemetry.NodeClock;
 import org.gullsaddle.telemetry.Telemetry;
 import org.gullsaddle.template.TemplateKind;
@@ -389,7 +389,7 @@
 		this.held.all().forEach((line) -> this.ledger.append(new LedgerEntry.Part(line)));
 	}
 
-	private synchronized List<Suspicion> suspects() {
+	private synchronized List<SuspectContent> suspects() {
 		return this.admission.suspects();
 	}
 
--- a/daemon/src/main/java/org/gullsaddle/entry/EntryNode.java
+++ b/daemon/src/main/java/org/gullsaddle/entry/EntryNode.java
@@ -47,7 +47,7 @@
 import org.gullsaddle.settings.Role;
 import org.gullsaddle.settings.Settings;
 import org.gullsaddle.store.Store;
-import org.gullsaddle.suspect.Suspicion;
+import org.gullsaddle.suspect.SuspectContent;
 import org.gullsaddle.telemetry.NodeClock;
 import org.gullsaddle.telemetry.Telemetry;
 import org.gullsaddle.template.Freshness;
@@ -328,7 +328,7 @@
 	}
 
 	@Override
-	public void suspect(Suspicion suspicion) {
+	public void suspect(SuspectContent suspicion) {
 		tellOthers(new RouterEvent.SuspectLearned(suspicion), new Frame.Suspect(suspicion));
 	}
 
--- a/daemon/src/main/java/org/gullsaddle/entry/EntryServices.java
+++ b/daemon/src/main/java/org/gullsaddle/entry/EntryServices.java
@@ -4,7 +4,7 @@
 import org.gullsaddle.base.NodeId;
 import org.gullsaddle.ledger.RequestRecord;
 import org.gullsaddle.rollout.Halt;
-import org.gullsaddle.suspect.Suspicion;
+import org.gullsaddle.suspect.SuspectContent;
 import org.gullsaddle.wire.Frame;
 
 /**
@@ -31,7 +31,7 @@
 	/**
 	 * Tells this node's other shards and all other nodes of a suspicion.
 	 */
-	void suspect(Suspicion suspicion);
+	void suspect(SuspectContent suspicion);
 
 	/**
 	 * Tells this node's other shards, all other entries and the operators of a halt.
--- a/daemon/src/main/java/org/gullsaddle/entry/RouterShard.java
+++ b/daemon/src/main/java/org/gullsaddle/entry/RouterShard.java
@@ -15,7 +15,7 @@
 import org.gullsaddle.route.Router;
 import org.gullsaddle.route.RouterAction;
 import org.gullsaddle.route.RouterEvent;
-import org.gullsaddle.suspect.Suspicion;
+import org.gullsaddle.suspect.SuspectContent;
 import org.gullsaddle.telemetry.NodeClock;
 import org.gullsaddle.wire.Frame;
 
@@ -80,7 +80,7 @@
 		}
 	}
 
-	synchronized List<Suspicion> suspects() {
+	synchronized List<SuspectContent> suspects() {
 		return this.router.suspects();
 	}
 
--- a/daemon/src/main/java/org/gullsaddle/gateway/CrashController.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/CrashController.java
@@ -17,9 +17,9 @@
 import org.gullsaddle.serve.AttemptEnd;
 import org.gullsaddle.store.Store;
 import org.gullsaddle.suspect.Crash;
+import org.gullsaddle.suspect.CrashDetector;
 import org.gullsaddle.suspect.CrashNote;
 import org.gullsaddle.suspect.CrashTracker;
-import org.gullsaddle.suspect.CrashWatch;
 import org.gullsaddle.suspect.Trait;
 import org.gullsaddle.telemetry.Telemetry;
 
@@ -82,7 +82,7 @@
 
 	private final CrashTrials trials;
 
-	private final CrashWatch watch = new CrashWatch();
+	private final CrashDetector watch = new CrashDetector();
 
 	private final CrashTracker book = new CrashTracker();
 
@@ -144,8 +144,8 @@
 	 */
 	void head(Attempt attempt) {
 		Replica replica = attempt.choice().replica();
-		this.book.onAlive(Crash.process(replica), attempt.startedAt());
-		whole(this.watch.answered(replica, attempt.startedAt()));
+		this.book.onAlive(Crash.processName(replica), attempt.startedAt());
+		whole(this.watch.onAnswer(replica, attempt.startedAt()));
 	}
 
 	/**
@@ -164,12 +164,12 @@
 		switch (end) {
 			case AttemptEnd.Broken broken -> {
 				boolean lost = attempt.lost() || attempt.endedWithConnection();
-				ended(request, model, attempt, lost ? CrashWatch.Manner.BROKEN : CrashWatch.Manner.GIVEN_UP);
+				ended(request, model, attempt, lost ? CrashDetector.EndKind.BROKEN : CrashDetector.EndKind.CANCELLED);
 			}
 			case AttemptEnd.Answered answered -> answered(request, model, attempt, answered);
 			case AttemptEnd.NotRun notRun -> notRun(attempt);
-			case AttemptEnd.Withdrawn withdrawn -> ended(request, model, attempt, CrashWatch.Manner.GIVEN_UP);
-			case AttemptEnd.Dropped dropped -> ended(request, model, attempt, CrashWatch.Manner.GIVEN_UP);
+			case AttemptEnd.Withdrawn withdrawn -> ended(request, model, attempt, CrashDetector.EndKind.CANCELLED);
+			case AttemptEnd.Dropped dropped -> ended(request, model, attempt, CrashDetector.EndKind.CANCELLED);
 		}
 	}
 
@@ -178,8 +178,8 @@
 			return;
 		}
 		if (attempt.endedWithConnection()) {
-			ended(request, model, attempt, CrashWatch.Manner.CLOSED);
-			boolean again = this.watch.closedAgain(Trait.content(request.content()));
+			ended(request, model, attempt, CrashDetector.EndKind.CLOSE_DELIMITED);
+			boolean again = this.watch.isRepeatedCloseDelimited(Trait.content(request.content()));
 			if (again || !this.book.hasSuccessWithEach(request.partTraits(model))) {
 				askWhetherItLives(attempt.choice().replica());
 			}
@@ -189,11 +189,11 @@
 		}
 	}
 
-	private void ended(ServedRequest request, String model, Attempt attempt, CrashWatch.Manner manner) {
+	private void ended(ServedRequest request, String model, Attempt attempt, CrashDetector.EndKind manner) {
 		Replica replica = attempt.choice().replica();
-		this.watch.ended(Clock.millis(), replica, attempt.startedAt(), manner, request.traits(model))
+		this.watch.onAttemptEnd(Clock.millis(), replica, attempt.startedAt(), manner, request.traits(model))
 			.ifPresent((crash) -> crashed(crash, "more that ran there"));
-		if (manner == CrashWatch.Manner.BROKEN) {
+		if (manner == CrashDetector.EndKind.BROKEN) {
 			askWhetherItLives(replica);
 		}
 	}
@@ -213,15 +213,15 @@
 	}
 
 	private void askWhetherItLives(Replica replica) {
-		String process = Crash.process(replica);
+		String process = Crash.processName(replica);
 		if (!this.asked.add(process)) {
 			return;
 		}
 		askIn(ASK_MILLIS, replica, (askedAt) -> {
-			if (this.watch.awaitsProof(replica)) {
+			if (this.watch.hasUnconfirmedAnswers(replica)) {
 				askIn(ASK_AGAIN_MILLIS, replica, (again) -> {
 					this.asked.remove(process);
-					whole(this.watch.accepts(replica, askedAt));
+					whole(this.watch.onConnectionAccepted(replica, askedAt));
 				});
 			}
 			else {
@@ -243,7 +243,7 @@
 					accepted.accept(askedAt);
 					return;
 				}
-				this.asked.remove(Crash.process(replica));
+				this.asked.remove(Crash.processName(replica));
 				if (ChannelPool.refused(failure)) {
 					this.decisions.picker().unreachable(Clock.millis(), replica);
 					down(replica.id(), "refuses connections");
@@ -289,9 +289,9 @@
 		switch (change) {
 			case FleetChange.Unlisted unlisted -> {
 				down(unlisted.id(), "is not listed any more");
-				this.watch.leaves(Clock.millis(), unlisted.id());
+				this.watch.onLeaving(Clock.millis(), unlisted.id());
 			}
-			case FleetChange.Listed listed -> this.watch.listed(Clock.millis(), listed.replica())
+			case FleetChange.Listed listed -> this.watch.onListed(Clock.millis(), listed.replica())
 				.ifPresent((crash) -> crashed(crash, "another process has its id"));
 			case FleetChange.Noted noted -> {
 				// What this node told in an earlier life is news to it.
@@ -306,7 +306,7 @@
 	}
 
 	private void down(ReplicaId replica, String how) {
-		this.watch.down(Clock.millis(), replica).ifPresent((crash) -> crashed(crash, how));
+		this.watch.onDead(Clock.millis(), replica).ifPresent((crash) -> crashed(crash, how));
 	}
 
 	private void crashed(Crash crash, String how) {
--- a/daemon/src/main/java/org/gullsaddle/gateway/DecisionLog.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/DecisionLog.java
@@ -307,7 +307,7 @@
 	void replicaEnded(Crash crash, long now, String how) {
 		if (allowed(true)) {
 			LOG.atInfo()
-				.addKeyValue("process", crash.process())
+				.addKeyValue("process", crash.processName())
 				.addKeyValue("how", how)
 				.addKeyValue("ageMillis", now - crash.at())
 				.addKeyValue("parts", crash.parts())
--- a/daemon/src/main/java/org/gullsaddle/wire/Frame.java
+++ b/daemon/src/main/java/org/gullsaddle/wire/Frame.java
@@ -20,7 +20,7 @@
 import org.gullsaddle.ledger.HeldLine;
 import org.gullsaddle.rollout.Halt;
 import org.gullsaddle.settings.Role;
-import org.gullsaddle.suspect.Suspicion;
+import org.gullsaddle.suspect.SuspectContent;
 import org.gullsaddle.template.TemplateRevision;
 
 /**
@@ -246,7 +246,7 @@
 	 *
 	 * @param suspicion what is known against its content
 	 */
-	record Suspect(Suspicion suspicion) implements Frame {
+	record Suspect(SuspectContent suspicion) implements Frame {
 	}
 
 	/**
--- a/daemon/src/test/java/org/gullsaddle/wire/FrameCodecTests.java
+++ b/daemon/src/test/java/org/gullsaddle/wire/FrameCodecTests.java
@@ -36,7 +36,7 @@
 import org.gullsaddle.ledger.HeldLine;
 import org.gullsaddle.rollout.Halt;
 import org.gullsaddle.settings.Role;
-import org.gullsaddle.suspect.Suspicion;
+import org.gullsaddle.suspect.SuspectContent;
 import org.gullsaddle.template.Template;
 import org.gullsaddle.template.TemplateRevision;
 import org.gullsaddle.yaml.YamlException;
@@ -80,7 +80,7 @@
 				new Frame.Templates(List.of(new TemplateRevision(4, "c", "ann", 8, yaml, Template.parse(yaml)))),
 				new Frame.InForce(Map.of(new TemplateName("t"), 4L)),
 				new Frame.Halted(new Halt(new TemplateName("t"), 3, VERSION, "failures")),
-				new Frame.Suspect(new Suspicion(new Fingerprint("f"), Set.of(ATTEMPT), true)));
+				new Frame.Suspect(new SuspectContent(new Fingerprint("f"), Set.of(ATTEMPT), true)));
 	}
 
 	@ParameterizedTest
