--- a/core/src/main/java/org/gullsaddle/suspect/CrashDetector.java
+++ b/core/src/main/java/org/gullsaddle/suspect/CrashDetector.java
@@ -29,35 +29,35 @@
 	 * How long after a broken connection a replica's death explains it, in milliseconds:
 	 * an entry lapses after three heartbeats of 1.2 s, and that takes a second to tell.
 	 */
-	private static final long SAME_CRASH_MILLIS = 6000;
+	private static final long MAX_DETECTION_MILLIS = 6000;
 
 	/** How far the ends of attempts at one crash are apart at most, in milliseconds. */
-	private static final long SAME_MOMENT_MILLIS = 1000;
+	private static final long MAX_CRASH_SPREAD_MILLIS = 1000;
 
 	/**
 	 * How long after it was heard that a replica leaves its end may be a planned one, in
 	 * milliseconds: it goes on for seconds, but the news take a while.
 	 */
-	private static final long PLANNED_MILLIS = 1000;
+	private static final long MIN_PLANNED_STOP_MILLIS = 1000;
 
-	private static final int MAX_FOUND = 100;
+	private static final int MAX_RECENT_CRASHES = 100;
 
 	private static final int MAX_LEAVING = 1000;
 
-	private static final int MAX_CLOSED = 256;
+	private static final int MAX_CLOSE_DELIMITED = 256;
 
-	private final Map<ReplicaId, List<EndedAttempt>> ended = new HashMap<>();
+	private final Map<ReplicaId, List<EndedAttempt>> endedAttempts = new HashMap<>();
 
 	/** The processes that were found dead lately. */
-	private final Map<String, Crash> found = new LinkedHashMap<>() {
+	private final Map<String, Crash> recentCrashes = new LinkedHashMap<>() {
 		@Override
 		protected boolean removeEldestEntry(Map.Entry<String, Crash> eldest) {
-			return size() > MAX_FOUND;
+			return size() > MAX_RECENT_CRASHES;
 		}
 	};
 
 	/** Since when replicas are known to leave. */
-	private final Map<ReplicaId, Long> leaving = new LinkedHashMap<>() {
+	private final Map<ReplicaId, Long> leavingSince = new LinkedHashMap<>() {
 		@Override
 		protected boolean removeEldestEntry(Map.Entry<ReplicaId, Long> eldest) {
 			return size() > MAX_LEAVING;
@@ -65,10 +65,10 @@
 	};
 
 	/** The contents of requests whose answers ended with their connections lately. */
-	private final Map<Trait, Boolean> closed = new LinkedHashMap<>() {
+	private final Map<Trait, Boolean> closeDelimitedContents = new LinkedHashMap<>() {
 		@Override
 		protected boolean removeEldestEntry(Map.Entry<Trait, Boolean> eldest) {
-			return size() > MAX_CLOSED;
+			return size() > MAX_CLOSE_DELIMITED;
 		}
 	};
 
@@ -83,17 +83,17 @@
 	 */
 	public Optional<Crash> onAttemptEnd(long now, Replica replica, long startedAt, EndKind manner,
 			Collection<Trait> traits) {
-		if (now - this.leaving.getOrDefault(replica.id(), now) >= PLANNED_MILLIS) {
+		if (now - this.leavingSince.getOrDefault(replica.id(), now) >= MIN_PLANNED_STOP_MILLIS) {
 			return Optional.empty();
 		}
 		EndedAttempt one = new EndedAttempt(replica, startedAt, now, manner, List.copyOf(traits));
-		Crash known = this.found.get(Crash.processName(replica));
+		Crash known = this.recentCrashes.get(Crash.processName(replica));
 		if (known != null) {
-			boolean same = Math.abs(now - known.at()) <= SAME_MOMENT_MILLIS;
+			boolean same = Math.abs(now - known.at()) <= MAX_CRASH_SPREAD_MILLIS;
 			return same ? Optional.of(crash(known.processName(), known.at(), List.of(one))) : Optional.empty();
 		}
-		List<EndedAttempt> list = this.ended.computeIfAbsent(replica.id(), (id) -> new ArrayList<>());
-		list.removeIf((each) -> now - each.at > SAME_CRASH_MILLIS);
+		List<EndedAttempt> list = this.endedAttempts.computeIfAbsent(replica.id(), (id) -> new ArrayList<>());
+		list.removeIf((each) -> now - each.at > MAX_DETECTION_MILLIS);
 		list.add(one);
 		return Optional.empty();
 	}
@@ -104,7 +104,7 @@
 	 * @return whether another one to this content did so before
 	 */
 	public boolean isRepeatedCloseDelimited(Trait content) {
-		return this.closed.put(content, true) != null;
+		return this.closeDelimitedContents.put(content, true) != null;
 	}
 
 	/**
@@ -114,7 +114,7 @@
 	 * @return true if so
 	 */
 	public boolean hasUnconfirmedAnswers(Replica replica) {
-		return this.ended.getOrDefault(replica.id(), List.of())
+		return this.endedAttempts.getOrDefault(replica.id(), List.of())
 			.stream()
 			.anyMatch((each) -> each.manner == EndKind.CLOSE_DELIMITED && each.replica.sameProcess(replica));
 	}
@@ -125,7 +125,7 @@
 	 * @param replica the replica
 	 */
 	public void onLeaving(long now, ReplicaId replica) {
-		this.leaving.putIfAbsent(replica, now);
+		this.leavingSince.putIfAbsent(replica, now);
 	}
 
 	/**
@@ -135,7 +135,7 @@
 	 * @return traits of earlier answers that are known to be whole by that
 	 */
 	public Set<Trait> onAnswer(Replica replica, long sentAt) {
-		return lives(replica, sentAt, EnumSet.allOf(EndKind.class));
+		return confirmAlive(replica, sentAt, EnumSet.allOf(EndKind.class));
 	}
 
 	/**
@@ -146,11 +146,11 @@
 	 * @return traits of earlier answers that are known to be whole by that
 	 */
 	public Set<Trait> onConnectionAccepted(Replica replica, long askedAt) {
-		return lives(replica, askedAt, EnumSet.of(EndKind.CLOSE_DELIMITED));
+		return confirmAlive(replica, askedAt, EnumSet.of(EndKind.CLOSE_DELIMITED));
 	}
 
-	private Set<Trait> lives(Replica replica, long since, Set<EndKind> settled) {
-		List<EndedAttempt> list = this.ended.get(replica.id());
+	private Set<Trait> confirmAlive(Replica replica, long since, Set<EndKind> settled) {
+		List<EndedAttempt> list = this.endedAttempts.get(replica.id());
 		if (list == null) {
 			return Set.of();
 		}
@@ -163,7 +163,7 @@
 			return over;
 		});
 		if (list.isEmpty()) {
-			this.ended.remove(replica.id());
+			this.endedAttempts.remove(replica.id());
 		}
 		return whole;
 	}
@@ -176,23 +176,23 @@
 	 * @return the crash, if anything ran there when it died
 	 */
 	public Optional<Crash> onDead(long now, ReplicaId replica) {
-		List<EndedAttempt> list = this.ended.remove(replica);
+		List<EndedAttempt> list = this.endedAttempts.remove(replica);
 		if (list == null) {
 			return Optional.empty();
 		}
-		list.removeIf((each) -> now - each.at > SAME_CRASH_MILLIS);
+		list.removeIf((each) -> now - each.at > MAX_DETECTION_MILLIS);
 		// One that lived on after an answer without a length did not end under it.
-		Optional<EndedAttempt> last = last(list, EndKind.BROKEN)
-			.or(() -> last(list, EndKind.CLOSE_DELIMITED).filter((end) -> now - end.at <= SAME_MOMENT_MILLIS));
+		Optional<EndedAttempt> last = findLast(list, EndKind.BROKEN)
+			.or(() -> findLast(list, EndKind.CLOSE_DELIMITED).filter((end) -> now - end.at <= MAX_CRASH_SPREAD_MILLIS));
 		return last.map((end) -> {
-			list.removeIf((each) -> Math.abs(each.at - end.at) > SAME_MOMENT_MILLIS);
+			list.removeIf((each) -> Math.abs(each.at - end.at) > MAX_CRASH_SPREAD_MILLIS);
 			Crash crash = crash(Crash.processName(end.replica), end.at, list);
-			this.found.put(crash.processName(), crash);
+			this.recentCrashes.put(crash.processName(), crash);
 			return crash;
 		});
 	}
 
-	private static Optional<EndedAttempt> last(List<EndedAttempt> list, EndKind manner) {
+	private static Optional<EndedAttempt> findLast(List<EndedAttempt> list, EndKind manner) {
 		return list.stream().filter((each) -> each.manner == manner).reduce((one, later) -> later);
 	}
 
@@ -215,9 +215,9 @@
 			onLeaving(now, replica.id());
 		}
 		else {
-			this.leaving.remove(replica.id());
+			this.leavingSince.remove(replica.id());
 		}
-		List<EndedAttempt> list = this.ended.get(replica.id());
+		List<EndedAttempt> list = this.endedAttempts.get(replica.id());
 		boolean another = list != null && !list.get(0).replica.sameProcess(replica);
 		return another ? onDead(now, replica.id()) : Optional.empty();
 	}
--- a/core/src/main/java/org/gullsaddle/suspect/CrashTracker.java
+++ b/core/src/main/java/org/gullsaddle/suspect/CrashTracker.java
@@ -25,49 +25,49 @@
 public final class CrashTracker {
 
 	/** How long after a crash others' news of it are awaited, in milliseconds. */
-	private static final long UNSETTLED_MILLIS = 10_000;
+	private static final long NOTE_WAIT_MILLIS = 10_000;
 
 	/**
 	 * How long ago a note was written at least for its age to count, in milliseconds:
 	 * clocks differ.
 	 */
-	private static final long MIN_LAG_MILLIS = 10_000;
+	private static final long MIN_NOTE_AGE_MILLIS = 10_000;
 
-	private static final int MAX_CONVICTIONS = 256;
+	private static final int MAX_BLOCKED_TRAITS = 256;
 
-	private static final int MAX_TOLD = 32;
+	private static final int MAX_REPORTED_TRAITS = 32;
 
-	private static final int MAX_TOLD_CRASHES = 16;
+	private static final int MAX_REPORTED_CRASHES = 16;
 
-	private static final int MAX_TOLD_TRAITS = 24;
+	private static final int MAX_TRAITS_PER_CRASH = 24;
 
 	/** The crashes that this node saw, as it saw them, which it tells the others. */
-	private final Map<String, Crash> own = new LinkedHashMap<>() {
+	private final Map<String, Crash> ownCrashes = new LinkedHashMap<>() {
 		@Override
 		protected boolean removeEldestEntry(Map.Entry<String, Crash> eldest) {
-			return size() > MAX_TOLD_CRASHES;
+			return size() > MAX_REPORTED_CRASHES;
 		}
 	};
 
-	private final Map<Trait, Conviction> convictions = new HashMap<>();
+	private final Map<Trait, BlockedTrait> blockedTraits = new HashMap<>();
 
-	private final CrashEvidence evidence = new CrashEvidence(this::refusedSince);
+	private final CrashEvidence evidence = new CrashEvidence(this::blockedSince);
 
-	private final SoundMarks sound = this.evidence.sound();
+	private final SuccessTracker successes = this.evidence.successes();
 
 	private long lastCrashAt = Long.MIN_VALUE / 2;
 
 	/** The traits of which it was told that they are sound since their last crash. */
-	private final Set<Trait> toldSound = new HashSet<>();
+	private final Set<Trait> reportedSuccesses = new HashSet<>();
 
 	/** The traits that this node's last note says are refused. */
-	private final Set<Trait> toldRefused = new HashSet<>();
+	private final Set<Trait> reportedBlocked = new HashSet<>();
 
 	/** The traits that were refused, and went well then. */
-	private final Map<Trait, Long> acquitted = new LinkedHashMap<>() {
+	private final Map<Trait, Long> unblockedAt = new LinkedHashMap<>() {
 		@Override
 		protected boolean removeEldestEntry(Map.Entry<Trait, Long> eldest) {
-			return size() > MAX_TOLD;
+			return size() > MAX_REPORTED_TRAITS;
 		}
 	};
 
@@ -78,26 +78,26 @@
 	 * @return the traits that are refused from now on
 	 */
 	public List<Trait> onCrash(long now, Crash crash) {
-		this.evidence.seesFrom(crash.at());
-		this.own.merge(crash.processName(), crash, Crash::merge);
-		add(now, crash);
-		return judge(now);
+		this.evidence.observeFrom(crash.at());
+		this.ownCrashes.merge(crash.processName(), crash, Crash::merge);
+		addCrash(now, crash);
+		return blockSuspects(now);
 	}
 
-	private OptionalLong refusedSince(Trait trait) {
-		Conviction conviction = this.convictions.get(trait);
-		return (conviction != null) ? OptionalLong.of(conviction.since()) : OptionalLong.empty();
+	private OptionalLong blockedSince(Trait trait) {
+		BlockedTrait conviction = this.blockedTraits.get(trait);
+		return (conviction != null) ? OptionalLong.of(conviction.blockedAt()) : OptionalLong.empty();
 	}
 
-	private void add(long now, Crash crash) {
-		if (this.evidence.add(crash)) {
-			this.toldSound.removeAll(crash.traits());
+	private void addCrash(long now, Crash crash) {
+		if (this.evidence.addCrash(crash)) {
+			this.reportedSuccesses.removeAll(crash.traits());
 			this.lastCrashAt = Math.max(this.lastCrashAt, now);
 		}
 		crash.traits().forEach((trait) -> {
-			Conviction conviction = this.convictions.get(trait);
+			BlockedTrait conviction = this.blockedTraits.get(trait);
 			if (conviction != null) {
-				conviction.crashed(crash.at());
+				conviction.onCrash(crash.at());
 			}
 		});
 	}
@@ -109,8 +109,8 @@
 	 * @param sentAt when the request was sent that it answers, in milliseconds
 	 */
 	public void onAlive(String process, long sentAt) {
-		if (this.evidence.alive(process, sentAt)) {
-			this.own.remove(process);
+		if (this.evidence.retractCrash(process, sentAt)) {
+			this.ownCrashes.remove(process);
 		}
 	}
 
@@ -122,24 +122,24 @@
 	 * @return the traits among them that are not refused any more
 	 */
 	public List<Trait> onSuccess(long now, Collection<Trait> traits) {
-		this.evidence.seesFrom(now);
-		this.sound.add(now, traits);
-		return clear(traits);
+		this.evidence.observeFrom(now);
+		this.successes.recordRequest(now, traits);
+		return unblockSucceeded(traits);
 	}
 
-	private List<Trait> clear(Collection<Trait> traits) {
-		if (this.convictions.isEmpty()) {
+	private List<Trait> unblockSucceeded(Collection<Trait> traits) {
+		if (this.blockedTraits.isEmpty()) {
 			return List.of();
 		}
-		return traits.stream().filter(this::cleared).toList();
+		return traits.stream().filter(this::unblockIfSucceeded).toList();
 	}
 
-	private boolean cleared(Trait trait) {
-		Conviction conviction = this.convictions.get(trait);
-		boolean clears = conviction != null && this.sound.last(trait) > conviction.crashAt();
+	private boolean unblockIfSucceeded(Trait trait) {
+		BlockedTrait conviction = this.blockedTraits.get(trait);
+		boolean clears = conviction != null && this.successes.lastSuccessAt(trait) > conviction.lastCrashAt();
 		if (clears) {
-			this.convictions.remove(trait);
-			this.acquitted.put(trait, this.sound.last(trait));
+			this.blockedTraits.remove(trait);
+			this.unblockedAt.put(trait, this.successes.lastSuccessAt(trait));
 		}
 		return clears;
 	}
@@ -150,7 +150,7 @@
 	 * @return true if one went well with each, as far as is remembered
 	 */
 	public boolean hasSuccessWithEach(Collection<Trait> traits) {
-		return traits.stream().allMatch(this.sound::any);
+		return traits.stream().allMatch(this.successes::hasSuccess);
 	}
 
 	/**
@@ -159,7 +159,7 @@
 	 * @return true if one of them is refused
 	 */
 	public boolean isBlocked(Collection<Trait> traits) {
-		return !this.convictions.isEmpty() && traits.stream().anyMatch(this.convictions::containsKey);
+		return !this.blockedTraits.isEmpty() && traits.stream().anyMatch(this.blockedTraits::containsKey);
 	}
 
 	/**
@@ -169,7 +169,7 @@
 	 * @return the time from now in milliseconds
 	 */
 	public long retryAfterMillis(long now, Collection<Trait> traits) {
-		return refused(traits).stream().mapToLong((conviction) -> conviction.trialInMillis(now)).max().orElse(0);
+		return findBlocked(traits).stream().mapToLong((conviction) -> conviction.trialInMillis(now)).max().orElse(0);
 	}
 
 	/**
@@ -180,8 +180,8 @@
 	 */
 	public boolean onRequest(long now, Collection<Trait> traits) {
 		boolean due = false;
-		for (Conviction conviction : refused(traits)) {
-			due |= conviction.seen(now);
+		for (BlockedTrait conviction : findBlocked(traits)) {
+			due |= conviction.onRequest(now);
 		}
 		return due;
 	}
@@ -194,11 +194,11 @@
 	 * @return the trait, if a trial is due and nothing else speaks against the request
 	 */
 	public Optional<Trial> findTrial(long now, Collection<Trait> traits) {
-		List<Conviction> against = refused(traits);
-		if (against.size() != 1 || !against.get(0).trialDue(now)) {
+		List<BlockedTrait> against = findBlocked(traits);
+		if (against.size() != 1 || !against.get(0).isTrialDue(now)) {
 			return Optional.empty();
 		}
-		return Optional.of(new Trial(against.get(0).trait(), against.get(0).trials() + 1));
+		return Optional.of(new Trial(against.get(0).trait(), against.get(0).trialCount() + 1));
 	}
 
 	/**
@@ -207,14 +207,14 @@
 	 * @param trial the trial
 	 */
 	public void onTrialDecided(long now, Trial trial) {
-		Conviction conviction = this.convictions.get(trial.trait());
-		if (conviction != null && conviction.trials() < trial.number()) {
-			conviction.tried(now);
+		BlockedTrait conviction = this.blockedTraits.get(trial.trait());
+		if (conviction != null && conviction.trialCount() < trial.number()) {
+			conviction.onTrial(now);
 		}
 	}
 
-	private List<Conviction> refused(Collection<Trait> traits) {
-		return traits.stream().distinct().filter(this.convictions::containsKey).map(this.convictions::get).toList();
+	private List<BlockedTrait> findBlocked(Collection<Trait> traits) {
+		return traits.stream().distinct().filter(this.blockedTraits::containsKey).map(this.blockedTraits::get).toList();
 	}
 
 	/**
@@ -225,26 +225,26 @@
 	 * @return what changed
 	 */
 	public NoteEffect onNote(long now, long clock, CrashNote note) {
-		this.evidence.seesFrom(now);
+		this.evidence.observeFrom(now);
 		long told = clock - note.writtenAt();
-		long lag = (told >= MIN_LAG_MILLIS) ? told : 0;
-		if (lag > Conviction.QUIET_MILLIS) {
+		long lag = (told >= MIN_NOTE_AGE_MILLIS) ? told : 0;
+		if (lag > BlockedTrait.EXPIRY_MILLIS) {
 			return new NoteEffect(List.of(), List.of());
 		}
-		note.sound().forEach((trait, age) -> this.sound.mark(now - lag - age, trait));
-		List<Trait> cleared = clear(note.sound().keySet());
+		note.sound().forEach((trait, age) -> this.successes.recordTrait(now - lag - age, trait));
+		List<Trait> cleared = unblockSucceeded(note.sound().keySet());
 		for (CrashNote.NotedCrash each : note.crashes()) {
-			if (lag + each.ageMillis() < CrashEvidence.MEMORY_MILLIS) {
-				add(now, new Crash(each.process(), now - lag - each.ageMillis(), each.ran()));
+			if (lag + each.ageMillis() < CrashEvidence.RETENTION_MILLIS) {
+				addCrash(now, new Crash(each.process(), now - lag - each.ageMillis(), each.ran()));
 			}
 		}
 		List<Trait> refused = new ArrayList<>();
 		for (CrashNote.NotedBlock each : note.refused()) {
-			if (adopt(now, lag, each)) {
+			if (mergeBlocked(now, lag, each)) {
 				refused.add(each.trait());
 			}
 		}
-		refused.addAll(judge(now));
+		refused.addAll(blockSuspects(now));
 		return new NoteEffect(refused, cleared);
 	}
 
@@ -258,21 +258,22 @@
 	public NoteEffect onOwnNote(long now, long clock, CrashNote note) {
 		NoteEffect learned = onNote(now, clock, note);
 		for (CrashNote.NotedCrash each : note.crashes()) {
-			this.evidence.find(each.process()).ifPresent((crash) -> this.own.putIfAbsent(each.process(), crash));
+			this.evidence.findCrash(each.process())
+				.ifPresent((crash) -> this.ownCrashes.putIfAbsent(each.process(), crash));
 		}
 		return learned;
 	}
 
-	private boolean adopt(long now, long lag, CrashNote.NotedBlock told) {
-		boolean soundSince = this.sound.last(told.trait()) > now - lag - told.crashAgeMillis();
-		if (soundSince || this.evidence.explained(told.trait())) {
+	private boolean mergeBlocked(long now, long lag, CrashNote.NotedBlock told) {
+		boolean soundSince = this.successes.lastSuccessAt(told.trait()) > now - lag - told.crashAgeMillis();
+		if (soundSince || this.evidence.isExplained(told.trait())) {
 			return false;
 		}
-		boolean known = this.convictions.containsKey(told.trait());
+		boolean known = this.blockedTraits.containsKey(told.trait());
 		if (!known) {
-			convict(new Conviction(told.trait(), now - lag - told.seenAgeMillis(), now - lag - told.crashAgeMillis()));
+			block(new BlockedTrait(told.trait(), now - lag - told.seenAgeMillis(), now - lag - told.crashAgeMillis()));
 		}
-		this.convictions.get(told.trait()).learn(now, told, lag);
+		this.blockedTraits.get(told.trait()).merge(now, told, lag);
 		return !known;
 	}
 
@@ -283,11 +284,11 @@
 	 * @return true once after each crash
 	 */
 	public boolean shouldReportSuccess(Collection<Trait> traits) {
-		if (!this.evidence.any()) {
+		if (!this.evidence.hasCrashes()) {
 			return false;
 		}
-		List<Trait> accused = this.evidence.accused(traits);
-		return this.toldSound.addAll(accused);
+		List<Trait> accused = this.evidence.repeatedSuspects(traits);
+		return this.reportedSuccesses.addAll(accused);
 	}
 
 	/**
@@ -297,29 +298,29 @@
 	 * @return the note, empty if nothing is known
 	 */
 	public Optional<CrashNote> buildNote(long now, long clock) {
-		forget(now);
-		List<CrashNote.NotedCrash> ended = this.own.values()
+		expire(now);
+		List<CrashNote.NotedCrash> ended = this.ownCrashes.values()
 			.stream()
-			.map((crash) -> crash.retainTraits(mostSuspect(crash)))
+			.map((crash) -> crash.retainTraits(chooseMostSuspect(crash)))
 			.map((crash) -> new CrashNote.NotedCrash(crash.processName(), now - crash.at(), crash.runMillis()))
 			.toList();
-		Set<Trait> accused = new LinkedHashSet<>(this.convictions.keySet());
-		accused.addAll(this.acquitted.keySet());
-		this.evidence.open().forEach((crash) -> accused.addAll(crash.traits()));
+		Set<Trait> accused = new LinkedHashSet<>(this.blockedTraits.keySet());
+		accused.addAll(this.unblockedAt.keySet());
+		this.evidence.unexplainedCrashes().forEach((crash) -> accused.addAll(crash.traits()));
 		Map<Trait, Long> marks = new HashMap<>();
 		accused.stream()
-			.filter(this.sound::any)
-			.sorted(Comparator.comparingLong(this.sound::last).reversed())
-			.limit(MAX_TOLD)
-			.forEach((trait) -> marks.put(trait, Math.max(0, now - this.sound.last(trait))));
-		List<CrashNote.NotedBlock> refused = this.convictions.values()
+			.filter(this.successes::hasSuccess)
+			.sorted(Comparator.comparingLong(this.successes::lastSuccessAt).reversed())
+			.limit(MAX_REPORTED_TRAITS)
+			.forEach((trait) -> marks.put(trait, Math.max(0, now - this.successes.lastSuccessAt(trait))));
+		List<CrashNote.NotedBlock> refused = this.blockedTraits.values()
 			.stream()
-			.sorted(Comparator.comparingLong(Conviction::seenAt).reversed())
-			.limit(MAX_TOLD)
-			.map((conviction) -> conviction.tell(now))
+			.sorted(Comparator.comparingLong(BlockedTrait::lastRequestAt).reversed())
+			.limit(MAX_REPORTED_TRAITS)
+			.map((conviction) -> conviction.toNotedBlock(now))
 			.toList();
-		this.toldRefused.clear();
-		refused.forEach((each) -> this.toldRefused.add(each.trait()));
+		this.reportedBlocked.clear();
+		refused.forEach((each) -> this.reportedBlocked.add(each.trait()));
 		CrashNote note = new CrashNote(clock, ended, marks, refused);
 		return note.empty() ? Optional.empty() : Optional.of(note);
 	}
@@ -330,20 +331,20 @@
 	 * @return true if its note is to be written again
 	 */
 	public boolean hasReportedAnyBlocked(Collection<Trait> cleared) {
-		return cleared.stream().anyMatch(this.toldRefused::contains);
+		return cleared.stream().anyMatch(this.reportedBlocked::contains);
 	}
 
 	/**
 	 * Returns the traits of a crash that were sound longest ago, or never, and of those
 	 * the ones that were at most crashes.
 	 */
-	private Set<Trait> mostSuspect(Crash crash) {
+	private Set<Trait> chooseMostSuspect(Crash crash) {
 		return new HashSet<>(crash.traits()
 			.stream()
-			.sorted(Comparator.comparingLong(this.sound::last)
+			.sorted(Comparator.comparingLong(this.successes::lastSuccessAt)
 				.thenComparing(Comparator.comparingInt(this::crashCount).reversed())
 				.thenComparing(Trait::kind))
-			.limit(MAX_TOLD_TRAITS)
+			.limit(MAX_TRAITS_PER_CRASH)
 			.toList());
 	}
 
@@ -353,7 +354,7 @@
 	 * @return the number
 	 */
 	public int crashCount(Trait trait) {
-		return this.evidence.countWith(trait);
+		return this.evidence.crashCount(trait);
 	}
 
 	/**
@@ -361,7 +362,7 @@
 	 * @return the number
 	 */
 	public int blockedCount() {
-		return this.convictions.size();
+		return this.blockedTraits.size();
 	}
 
 	/**
@@ -369,7 +370,7 @@
 	 * @return true if so
 	 */
 	public boolean hasCrashEvidence() {
-		return this.evidence.any() || !this.convictions.isEmpty();
+		return this.evidence.hasCrashes() || !this.blockedTraits.isEmpty();
 	}
 
 	/**
@@ -378,7 +379,7 @@
 	 * @return true if so
 	 */
 	public boolean isAwaitingNotes(long now) {
-		return now - this.lastCrashAt < UNSETTLED_MILLIS;
+		return now - this.lastCrashAt < NOTE_WAIT_MILLIS;
 	}
 
 	/**
@@ -386,7 +387,7 @@
 	 * @return true if so
 	 */
 	public boolean hasUnreportedBlocks() {
-		return this.convictions.values().stream().anyMatch((conviction) -> !conviction.told());
+		return this.blockedTraits.values().stream().anyMatch((conviction) -> !conviction.isReported());
 	}
 
 	/**
@@ -395,46 +396,46 @@
 	 * @return the traits that are refused from now on
 	 */
 	public List<Trait> reevaluate(long now) {
-		this.evidence.seesFrom(now);
-		return this.evidence.any() ? judge(now) : List.of();
+		this.evidence.observeFrom(now);
+		return this.evidence.hasCrashes() ? blockSuspects(now) : List.of();
 	}
 
-	private List<Trait> judge(long now) {
-		forget(now);
+	private List<Trait> blockSuspects(long now) {
+		expire(now);
 		List<Trait> convicted = new ArrayList<>();
-		Optional<CrashEvidence.Accused> worst = this.evidence.worst(now);
+		Optional<CrashEvidence.TraitEvidence> worst = this.evidence.findNextToBlock(now);
 		while (worst.isPresent()) {
 			Trait trait = worst.get().trait();
-			convict(new Conviction(trait, now, worst.get().lastAt()));
+			block(new BlockedTrait(trait, now, worst.get().lastCrashAt()));
 			convicted.add(trait);
-			worst = this.evidence.worst(now);
+			worst = this.evidence.findNextToBlock(now);
 		}
 		return convicted;
 	}
 
-	private void convict(Conviction conviction) {
-		if (this.convictions.size() >= MAX_CONVICTIONS) {
-			this.convictions.values()
+	private void block(BlockedTrait conviction) {
+		if (this.blockedTraits.size() >= MAX_BLOCKED_TRAITS) {
+			this.blockedTraits.values()
 				.stream()
-				.min(Comparator.comparingLong(Conviction::seenAt))
-				.ifPresent((oldest) -> this.convictions.remove(oldest.trait()));
+				.min(Comparator.comparingLong(BlockedTrait::lastRequestAt))
+				.ifPresent((oldest) -> this.blockedTraits.remove(oldest.trait()));
 		}
-		this.convictions.put(conviction.trait(), conviction);
-		List<Trait> others = this.convictions.keySet()
+		this.blockedTraits.put(conviction.trait(), conviction);
+		List<Trait> others = this.blockedTraits.keySet()
 			.stream()
 			.filter((trait) -> !trait.equals(conviction.trait()))
-			.filter(this.evidence::explained)
+			.filter(this.evidence::isExplained)
 			.toList();
-		this.convictions.keySet().removeAll(others);
+		this.blockedTraits.keySet().removeAll(others);
 	}
 
-	private void forget(long now) {
-		this.evidence.forget(now);
-		this.own.values().removeIf((crash) -> now - crash.at() >= CrashEvidence.MEMORY_MILLIS);
-		this.convictions.values().removeIf((conviction) -> conviction.over(now));
-		this.acquitted.values().removeIf((at) -> now - at > Conviction.QUIET_MILLIS);
-		if (!this.evidence.any()) {
-			this.toldSound.clear();
+	private void expire(long now) {
+		this.evidence.expire(now);
+		this.ownCrashes.values().removeIf((crash) -> now - crash.at() >= CrashEvidence.RETENTION_MILLIS);
+		this.blockedTraits.values().removeIf((conviction) -> conviction.isExpired(now));
+		this.unblockedAt.values().removeIf((at) -> now - at > BlockedTrait.EXPIRY_MILLIS);
+		if (!this.evidence.hasCrashes()) {
+			this.reportedSuccesses.clear();
 		}
 	}
 
--- a/core/src/main/java/org/gullsaddle/suspect/SoundMarks.java
+++ b/core/src/main/java/org/gullsaddle/suspect/SuccessTracker.java
@@ -10,13 +10,13 @@
 /**
  * When requests with each trait were last seen to go well.
  */
-final class SoundMarks {
+final class SuccessTracker {
 
 	private static final int MAX_TRAITS = 4096;
 
 	private static final int MAX_REQUESTS = 64;
 
-	private final Map<Trait, Long> marks = new LinkedHashMap<>(16, 0.75f, true) {
+	private final Map<Trait, Long> lastSuccesses = new LinkedHashMap<>(16, 0.75f, true) {
 		@Override
 		protected boolean removeEldestEntry(Map.Entry<Trait, Long> eldest) {
 			return size() > MAX_TRAITS;
@@ -24,43 +24,43 @@
 	};
 
 	/** The last requests that this node saw go well. */
-	private final Deque<Request> requests = new ArrayDeque<>();
+	private final Deque<Request> recentSuccesses = new ArrayDeque<>();
 
 	/**
 	 * Notes that a request went well here.
 	 */
-	void add(long now, Collection<Trait> traits) {
-		traits.forEach((trait) -> mark(now, trait));
-		this.requests.addLast(new Request(now, Set.copyOf(traits)));
-		if (this.requests.size() > MAX_REQUESTS) {
-			this.requests.removeFirst();
+	void recordRequest(long now, Collection<Trait> traits) {
+		traits.forEach((trait) -> recordTrait(now, trait));
+		this.recentSuccesses.addLast(new Request(now, Set.copyOf(traits)));
+		if (this.recentSuccesses.size() > MAX_REQUESTS) {
+			this.recentSuccesses.removeFirst();
 		}
 	}
 
 	/**
 	 * Notes that a request with a trait went well somewhere.
 	 */
-	void mark(long at, Trait trait) {
-		this.marks.merge(trait, at, Math::max);
+	void recordTrait(long at, Trait trait) {
+		this.lastSuccesses.merge(trait, at, Math::max);
 	}
 
-	boolean any(Trait trait) {
-		return this.marks.containsKey(trait);
+	boolean hasSuccess(Trait trait) {
+		return this.lastSuccesses.containsKey(trait);
 	}
 
 	/**
 	 * Returns when a request with a trait last went well.
 	 */
-	long last(Trait trait) {
-		return this.marks.getOrDefault(trait, Long.MIN_VALUE);
+	long lastSuccessAt(Trait trait) {
+		return this.lastSuccesses.getOrDefault(trait, Long.MIN_VALUE);
 	}
 
 	/**
 	 * Says whether a request without a trait went well here after some time. Requests
 	 * without a prompt say nothing of parts: other replicas serve them.
 	 */
-	boolean withoutSince(Trait trait, long time) {
-		return this.requests.stream()
+	boolean hasSuccessWithoutSince(Trait trait, long time) {
+		return this.recentSuccesses.stream()
 			.anyMatch((request) -> request.at > time && !request.traits.contains(trait)
 					&& (!trait.isPart() || request.traits.stream().anyMatch(Trait::isPart)));
 	}
--- a/core/src/main/java/org/gullsaddle/suspect/Trait.java
+++ b/core/src/main/java/org/gullsaddle/suspect/Trait.java
@@ -16,7 +16,7 @@
 
 	private static final String PART = "part:";
 
-	private static final String UNDER = "part-under-model:";
+	private static final String PART_UNDER_MODEL = "part-under-model:";
 
 	private static final String CONTENT = "content:";
 
@@ -41,7 +41,7 @@
 	 * @return the trait
 	 */
 	public static Trait part(String id, String model) {
-		return new Trait(UNDER + model + '/' + id);
+		return new Trait(PART_UNDER_MODEL + model + '/' + id);
 	}
 
 	/**
@@ -65,7 +65,7 @@
 		if (this.value.startsWith(PART)) {
 			return Kind.PART;
 		}
-		return this.value.startsWith(UNDER) ? Kind.PART_UNDER_MODEL : Kind.CONTENT;
+		return this.value.startsWith(PART_UNDER_MODEL) ? Kind.PART_UNDER_MODEL : Kind.CONTENT;
 	}
 
 	/**
--- a/core/src/test/java/org/gullsaddle/suspect/CrashWatchTests.java
+++ b/core/src/test/java/org/gullsaddle/suspect/CrashDetectorTests.java
@@ -14,7 +14,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-class CrashWatchTests {
+class CrashDetectorTests {
 
 	private static final Trait DEADLY = Trait.part("deadly");
 
@@ -151,7 +151,7 @@
 		@Test
 		void whatBrokeOffBeforeTheReplicaAnsweredAnother() {
 			ended(100, 0, EndKind.BROKEN, OTHER);
-			CrashWatchTests.this.watch.onAnswer(replica("r1"), 200);
+			CrashDetectorTests.this.watch.onAnswer(replica("r1"), 200);
 			assertThat(down(300)).isEmpty();
 		}
 
--- a/core/src/test/java/org/gullsaddle/suspect/CrashBookTests.java
+++ b/core/src/test/java/org/gullsaddle/suspect/CrashTrackerTests.java
@@ -12,7 +12,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-class CrashBookTests {
+class CrashTrackerTests {
 
 	private static final Trait FIRST = Trait.part("first");
 
@@ -151,7 +151,7 @@
 		@Test
 		void whatARackTookAwayInOneMoment() {
 			for (int i = 0; i < 8; i++) {
-				crash(CrashBookTests.this.book, 5000 + i, 900, "rack-" + i, FIRST, SUBJECT, content("own"));
+				crash(CrashTrackerTests.this.book, 5000 + i, 900, "rack-" + i, FIRST, SUBJECT, content("own"));
 			}
 			assertThat(refuses(FIRST, SUBJECT, content("own"))).isFalse();
 		}
@@ -160,7 +160,7 @@
 		void whatWentWellSince() {
 			for (int i = 0; i < 20; i++) {
 				crash(i * SECOND, FIRST);
-				CrashBookTests.this.book.onSuccess(i * SECOND + 500, List.of(FIRST));
+				CrashTrackerTests.this.book.onSuccess(i * SECOND + 500, List.of(FIRST));
 			}
 			assertThat(refuses(FIRST)).isFalse();
 		}
@@ -171,11 +171,11 @@
 			for (int i = 0; i < 3; i++) {
 				crash(i * SECOND, FIRST);
 			}
-			other.onNote(3 * SECOND, CLOCK, CrashBookTests.this.book.buildNote(3 * SECOND, CLOCK).orElseThrow());
+			other.onNote(3 * SECOND, CLOCK, CrashTrackerTests.this.book.buildNote(3 * SECOND, CLOCK).orElseThrow());
 			other.onSuccess(4 * SECOND, List.of(FIRST));
 			assertThat(other.shouldReportSuccess(List.of(FIRST))).isTrue();
 			assertThat(other.shouldReportSuccess(List.of(FIRST))).isFalse();
-			CrashBookTests.this.book.onNote(4 * SECOND, CLOCK, other.buildNote(4 * SECOND, CLOCK).orElseThrow());
+			CrashTrackerTests.this.book.onNote(4 * SECOND, CLOCK, other.buildNote(4 * SECOND, CLOCK).orElseThrow());
 			crash(5 * SECOND, FIRST);
 			assertThat(refuses(FIRST)).isFalse();
 		}
@@ -185,7 +185,7 @@
 		 */
 		@Test
 		void whatIsAtTheSameCrashesAsOneThatWasNeverSound() {
-			CrashBookTests.this.book.onSuccess(0, List.of(FIRST, SUBJECT));
+			CrashTrackerTests.this.book.onSuccess(0, List.of(FIRST, SUBJECT));
 			for (int i = 1; i < 12; i++) {
 				crash(i * SECOND, FIRST, SUBJECT, DEADLY);
 			}
@@ -198,7 +198,7 @@
 		 */
 		@Test
 		void whatAllRequestsHaveWhileNoneGoesWell() {
-			CrashBookTests.this.book.onSuccess(0, List.of(FIRST));
+			CrashTrackerTests.this.book.onSuccess(0, List.of(FIRST));
 			for (int i = 1; i < 30; i++) {
 				crash(i * SECOND, FIRST, Trait.part("subject-" + i));
 			}
@@ -212,7 +212,7 @@
 				crash(i * SECOND, unlucky, DEADLY);
 			}
 			assertThat(refuses(unlucky)).isFalse();
-			CrashBookTests.this.book.reevaluate(3 * SECOND);
+			CrashTrackerTests.this.book.reevaluate(3 * SECOND);
 			assertThat(refuses(unlucky)).isTrue();
 			crash(4 * SECOND, DEADLY);
 			assertThat(refuses(unlucky)).isFalse();
@@ -232,8 +232,9 @@
 			}
 			assertThat(refuses(SUBJECT)).isFalse();
 			crash(3 * SECOND + 500, DEADLY);
-			CrashBookTests.this.book.onNote(3 * SECOND + 700, CLOCK, other.buildNote(3 * SECOND, CLOCK).orElseThrow());
-			CrashBookTests.this.book.reevaluate(4 * SECOND);
+			CrashTrackerTests.this.book.onNote(3 * SECOND + 700, CLOCK,
+					other.buildNote(3 * SECOND, CLOCK).orElseThrow());
+			CrashTrackerTests.this.book.reevaluate(4 * SECOND);
 			assertThat(refuses(DEADLY)).isTrue();
 			assertThat(refuses(SUBJECT)).isFalse();
 		}
@@ -247,7 +248,7 @@
 			}
 			CrashNote note = other.buildNote(3 * SECOND, CLOCK).orElseThrow();
 			convict();
-			CrashBookTests.this.book.onNote(4 * SECOND, CLOCK, note);
+			CrashTrackerTests.this.book.onNote(4 * SECOND, CLOCK, note);
 			assertThat(refuses(unlucky)).isFalse();
 		}
 
@@ -257,7 +258,7 @@
 			for (int i = 0; i < 3; i++) {
 				crash(i * SECOND, DEADLY);
 			}
-			CrashBookTests.this.book.onAlive("process-0", 3 * SECOND);
+			CrashTrackerTests.this.book.onAlive("process-0", 3 * SECOND);
 			crash(4 * SECOND, DEADLY);
 			assertThat(refuses(DEADLY)).isFalse();
 		}
@@ -274,7 +275,7 @@
 		void partIsRefusedForTheModelThatCrashesOnIt() {
 			for (int i = 0; i < 6; i++) {
 				crash(i * SECOND, FIRST, SUBJECT, UNDER_LARGE);
-				CrashBookTests.this.book.onSuccess(i * SECOND + 500,
+				CrashTrackerTests.this.book.onSuccess(i * SECOND + 500,
 						List.of(FIRST, SUBJECT, Trait.part("subject", "small")));
 			}
 			assertThat(refuses(FIRST, SUBJECT, UNDER_LARGE)).isTrue();
@@ -299,10 +300,10 @@
 		 */
 		@Test
 		void isRefusedAfterSixCrashesWhileOthersGoWell() {
-			CrashBookTests.this.book.onSuccess(0, List.of(SUBJECT));
+			CrashTrackerTests.this.book.onSuccess(0, List.of(SUBJECT));
 			for (int i = 1; i <= 5; i++) {
 				crash(i * SECOND, SUBJECT);
-				CrashBookTests.this.book.onSuccess(i * SECOND + 200, List.of(FIRST));
+				CrashTrackerTests.this.book.onSuccess(i * SECOND + 200, List.of(FIRST));
 			}
 			assertThat(refuses(SUBJECT)).isFalse();
 			assertThat(crash(6 * SECOND, SUBJECT)).containsExactly(SUBJECT);
@@ -318,11 +319,11 @@
 		void lastsAsLongAsSuchRequestsCome() {
 			convict();
 			for (long now = 0; now < 3_600_000; now += 60 * SECOND) {
-				CrashBookTests.this.book.onRequest(now, List.of(DEADLY));
-				CrashBookTests.this.book.buildNote(now, CLOCK + now);
+				CrashTrackerTests.this.book.onRequest(now, List.of(DEADLY));
+				CrashTrackerTests.this.book.buildNote(now, CLOCK + now);
 				assertThat(refuses(DEADLY)).isTrue();
 			}
-			CrashBookTests.this.book.buildNote(4_300_000, CLOCK);
+			CrashTrackerTests.this.book.buildNote(4_300_000, CLOCK);
 			assertThat(refuses(DEADLY)).isFalse();
 		}
 
@@ -330,7 +331,7 @@
 		void isLearntFromAnotherNode() {
 			convict();
 			CrashTracker other = new CrashTracker();
-			CrashNote note = CrashBookTests.this.book.buildNote(4 * SECOND, CLOCK).orElseThrow();
+			CrashNote note = CrashTrackerTests.this.book.buildNote(4 * SECOND, CLOCK).orElseThrow();
 			assertThat(other.onNote(50_000, CLOCK + 100, note).blocked()).containsExactly(DEADLY);
 			assertThat(other.isBlocked(List.of(DEADLY))).isTrue();
 		}
@@ -340,7 +341,7 @@
 		void isNotLearntFromANoteOfLongAgo() {
 			convict();
 			CrashTracker other = new CrashTracker();
-			CrashNote note = CrashBookTests.this.book.buildNote(4 * SECOND, CLOCK).orElseThrow();
+			CrashNote note = CrashTrackerTests.this.book.buildNote(4 * SECOND, CLOCK).orElseThrow();
 			other.onNote(50_000, CLOCK + 700_000, note);
 			assertThat(other.isBlocked(List.of(DEADLY))).isFalse();
 		}
@@ -348,16 +349,17 @@
 		@Test
 		void endsOnceARequestWentWell() {
 			convict();
-			assertThat(CrashBookTests.this.book.onSuccess(5 * SECOND, List.of(FIRST, DEADLY))).containsExactly(DEADLY);
+			assertThat(CrashTrackerTests.this.book.onSuccess(5 * SECOND, List.of(FIRST, DEADLY)))
+				.containsExactly(DEADLY);
 			assertThat(refuses(DEADLY)).isFalse();
 		}
 
 		@Test
 		void isNotTakenUpAgainFromANoteOfBefore() {
 			convict();
-			CrashNote before = CrashBookTests.this.book.buildNote(4 * SECOND, CLOCK).orElseThrow();
-			CrashBookTests.this.book.onSuccess(5 * SECOND, List.of(DEADLY));
-			CrashBookTests.this.book.onNote(60 * SECOND, CLOCK + 56 * SECOND, before);
+			CrashNote before = CrashTrackerTests.this.book.buildNote(4 * SECOND, CLOCK).orElseThrow();
+			CrashTrackerTests.this.book.onSuccess(5 * SECOND, List.of(DEADLY));
+			CrashTrackerTests.this.book.onNote(60 * SECOND, CLOCK + 56 * SECOND, before);
 			assertThat(refuses(DEADLY)).isFalse();
 		}
 
@@ -367,13 +369,13 @@
 			long now = 3 * SECOND;
 			for (int number = 1; number <= 3; number++) {
 				long pause = FIRST_TRIAL << (2 * (number - 1));
-				assertThat(CrashBookTests.this.book.retryAfterMillis(now, List.of(DEADLY))).isEqualTo(pause);
-				assertThat(CrashBookTests.this.book.findTrial(now + pause - 1, List.of(DEADLY))).isEmpty();
+				assertThat(CrashTrackerTests.this.book.retryAfterMillis(now, List.of(DEADLY))).isEqualTo(pause);
+				assertThat(CrashTrackerTests.this.book.findTrial(now + pause - 1, List.of(DEADLY))).isEmpty();
 				now += pause;
-				CrashTracker.Trial trial = CrashBookTests.this.book.findTrial(now, List.of(DEADLY)).orElseThrow();
+				CrashTracker.Trial trial = CrashTrackerTests.this.book.findTrial(now, List.of(DEADLY)).orElseThrow();
 				assertThat(trial).isEqualTo(new CrashTracker.Trial(DEADLY, number));
-				CrashBookTests.this.book.onTrialDecided(now, trial);
-				CrashBookTests.this.book.onTrialDecided(now, trial);
+				CrashTrackerTests.this.book.onTrialDecided(now, trial);
+				CrashTrackerTests.this.book.onTrialDecided(now, trial);
 			}
 		}
 
@@ -388,7 +390,7 @@
 			convict();
 			for (int i = 0; i < 2000; i++) {
 				crash(10 * SECOND + i, Trait.part("part-" + i), Trait.part("more-" + i));
-				CrashBookTests.this.book.onSuccess(10 * SECOND + i, List.of(Trait.part("sound-" + i)));
+				CrashTrackerTests.this.book.onSuccess(10 * SECOND + i, List.of(Trait.part("sound-" + i)));
 			}
 			assertThat(refuses(DEADLY)).isTrue();
 		}
@@ -402,7 +404,7 @@
 				}
 				crash(10 * SECOND + i, traits);
 			}
-			CrashNote note = CrashBookTests.this.book.buildNote(20 * SECOND, CLOCK).orElseThrow();
+			CrashNote note = CrashTrackerTests.this.book.buildNote(20 * SECOND, CLOCK).orElseThrow();
 			assertThat(note.crashes()).hasSize(16).allSatisfy((crash) -> assertThat(crash.ran()).hasSize(24));
 		}
 
