--- a/core/src/main/java/org/gullsaddle/suspect/BlockedTrait.java
+++ b/core/src/main/java/org/gullsaddle/suspect/BlockedTrait.java
@@ -34,7 +34,7 @@
 	private long reportedAt;
 
 	/** Whether any node told of it at all. */
-	private boolean told;
+	private boolean reported;
 
 	BlockedTrait(Trait trait, long now, long crashAt) {
 		this.trait = trait;
@@ -49,7 +49,7 @@
 	 * Takes in what another node told.
 	 */
 	void merge(long now, CrashNote.NotedBlock told, long lagMillis) {
-		this.told = true;
+		this.reported = true;
 		this.lastCrashAt = Math.max(this.lastCrashAt, now - lagMillis - told.crashAgeMillis());
 		this.lastRequestAt = Math.max(this.lastRequestAt, now - lagMillis - told.seenAgeMillis());
 		this.reportedAt = Math.max(this.reportedAt, now - lagMillis);
@@ -58,7 +58,7 @@
 	}
 
 	CrashNote.NotedBlock toNotedBlock(long now) {
-		this.told = true;
+		this.reported = true;
 		this.reportedAt = now;
 		return new CrashNote.NotedBlock(this.trait, now - this.lastCrashAt, now - this.lastRequestAt, this.trialCount,
 				this.nextTrialAt - now);
@@ -87,7 +87,7 @@
 	}
 
 	boolean isReported() {
-		return this.told;
+		return this.reported;
 	}
 
 	boolean isExpired(long now) {
--- a/core/src/test/java/org/gullsaddle/suspect/CrashDetectorTests.java
+++ b/core/src/test/java/org/gullsaddle/suspect/CrashDetectorTests.java
@@ -20,7 +20,7 @@
 
 	private static final Trait OTHER = Trait.part("other");
 
-	private final CrashDetector watch = new CrashDetector();
+	private final CrashDetector detector = new CrashDetector();
 
 	private static Replica replica(String id) {
 		return replica(id, 1);
@@ -31,19 +31,19 @@
 				false, born);
 	}
 
-	private Optional<Crash> ended(long now, long startedAt, EndKind manner, Trait trait) {
-		return this.watch.onAttemptEnd(now, replica("r1"), startedAt, manner, List.of(trait));
+	private Optional<Crash> onAttemptEnd(long now, long startedAt, EndKind manner, Trait trait) {
+		return this.detector.onAttemptEnd(now, replica("r1"), startedAt, manner, List.of(trait));
 	}
 
-	private Optional<Crash> down(long now) {
-		return this.watch.onDead(now, new ReplicaId("r1"));
+	private Optional<Crash> onDead(long now) {
+		return this.detector.onDead(now, new ReplicaId("r1"));
 	}
 
 	@Test
-	void replicaThatIsFoundDeadCrashedUnderWhatBrokeOff() {
-		ended(700, 100, EndKind.BROKEN, DEADLY);
-		ended(710, 600, EndKind.BROKEN, OTHER);
-		Crash crash = down(760).orElseThrow();
+	void crashIncludesAttemptsWhoseConnectionsBroke() {
+		onAttemptEnd(700, 100, EndKind.BROKEN, DEADLY);
+		onAttemptEnd(710, 600, EndKind.BROKEN, OTHER);
+		Crash crash = onDead(760).orElseThrow();
 		assertThat(crash.at()).isEqualTo(710);
 		assertThat(crash.traits()).containsExactlyInAnyOrder(DEADLY, OTHER);
 		assertThat(crash.lastRequestAt(DEADLY)).isEqualTo(110);
@@ -53,35 +53,35 @@
 	 * Guards against crashes of replicas that are about to stop, which are not counted.
 	 */
 	@Test
-	void endSoonAfterItWasHeardThatAReplicaLeavesIsACrash() {
-		this.watch.onLeaving(0, new ReplicaId("r1"));
-		ended(700, 100, EndKind.BROKEN, DEADLY);
-		assertThat(down(760)).isPresent();
+	void deathSoonAfterALeavingNoticeIsACrash() {
+		this.detector.onLeaving(0, new ReplicaId("r1"));
+		onAttemptEnd(700, 100, EndKind.BROKEN, DEADLY);
+		assertThat(onDead(760)).isPresent();
 	}
 
 	/** Guards against requests blamed for the planned ends of their replicas. */
 	@Test
-	void laterEndOfAReplicaThatLeavesIsNoCrash() {
-		this.watch.onLeaving(0, new ReplicaId("r1"));
-		ended(1700, 100, EndKind.BROKEN, DEADLY);
-		assertThat(down(1760)).isEmpty();
-		this.watch.onListed(2000, replica("r1", 2));
-		this.watch.onAttemptEnd(4000, replica("r1", 2), 3900, EndKind.BROKEN, List.of(DEADLY));
-		assertThat(down(4060)).isPresent();
+	void laterDeathOfALeavingReplicaIsNoCrash() {
+		this.detector.onLeaving(0, new ReplicaId("r1"));
+		onAttemptEnd(1700, 100, EndKind.BROKEN, DEADLY);
+		assertThat(onDead(1760)).isEmpty();
+		this.detector.onListed(2000, replica("r1", 2));
+		this.detector.onAttemptEnd(4000, replica("r1", 2), 3900, EndKind.BROKEN, List.of(DEADLY));
+		assertThat(onDead(4060)).isPresent();
 	}
 
 	/** Guards against answers without a length that are never asked after. */
 	@Test
-	void contentWhoseAnswersEndWithTheirConnectionsAgainIsNoticed() {
-		assertThat(this.watch.isRepeatedCloseDelimited(OTHER)).isFalse();
-		assertThat(this.watch.isRepeatedCloseDelimited(DEADLY)).isFalse();
-		assertThat(this.watch.isRepeatedCloseDelimited(DEADLY)).isTrue();
+	void repeatedCloseDelimitedContentIsDetected() {
+		assertThat(this.detector.isRepeatedCloseDelimited(OTHER)).isFalse();
+		assertThat(this.detector.isRepeatedCloseDelimited(DEADLY)).isFalse();
+		assertThat(this.detector.isRepeatedCloseDelimited(DEADLY)).isTrue();
 	}
 
 	@Test
 	void brokenConnectionAloneIsNoCrash() {
-		ended(0, 0, EndKind.BROKEN, OTHER);
-		assertThat(down(7000)).isEmpty();
+		onAttemptEnd(0, 0, EndKind.BROKEN, OTHER);
+		assertThat(onDead(7000)).isEmpty();
 	}
 
 	/**
@@ -89,77 +89,77 @@
 	 * before its entry lapses.
 	 */
 	@Test
-	void anotherProcessUnderTheSameIdTellsOfACrash() {
-		ended(0, 0, EndKind.BROKEN, DEADLY);
-		assertThat(this.watch.onListed(100, replica("r1"))).isEmpty();
-		assertThat(this.watch.onListed(2000, replica("r1", 2))).isPresent();
+	void newProcessUnderTheSameIdRevealsACrash() {
+		onAttemptEnd(0, 0, EndKind.BROKEN, DEADLY);
+		assertThat(this.detector.onListed(100, replica("r1"))).isEmpty();
+		assertThat(this.detector.onListed(2000, replica("r1", 2))).isPresent();
 	}
 
 	/** Guards against a request that is cleared as its engine dies within its answer. */
 	@Test
-	void answerWithoutALengthThatEndsAsItsReplicaDiesIsPartOfTheCrash() {
-		ended(500, 400, EndKind.CLOSE_DELIMITED, DEADLY);
-		assertThat(down(600).orElseThrow().traits()).containsExactly(DEADLY);
+	void closeDelimitedAnswerThatEndsAsItsReplicaDiesIsPartOfTheCrash() {
+		onAttemptEnd(500, 400, EndKind.CLOSE_DELIMITED, DEADLY);
+		assertThat(onDead(600).orElseThrow().traits()).containsExactly(DEADLY);
 	}
 
 	@Test
-	void answerWithoutALengthIsWholeIfItsReplicaAnswersALaterRequest() {
-		ended(500, 400, EndKind.CLOSE_DELIMITED, OTHER);
-		assertThat(this.watch.onAnswer(replica("r1"), 450)).isEmpty();
-		assertThat(this.watch.onAnswer(replica("r1"), 501)).containsExactly(OTHER);
-		assertThat(down(600)).isEmpty();
+	void closeDelimitedAnswerIsCompleteIfItsReplicaAnswersALaterRequest() {
+		onAttemptEnd(500, 400, EndKind.CLOSE_DELIMITED, OTHER);
+		assertThat(this.detector.onAnswer(replica("r1"), 450)).isEmpty();
+		assertThat(this.detector.onAnswer(replica("r1"), 501)).containsExactly(OTHER);
+		assertThat(onDead(600)).isEmpty();
 	}
 
 	@Test
-	void replicaThatAcceptsAConnectionMayHaveBrokenOffOthers() {
-		ended(500, 400, EndKind.CLOSE_DELIMITED, OTHER);
-		ended(500, 400, EndKind.BROKEN, DEADLY);
-		assertThat(this.watch.onConnectionAccepted(replica("r1"), 550)).containsExactly(OTHER);
-		assertThat(down(900).orElseThrow().traits()).containsExactly(DEADLY);
+	void acceptedConnectionDoesNotExplainBrokenOnes() {
+		onAttemptEnd(500, 400, EndKind.CLOSE_DELIMITED, OTHER);
+		onAttemptEnd(500, 400, EndKind.BROKEN, DEADLY);
+		assertThat(this.detector.onConnectionAccepted(replica("r1"), 550)).containsExactly(OTHER);
+		assertThat(onDead(900).orElseThrow().traits()).containsExactly(DEADLY);
 	}
 
 	/** Guards against sound requests blamed for a replica that is taken away later. */
 	@Test
-	void answerWithoutALengthIsNoPartOfAnEndThatComesLater() {
-		ended(500, 400, EndKind.CLOSE_DELIMITED, OTHER);
-		assertThat(down(3000)).isEmpty();
+	void closeDelimitedAnswerIsNoPartOfALaterCrash() {
+		onAttemptEnd(500, 400, EndKind.CLOSE_DELIMITED, OTHER);
+		assertThat(onDead(3000)).isEmpty();
 	}
 
 	/** Guards against evidence that is lost as a caller leaves while a replica dies. */
 	@Test
-	void whatIsGivenUpWhileAReplicaDiesIsPartOfTheCrash() {
-		ended(100, 0, EndKind.CANCELLED, DEADLY);
-		assertThat(down(200)).isEmpty();
-		ended(300, 0, EndKind.CANCELLED, DEADLY);
-		ended(400, 0, EndKind.BROKEN, OTHER);
-		assertThat(down(450).orElseThrow().traits()).containsExactlyInAnyOrder(DEADLY, OTHER);
+	void attemptCancelledWhileAReplicaDiesIsPartOfTheCrash() {
+		onAttemptEnd(100, 0, EndKind.CANCELLED, DEADLY);
+		assertThat(onDead(200)).isEmpty();
+		onAttemptEnd(300, 0, EndKind.CANCELLED, DEADLY);
+		onAttemptEnd(400, 0, EndKind.BROKEN, OTHER);
+		assertThat(onDead(450).orElseThrow().traits()).containsExactlyInAnyOrder(DEADLY, OTHER);
 	}
 
 	@Test
-	void whatBreaksOffAfterTheReplicaWasFoundDeadIsPartOfTheSameCrash() {
-		ended(100, 0, EndKind.BROKEN, OTHER);
-		Crash crash = down(150).orElseThrow();
-		Crash more = ended(160, 50, EndKind.BROKEN, DEADLY).orElseThrow();
+	void attemptThatBreaksAfterTheReplicaWasFoundDeadIsPartOfTheSameCrash() {
+		onAttemptEnd(100, 0, EndKind.BROKEN, OTHER);
+		Crash crash = onDead(150).orElseThrow();
+		Crash more = onAttemptEnd(160, 50, EndKind.BROKEN, DEADLY).orElseThrow();
 		assertThat(more.processName()).isEqualTo(crash.processName());
 		assertThat(crash.merge(more).traits()).containsExactlyInAnyOrder(DEADLY, OTHER);
-		assertThat(ended(5000, 4900, EndKind.BROKEN, DEADLY)).isEmpty();
+		assertThat(onAttemptEnd(5000, 4900, EndKind.BROKEN, DEADLY)).isEmpty();
 	}
 
 	@Nested
-	class LeavesOut {
+	class Excludes {
 
 		@Test
-		void whatBrokeOffBeforeTheReplicaAnsweredAnother() {
-			ended(100, 0, EndKind.BROKEN, OTHER);
-			CrashDetectorTests.this.watch.onAnswer(replica("r1"), 200);
-			assertThat(down(300)).isEmpty();
+		void attemptThatBrokeBeforeTheReplicaAnsweredAnother() {
+			onAttemptEnd(100, 0, EndKind.BROKEN, OTHER);
+			CrashDetectorTests.this.detector.onAnswer(replica("r1"), 200);
+			assertThat(onDead(300)).isEmpty();
 		}
 
 		@Test
-		void whatBrokeOffLongBeforeTheRest() {
-			ended(100, 0, EndKind.BROKEN, OTHER);
-			ended(2000, 1900, EndKind.BROKEN, DEADLY);
-			assertThat(down(2100).orElseThrow().traits()).containsExactly(DEADLY);
+		void attemptThatBrokeLongBeforeTheOthers() {
+			onAttemptEnd(100, 0, EndKind.BROKEN, OTHER);
+			onAttemptEnd(2000, 1900, EndKind.BROKEN, DEADLY);
+			assertThat(onDead(2100).orElseThrow().traits()).containsExactly(DEADLY);
 		}
 
 	}
--- a/core/src/test/java/org/gullsaddle/suspect/CrashModel.java
+++ b/core/src/test/java/org/gullsaddle/suspect/CrashModel.java
@@ -26,21 +26,21 @@
 
 	private static final long CLOCK = 1_700_000_000_000L;
 
-	private static final long BACK_MILLIS = 2500;
+	private static final long RESTART_MILLIS = 2500;
 
-	private static final long FOUND_MILLIS = 60;
+	private static final long DETECTION_MILLIS = 60;
 
-	private static final long NOTE_MILLIS = 200;
+	private static final long NOTE_DELAY_MILLIS = 200;
 
 	/** The most that a note takes from its writing until another node has read it. */
-	private static final int READ_MILLIS = 900;
+	private static final int MAX_READ_MILLIS = 900;
 
-	private static final long SOUND_MILLIS = 500;
+	private static final long SUCCESS_MILLIS = 500;
 
-	private static final long LOOK_MILLIS = 200;
+	private static final long REEVALUATE_MILLIS = 200;
 
 	/** In what time nodes that find the same out tell it, in milliseconds. */
-	private static final int SPREAD_MILLIS = 200;
+	private static final int MAX_SPREAD_MILLIS = 200;
 
 	private static final int MAX_ATTEMPTS = 3;
 
@@ -51,17 +51,17 @@
 	private final PriorityQueue<Event> events = new PriorityQueue<>(
 			Comparator.comparingLong(Event::at).thenComparingInt(Event::number));
 
-	private final List<CrashTracker> books = new ArrayList<>();
+	private final List<CrashTracker> trackers = new ArrayList<>();
 
-	private final Set<Integer> telling = new HashSet<>();
+	private final Set<Integer> pendingNotes = new HashSet<>();
 
 	private final List<Set<Run>> replicas = new ArrayList<>();
 
 	private final int[] lives;
 
-	private final boolean[] up;
+	private final boolean[] alive;
 
-	final Set<Trait> refused = new HashSet<>();
+	final Set<Trait> blocked = new HashSet<>();
 
 	final List<Long> crashes = new ArrayList<>();
 
@@ -73,25 +73,25 @@
 
 	private long now;
 
-	private int numbers;
+	private int nextEventNumber;
 
-	private int requests;
+	private int requestCount;
 
 	CrashModel(long seed, int nodes, int replicas) {
 		this.random = new Random(seed);
 		for (int i = 0; i < nodes; i++) {
-			this.books.add(new CrashTracker());
+			this.trackers.add(new CrashTracker());
 		}
 		for (int i = 0; i < replicas; i++) {
 			this.replicas.add(new HashSet<>());
 		}
 		this.lives = new int[replicas];
-		this.up = new boolean[replicas];
-		Arrays.fill(this.up, true);
+		this.alive = new boolean[replicas];
+		Arrays.fill(this.alive, true);
 	}
 
 	private void at(long time, Runnable action) {
-		this.events.add(new Event(time, this.numbers++, action));
+		this.events.add(new Event(time, this.nextEventNumber++, action));
 	}
 
 	/**
@@ -108,8 +108,8 @@
 				if (deadly) {
 					traits.add(DEADLY);
 				}
-				traits.add(Trait.content(new Fingerprint("content-" + this.requests++)));
-				send(this.random.nextInt(this.books.size()), traits, 1);
+				traits.add(Trait.content(new Fingerprint("content-" + this.requestCount++)));
+				send(this.random.nextInt(this.trackers.size()), traits, 1);
 			});
 		}
 	}
@@ -123,7 +123,7 @@
 		List<Trait> traits = List.of(Trait.part("first"), Trait.part("subject-0"), POISON);
 		for (long time = from; time < to; time += everyMillis) {
 			for (int i = 0; i < copies; i++) {
-				at(time, () -> send(this.random.nextInt(this.books.size()), traits, MAX_ATTEMPTS));
+				at(time, () -> send(this.random.nextInt(this.trackers.size()), traits, MAX_ATTEMPTS));
 			}
 		}
 	}
@@ -133,7 +133,7 @@
 		at(time, () -> {
 			int last = (int) Math.round(share * this.replicas.size());
 			for (int i = 0; i < last; i++) {
-				die(i);
+				crash(i);
 			}
 		});
 	}
@@ -141,13 +141,13 @@
 	/** Has one replica end by itself again and again. */
 	void replicaFails(int replica, long from, long to, long everyMillis) {
 		for (long time = from; time < to; time += everyMillis) {
-			at(time, () -> die(replica));
+			at(time, () -> crash(replica));
 		}
 	}
 
-	void play(long until) {
-		for (long time = LOOK_MILLIS; time < until; time += LOOK_MILLIS) {
-			at(time, this::look);
+	void run(long until) {
+		for (long time = REEVALUATE_MILLIS; time < until; time += REEVALUATE_MILLIS) {
+			at(time, this::reevaluate);
 		}
 		while (!this.events.isEmpty() && this.events.peek().at <= until) {
 			Event event = this.events.poll();
@@ -156,14 +156,14 @@
 		}
 	}
 
-	private void look() {
-		for (int i = 0; i < this.books.size(); i++) {
+	private void reevaluate() {
+		for (int i = 0; i < this.trackers.size(); i++) {
 			int node = i;
-			this.refused.addAll(this.books.get(i).reevaluate(this.now));
-			if (this.books.get(i).hasUnreportedBlocks()) {
-				at(this.now + this.random.nextInt(SPREAD_MILLIS), () -> {
-					if (this.books.get(node).hasUnreportedBlocks()) {
-						tell(node);
+			this.blocked.addAll(this.trackers.get(i).reevaluate(this.now));
+			if (this.trackers.get(i).hasUnreportedBlocks()) {
+				at(this.now + this.random.nextInt(MAX_SPREAD_MILLIS), () -> {
+					if (this.trackers.get(node).hasUnreportedBlocks()) {
+						sendNote(node);
 					}
 				});
 			}
@@ -171,11 +171,11 @@
 	}
 
 	private void send(int node, List<Trait> traits, int attempt) {
-		if (this.books.get(node).isBlocked(traits)) {
+		if (this.trackers.get(node).isBlocked(traits)) {
 			return;
 		}
 		int replica = this.random.nextInt(this.replicas.size());
-		if (!this.up[replica]) {
+		if (!this.alive[replica]) {
 			if (attempt < MAX_ATTEMPTS) {
 				at(this.now + 5, () -> send(node, traits, attempt + 1));
 			}
@@ -191,35 +191,35 @@
 			(poison ? this.poisonSent : this.deadlySent).add(this.now);
 		}
 		at(begins, () -> {
-			if (deadly && alive(replica, life, run)) {
+			if (deadly && isRunning(replica, life, run)) {
 				if (poison) {
 					this.poisonCrashes.add(this.now);
 				}
-				die(replica);
+				crash(replica);
 			}
 		});
-		at(begins + SOUND_MILLIS, () -> {
-			if (alive(replica, life, run)) {
-				sound(run);
+		at(begins + SUCCESS_MILLIS, () -> {
+			if (isRunning(replica, life, run)) {
+				onSuccess(run);
 			}
 		});
-		at(begins + SOUND_MILLIS + this.random.nextInt(2000), () -> this.replicas.get(replica).remove(run));
+		at(begins + SUCCESS_MILLIS + this.random.nextInt(2000), () -> this.replicas.get(replica).remove(run));
 	}
 
-	private boolean alive(int replica, int life, Run run) {
-		return this.up[replica] && this.lives[replica] == life && this.replicas.get(replica).contains(run);
+	private boolean isRunning(int replica, int life, Run run) {
+		return this.alive[replica] && this.lives[replica] == life && this.replicas.get(replica).contains(run);
 	}
 
-	private void sound(Run run) {
-		CrashTracker book = this.books.get(run.node);
+	private void onSuccess(Run run) {
+		CrashTracker book = this.trackers.get(run.node);
 		boolean cleared = !book.onSuccess(this.now, run.traits).isEmpty();
 		if (cleared || book.shouldReportSuccess(run.traits)) {
-			tell(run.node);
+			sendNote(run.node);
 		}
 	}
 
-	private void die(int replica) {
-		if (!this.up[replica]) {
+	private void crash(int replica) {
+		if (!this.alive[replica]) {
 			return;
 		}
 		String process = "replica-" + replica + "@" + this.lives[replica];
@@ -233,30 +233,30 @@
 		}
 		this.crashes.add(this.now);
 		this.replicas.get(replica).clear();
-		this.up[replica] = false;
+		this.alive[replica] = false;
 		long died = this.now;
-		seen.forEach((node, ran) -> at(died + FOUND_MILLIS, () -> {
-			this.refused.addAll(this.books.get(node).onCrash(this.now, new Crash(process, died, ran)));
-			tell(node);
+		seen.forEach((node, ran) -> at(died + DETECTION_MILLIS, () -> {
+			this.blocked.addAll(this.trackers.get(node).onCrash(this.now, new Crash(process, died, ran)));
+			sendNote(node);
 		}));
-		at(died + BACK_MILLIS, () -> {
-			this.up[replica] = true;
+		at(died + RESTART_MILLIS, () -> {
+			this.alive[replica] = true;
 			this.lives[replica]++;
 		});
 	}
 
-	private void tell(int node) {
-		if (!this.telling.add(node)) {
+	private void sendNote(int node) {
+		if (!this.pendingNotes.add(node)) {
 			return;
 		}
-		at(this.now + NOTE_MILLIS, () -> {
-			this.telling.remove(node);
-			this.books.get(node).buildNote(this.now, CLOCK + this.now).ifPresent((note) -> {
-				for (int i = 0; i < this.books.size(); i++) {
-					CrashTracker other = this.books.get(i);
+		at(this.now + NOTE_DELAY_MILLIS, () -> {
+			this.pendingNotes.remove(node);
+			this.trackers.get(node).buildNote(this.now, CLOCK + this.now).ifPresent((note) -> {
+				for (int i = 0; i < this.trackers.size(); i++) {
+					CrashTracker other = this.trackers.get(i);
 					if (i != node) {
-						at(this.now + 20 + this.random.nextInt(READ_MILLIS),
-								() -> this.refused.addAll(other.onNote(this.now, CLOCK + this.now, note).blocked()));
+						at(this.now + 20 + this.random.nextInt(MAX_READ_MILLIS),
+								() -> this.blocked.addAll(other.onNote(this.now, CLOCK + this.now, note).blocked()));
 					}
 				}
 			});
@@ -284,8 +284,8 @@
 		return this.poisonSent.stream().filter((at) -> at > this.poisonCrashes.get(crash - 1) + millis).count();
 	}
 
-	boolean allRefuse(Trait trait) {
-		return this.books.stream().allMatch((book) -> book.isBlocked(List.of(trait)));
+	boolean isBlockedByAll(Trait trait) {
+		return this.trackers.stream().allMatch((book) -> book.isBlocked(List.of(trait)));
 	}
 
 	private record Run(int node, List<Trait> traits, long startedAt, int attempt) {
--- a/core/src/test/java/org/gullsaddle/suspect/CrashModelTests.java
+++ b/core/src/test/java/org/gullsaddle/suspect/CrashModelTests.java
@@ -29,31 +29,31 @@
 	/** Guards against replicas lost one by one, however many nodes share the evidence. */
 	@ParameterizedTest
 	@MethodSource("deployments")
-	void deadlyPartIsRefusedByAllNodesInTimeAndNoOther(int nodes, int replicas, int seed) {
+	void deadlyPartIsBlockedByAllNodesInTimeAndNoOther(int nodes, int replicas, int seed) {
 		CrashModel model = new CrashModel(seed, nodes, replicas);
 		model.traffic(0, 3 * SECOND, 40, 0);
 		model.traffic(3 * SECOND, 30 * SECOND, 40, 0.2);
-		model.play(30 * SECOND);
+		model.run(30 * SECOND);
 		assertThat(model.sentAfter(5, CONTACT_MILLIS)).isLessThanOrEqualTo(3);
-		assertThat(model.allRefuse(CrashModel.DEADLY)).isTrue();
-		assertThat(model.refused).filteredOn(Trait::isPart).containsExactly(CrashModel.DEADLY);
+		assertThat(model.isBlockedByAll(CrashModel.DEADLY)).isTrue();
+		assertThat(model.blocked).filteredOn(Trait::isPart).containsExactly(CrashModel.DEADLY);
 	}
 
 	/** Guards against a rare part whose few requests end each replica they come to. */
 	@ParameterizedTest
 	@MethodSource("deployments")
-	void rareDeadlyPartIsRefusedAfterAFewCrashes(int nodes, int replicas, int seed) {
+	void rareDeadlyPartIsBlockedAfterAFewCrashes(int nodes, int replicas, int seed) {
 		CrashModel model = new CrashModel(seed, nodes, replicas);
 		model.traffic(0, 120 * SECOND, 40, 0.01);
-		model.play(120 * SECOND);
+		model.run(120 * SECOND);
 		assertThat(model.sentAfter(5, CONTACT_MILLIS)).isLessThanOrEqualTo(3);
-		assertThat(model.refused).filteredOn(Trait::isPart).isSubsetOf(CrashModel.DEADLY);
+		assertThat(model.blocked).filteredOn(Trait::isPart).isSubsetOf(CrashModel.DEADLY);
 	}
 
 	/** Guards against sound requests refused as their replicas fail by themselves. */
 	@ParameterizedTest
 	@MethodSource("deployments")
-	void racksAndReplicasThatFailConvictNoPart(int nodes, int replicas, int seed) {
+	void failingRacksAndReplicasBlockNoPart(int nodes, int replicas, int seed) {
 		CrashModel model = new CrashModel(seed, nodes, replicas);
 		model.traffic(0, 60 * SECOND, 40, 0);
 		for (int i = 0; i < 8; i++) {
@@ -61,36 +61,36 @@
 		}
 		model.replicaFails(0, 3 * SECOND, 60 * SECOND, 3 * SECOND);
 		model.replicaFails(1, 3 * SECOND, 60 * SECOND, 4 * SECOND);
-		model.play(60 * SECOND);
+		model.run(60 * SECOND);
 		assertThat(model.crashes).isNotEmpty();
-		assertThat(model.refused).filteredOn(Trait::isPart).isEmpty();
+		assertThat(model.blocked).filteredOn(Trait::isPart).isEmpty();
 	}
 
 	/** Guards against a content lost among the ends of racks and faulty replicas. */
 	@ParameterizedTest
 	@MethodSource("deployments")
-	void contentThatComesAgainIsRefusedBesideOtherEnds(int nodes, int replicas, int seed) {
+	void repeatedContentIsBlockedDespiteUnrelatedCrashes(int nodes, int replicas, int seed) {
 		CrashModel model = new CrashModel(seed, nodes, replicas);
 		model.traffic(0, 40 * SECOND, 40, 0);
 		model.rackFails(4 * SECOND, 0.4);
 		model.rackFails(11 * SECOND, 0.4);
 		model.replicaFails(0, 3 * SECOND, 40 * SECOND, 3 * SECOND);
 		model.repeat(6 * SECOND, 40 * SECOND, 600 + 400L * (seed % 4), 1 + seed % 3);
-		model.play(40 * SECOND);
+		model.run(40 * SECOND);
 		assertThat(model.poisonSentAfter(3, CONTACT_MILLIS)).isLessThanOrEqualTo(3);
-		assertThat(model.allRefuse(CrashModel.POISON)).isTrue();
-		assertThat(model.refused).containsExactly(CrashModel.POISON);
+		assertThat(model.isBlockedByAll(CrashModel.POISON)).isTrue();
+		assertThat(model.blocked).containsExactly(CrashModel.POISON);
 	}
 
 	/** Guards against a content lost beside a part that crashes replicas, too. */
 	@ParameterizedTest
 	@MethodSource("deployments")
-	void contentThatComesAgainIsRefusedBesideADeadlyPart(int nodes, int replicas, int seed) {
+	void repeatedContentIsBlockedBesideADeadlyPart(int nodes, int replicas, int seed) {
 		CrashModel model = contentBesideADeadlyPart(nodes, replicas, seed);
 		assertThat(model.poisonSentAfter(3, CONTACT_MILLIS)).isLessThanOrEqualTo(3);
 		assertThat(model.sentAfter(5, CONTACT_MILLIS)).isLessThanOrEqualTo(3);
-		assertThat(model.allRefuse(CrashModel.POISON)).isTrue();
-		assertThat(model.allRefuse(CrashModel.DEADLY)).isTrue();
+		assertThat(model.isBlockedByAll(CrashModel.POISON)).isTrue();
+		assertThat(model.isBlockedByAll(CrashModel.DEADLY)).isTrue();
 	}
 
 	/** Guards against a sound part refused as it was at crashes of both. */
@@ -99,7 +99,7 @@
 	@Tag("known-red")
 	void noSoundPartIsRefusedBesideADeadlyPartAndAContent(int nodes, int replicas, int seed) {
 		CrashModel model = contentBesideADeadlyPart(nodes, replicas, seed);
-		assertThat(model.refused).filteredOn(Trait::isPart).containsExactly(CrashModel.DEADLY);
+		assertThat(model.blocked).filteredOn(Trait::isPart).containsExactly(CrashModel.DEADLY);
 	}
 
 	private static CrashModel contentBesideADeadlyPart(int nodes, int replicas, int seed) {
@@ -107,7 +107,7 @@
 		model.traffic(0, 3 * SECOND, 40, 0);
 		model.traffic(3 * SECOND, 40 * SECOND, 40, 0.2);
 		model.repeat(3 * SECOND, 40 * SECOND, 600 + 400L * (seed % 4), 1 + seed % 3);
-		model.play(40 * SECOND);
+		model.run(40 * SECOND);
 		return model;
 	}
 
@@ -116,14 +116,14 @@
 	 */
 	@ParameterizedTest
 	@MethodSource("deployments")
-	void outageOfAllReplicasConvictsNotWhatAllRequestsHave(int nodes, int replicas, int seed) {
+	void outageOfAllReplicasBlocksNoCommonPart(int nodes, int replicas, int seed) {
 		CrashModel model = new CrashModel(seed, nodes, replicas);
 		model.traffic(0, 40 * SECOND, 40, 0);
 		for (int i = 0; i < replicas; i++) {
 			model.replicaFails(i, (5 + i % 3) * SECOND, 30 * SECOND, 2 * SECOND + 600);
 		}
-		model.play(40 * SECOND);
-		assertThat(model.refused).doesNotContain(Trait.part("first"));
+		model.run(40 * SECOND);
+		assertThat(model.blocked).doesNotContain(Trait.part("first"));
 	}
 
 }
--- a/core/src/test/java/org/gullsaddle/suspect/CrashTrackerTests.java
+++ b/core/src/test/java/org/gullsaddle/suspect/CrashTrackerTests.java
@@ -26,7 +26,7 @@
 
 	private static final long FIRST_TRIAL = 30 * SECOND;
 
-	private final CrashTracker book = new CrashTracker();
+	private final CrashTracker tracker = new CrashTracker();
 
 	private int processes;
 
@@ -35,7 +35,7 @@
 	}
 
 	private List<Trait> crash(long now, Trait... traits) {
-		return crash(this.book, now, 20, "process-" + this.processes++, traits);
+		return crash(this.tracker, now, 20, "process-" + this.processes++, traits);
 	}
 
 	private static List<Trait> crash(CrashTracker book, long now, long ranMillis, String process, Trait... traits) {
@@ -44,37 +44,37 @@
 		return book.onCrash(now, new Crash(process, now, ran));
 	}
 
-	private boolean refuses(Trait... traits) {
-		return this.book.isBlocked(List.of(traits));
+	private boolean isBlocked(Trait... traits) {
+		return this.tracker.isBlocked(List.of(traits));
 	}
 
-	private void convict() {
-		this.book.onSuccess(0, List.of(FIRST));
+	private void blockDeadlyPart() {
+		this.tracker.onSuccess(0, List.of(FIRST));
 		for (int i = 0; i < 4; i++) {
 			crash(i * SECOND, FIRST, DEADLY, content("own-" + i));
 		}
-		assertThat(refuses(DEADLY)).isTrue();
+		assertThat(isBlocked(DEADLY)).isTrue();
 	}
 
 	/** Guards against engines lost one by one to requests of which no two are alike. */
 	@Test
-	void partAtFourCrashesIsRefusedWhateverElseTheRequestsHold() {
-		this.book.onSuccess(0, List.of(FIRST));
+	void partAtFourCrashesIsBlockedWhateverElseRequestsContain() {
+		this.tracker.onSuccess(0, List.of(FIRST));
 		for (int i = 0; i < 3; i++) {
 			assertThat(crash(i * SECOND, FIRST, DEADLY, content("own-" + i))).isEmpty();
 		}
 		assertThat(crash(3 * SECOND, FIRST, DEADLY, content("own-3"))).containsExactly(DEADLY);
-		assertThat(refuses(FIRST, DEADLY)).isTrue();
-		assertThat(refuses(FIRST, SUBJECT)).isFalse();
+		assertThat(isBlocked(FIRST, DEADLY)).isTrue();
+		assertThat(isBlocked(FIRST, SUBJECT)).isFalse();
 	}
 
 	/** Guards against one request that is sent again and again. */
 	@Test
-	void contentAtThreeCrashesIsRefused() {
+	void contentAtThreeCrashesIsBlocked() {
 		Trait content = content("poison");
 		crash(0, content);
 		crash(SECOND, content);
-		assertThat(refuses(content)).isFalse();
+		assertThat(isBlocked(content)).isFalse();
 		assertThat(crash(2 * SECOND, content)).containsExactly(content);
 	}
 
@@ -83,25 +83,25 @@
 	 * one crash.
 	 */
 	@Test
-	void crashesThatOtherNodesSawCount() {
+	void crashesReportedByPeersCount() {
 		crash(0, DEADLY);
 		for (int i = 1; i < 4; i++) {
 			CrashTracker other = new CrashTracker();
 			crash(other, i * SECOND, 20, "at-other-" + i, DEADLY);
-			this.book.onNote(i * SECOND + 100, CLOCK, other.buildNote(i * SECOND + 100, CLOCK).orElseThrow());
+			this.tracker.onNote(i * SECOND + 100, CLOCK, other.buildNote(i * SECOND + 100, CLOCK).orElseThrow());
 		}
-		assertThat(refuses(DEADLY)).isTrue();
+		assertThat(isBlocked(DEADLY)).isTrue();
 	}
 
 	@Test
-	void sameCrashHeardOfTwiceCountsOnce() {
+	void crashReportedTwiceCountsOnce() {
 		for (int i = 0; i < 3; i++) {
 			crash(i * SECOND, DEADLY);
 		}
-		CrashNote note = this.book.buildNote(3 * SECOND, CLOCK).orElseThrow();
-		this.book.onNote(4 * SECOND, CLOCK, note);
-		this.book.onNote(5 * SECOND, CLOCK, note);
-		assertThat(refuses(DEADLY)).isFalse();
+		CrashNote note = this.tracker.buildNote(3 * SECOND, CLOCK).orElseThrow();
+		this.tracker.onNote(4 * SECOND, CLOCK, note);
+		this.tracker.onNote(5 * SECOND, CLOCK, note);
+		assertThat(isBlocked(DEADLY)).isFalse();
 	}
 
 	/**
@@ -109,33 +109,33 @@
 	 * moment.
 	 */
 	@Test
-	void requestThatMovedFromOneReplicaToTheNextIsEvidenceByEachOfThem() {
+	void requestRetriedOnSeveralReplicasCountsAtEach() {
 		for (int i = 0; i < 4; i++) {
 			crash(100L * i, DEADLY);
 		}
-		assertThat(refuses(DEADLY)).isTrue();
+		assertThat(isBlocked(DEADLY)).isTrue();
 	}
 
 	/** Guards against what one node found out from others' notes and keeps to itself. */
 	@Test
-	void whatIsFoundOutIsToldByOneNode() {
-		convict();
-		assertThat(this.book.hasUnreportedBlocks()).isTrue();
+	void blockIsReportedByOneNode() {
+		blockDeadlyPart();
+		assertThat(this.tracker.hasUnreportedBlocks()).isTrue();
 		CrashTracker other = new CrashTracker();
-		other.onNote(4 * SECOND, CLOCK, this.book.buildNote(4 * SECOND, CLOCK).orElseThrow());
-		assertThat(this.book.hasUnreportedBlocks()).isFalse();
+		other.onNote(4 * SECOND, CLOCK, this.tracker.buildNote(4 * SECOND, CLOCK).orElseThrow());
+		assertThat(this.tracker.hasUnreportedBlocks()).isFalse();
 		assertThat(other.hasUnreportedBlocks()).isFalse();
 	}
 
 	/** Guards against nodes that answer each other's notes for ever. */
 	@Test
-	void noteThatTellsNothingNewCallsForNoAnswer() {
-		this.book.onSuccess(0, List.of(FIRST));
+	void noteWithoutNewsTriggersNoReply() {
+		this.tracker.onSuccess(0, List.of(FIRST));
 		for (int i = 1; i < 3; i++) {
 			crash(i * SECOND, FIRST);
 		}
 		CrashTracker other = new CrashTracker();
-		CrashNote note = this.book.buildNote(3 * SECOND, CLOCK).orElseThrow();
+		CrashNote note = this.tracker.buildNote(3 * SECOND, CLOCK).orElseThrow();
 		other.onNote(3 * SECOND, CLOCK, note);
 		other.onSuccess(4 * SECOND, List.of(FIRST));
 		assertThat(other.shouldReportSuccess(List.of(FIRST))).isTrue();
@@ -146,77 +146,77 @@
 	}
 
 	@Nested
-	class Spares {
+	class DoesNotBlock {
 
 		@Test
-		void whatARackTookAwayInOneMoment() {
+		void traitsAtSimultaneousCrashes() {
 			for (int i = 0; i < 8; i++) {
-				crash(CrashTrackerTests.this.book, 5000 + i, 900, "rack-" + i, FIRST, SUBJECT, content("own"));
+				crash(CrashTrackerTests.this.tracker, 5000 + i, 900, "rack-" + i, FIRST, SUBJECT, content("own"));
 			}
-			assertThat(refuses(FIRST, SUBJECT, content("own"))).isFalse();
+			assertThat(isBlocked(FIRST, SUBJECT, content("own"))).isFalse();
 		}
 
 		@Test
-		void whatWentWellSince() {
+		void traitWithLaterSuccess() {
 			for (int i = 0; i < 20; i++) {
 				crash(i * SECOND, FIRST);
-				CrashTrackerTests.this.book.onSuccess(i * SECOND + 500, List.of(FIRST));
+				CrashTrackerTests.this.tracker.onSuccess(i * SECOND + 500, List.of(FIRST));
 			}
-			assertThat(refuses(FIRST)).isFalse();
+			assertThat(isBlocked(FIRST)).isFalse();
 		}
 
 		@Test
-		void whatWentWellAtAnotherNode() {
+		void traitWithSuccessAtPeer() {
 			CrashTracker other = new CrashTracker();
 			for (int i = 0; i < 3; i++) {
 				crash(i * SECOND, FIRST);
 			}
-			other.onNote(3 * SECOND, CLOCK, CrashTrackerTests.this.book.buildNote(3 * SECOND, CLOCK).orElseThrow());
+			other.onNote(3 * SECOND, CLOCK, CrashTrackerTests.this.tracker.buildNote(3 * SECOND, CLOCK).orElseThrow());
 			other.onSuccess(4 * SECOND, List.of(FIRST));
 			assertThat(other.shouldReportSuccess(List.of(FIRST))).isTrue();
 			assertThat(other.shouldReportSuccess(List.of(FIRST))).isFalse();
-			CrashTrackerTests.this.book.onNote(4 * SECOND, CLOCK, other.buildNote(4 * SECOND, CLOCK).orElseThrow());
+			CrashTrackerTests.this.tracker.onNote(4 * SECOND, CLOCK, other.buildNote(4 * SECOND, CLOCK).orElseThrow());
 			crash(5 * SECOND, FIRST);
-			assertThat(refuses(FIRST)).isFalse();
+			assertThat(isBlocked(FIRST)).isFalse();
 		}
 
 		/**
 		 * Guards against the part that all requests have, blamed for one that some have.
 		 */
 		@Test
-		void whatIsAtTheSameCrashesAsOneThatWasNeverSound() {
-			CrashTrackerTests.this.book.onSuccess(0, List.of(FIRST, SUBJECT));
+		void succeededTraitBesideOneThatNeverSucceeded() {
+			CrashTrackerTests.this.tracker.onSuccess(0, List.of(FIRST, SUBJECT));
 			for (int i = 1; i < 12; i++) {
 				crash(i * SECOND, FIRST, SUBJECT, DEADLY);
 			}
-			assertThat(refuses(DEADLY)).isTrue();
-			assertThat(refuses(FIRST, SUBJECT)).isFalse();
+			assertThat(isBlocked(DEADLY)).isTrue();
+			assertThat(isBlocked(FIRST, SUBJECT)).isFalse();
 		}
 
 		/**
 		 * Guards against all of a service refused when its replicas fail by themselves.
 		 */
 		@Test
-		void whatAllRequestsHaveWhileNoneGoesWell() {
-			CrashTrackerTests.this.book.onSuccess(0, List.of(FIRST));
+		void traitOfAllRequestsWhileNoneSucceeds() {
+			CrashTrackerTests.this.tracker.onSuccess(0, List.of(FIRST));
 			for (int i = 1; i < 30; i++) {
 				crash(i * SECOND, FIRST, Trait.part("subject-" + i));
 			}
-			assertThat(refuses(FIRST)).isFalse();
+			assertThat(isBlocked(FIRST)).isFalse();
 		}
 
 		@Test
-		void contentsWhoseCrashesAPartExplains() {
+		void contentWhoseCrashesAPartExplains() {
 			Trait unlucky = content("unlucky");
 			for (int i = 0; i < 3; i++) {
 				crash(i * SECOND, unlucky, DEADLY);
 			}
-			assertThat(refuses(unlucky)).isFalse();
-			CrashTrackerTests.this.book.reevaluate(3 * SECOND);
-			assertThat(refuses(unlucky)).isTrue();
+			assertThat(isBlocked(unlucky)).isFalse();
+			CrashTrackerTests.this.tracker.reevaluate(3 * SECOND);
+			assertThat(isBlocked(unlucky)).isTrue();
 			crash(4 * SECOND, DEADLY);
-			assertThat(refuses(unlucky)).isFalse();
-			assertThat(refuses(DEADLY)).isTrue();
+			assertThat(isBlocked(unlucky)).isFalse();
+			assertThat(isBlocked(DEADLY)).isTrue();
 		}
 
 		/**
@@ -224,43 +224,43 @@
 		 * crashes has not come yet.
 		 */
 		@Test
-		void partThatIsAtFourCrashesBeforeAllIsKnownOfThem() {
+		void partAtFourCrashesBeforePeersReport() {
 			CrashTracker other = new CrashTracker();
 			for (int i = 0; i < 4; i++) {
 				crash(other, i * SECOND, 20, "process-" + i, DEADLY);
 				crash(i * SECOND, (i < 3) ? new Trait[] { SUBJECT, DEADLY } : new Trait[] { SUBJECT });
 			}
-			assertThat(refuses(SUBJECT)).isFalse();
+			assertThat(isBlocked(SUBJECT)).isFalse();
 			crash(3 * SECOND + 500, DEADLY);
-			CrashTrackerTests.this.book.onNote(3 * SECOND + 700, CLOCK,
+			CrashTrackerTests.this.tracker.onNote(3 * SECOND + 700, CLOCK,
 					other.buildNote(3 * SECOND, CLOCK).orElseThrow());
-			CrashTrackerTests.this.book.reevaluate(4 * SECOND);
-			assertThat(refuses(DEADLY)).isTrue();
-			assertThat(refuses(SUBJECT)).isFalse();
+			CrashTrackerTests.this.tracker.reevaluate(4 * SECOND);
+			assertThat(isBlocked(DEADLY)).isTrue();
+			assertThat(isBlocked(SUBJECT)).isFalse();
 		}
 
 		@Test
-		void contentsThatAnotherNodeRefusesWithoutKnowingThePart() {
+		void contentBlockedByPeerThatMissesThePart() {
 			Trait unlucky = content("unlucky");
 			CrashTracker other = new CrashTracker();
 			for (int i = 0; i < 3; i++) {
 				crash(other, i * SECOND, 20, "at-other-" + i, unlucky, DEADLY);
 			}
 			CrashNote note = other.buildNote(3 * SECOND, CLOCK).orElseThrow();
-			convict();
-			CrashTrackerTests.this.book.onNote(4 * SECOND, CLOCK, note);
-			assertThat(refuses(unlucky)).isFalse();
+			blockDeadlyPart();
+			CrashTrackerTests.this.tracker.onNote(4 * SECOND, CLOCK, note);
+			assertThat(isBlocked(unlucky)).isFalse();
 		}
 
 		/** Guards against crashes that a node sees as it is cut off from replicas. */
 		@Test
-		void whatRanAtReplicasThatLive() {
+		void requestsOnReplicasThatAreAlive() {
 			for (int i = 0; i < 3; i++) {
 				crash(i * SECOND, DEADLY);
 			}
-			CrashTrackerTests.this.book.onAlive("process-0", 3 * SECOND);
+			CrashTrackerTests.this.tracker.onAlive("process-0", 3 * SECOND);
 			crash(4 * SECOND, DEADLY);
-			assertThat(refuses(DEADLY)).isFalse();
+			assertThat(isBlocked(DEADLY)).isFalse();
 		}
 
 	}
@@ -272,131 +272,131 @@
 
 		/** Guards against engines lost to a part that other models bear. */
 		@Test
-		void partIsRefusedForTheModelThatCrashesOnIt() {
+		void partIsBlockedForTheModelThatCrashes() {
 			for (int i = 0; i < 6; i++) {
 				crash(i * SECOND, FIRST, SUBJECT, UNDER_LARGE);
-				CrashTrackerTests.this.book.onSuccess(i * SECOND + 500,
+				CrashTrackerTests.this.tracker.onSuccess(i * SECOND + 500,
 						List.of(FIRST, SUBJECT, Trait.part("subject", "small")));
 			}
-			assertThat(refuses(FIRST, SUBJECT, UNDER_LARGE)).isTrue();
-			assertThat(refuses(FIRST, SUBJECT, Trait.part("subject", "small"))).isFalse();
+			assertThat(isBlocked(FIRST, SUBJECT, UNDER_LARGE)).isTrue();
+			assertThat(isBlocked(FIRST, SUBJECT, Trait.part("subject", "small"))).isFalse();
 		}
 
 		@Test
-		void partThatCrashesAllModelsIsRefusedForAll() {
+		void partThatCrashesAllModelsIsBlockedForAll() {
 			for (int i = 0; i < 4; i++) {
 				crash(i * SECOND, DEADLY, Trait.part("deadly", (i % 2 == 0) ? "small" : "large"));
 			}
-			assertThat(refuses(DEADLY)).isTrue();
+			assertThat(isBlocked(DEADLY)).isTrue();
 		}
 
 	}
 
 	@Nested
-	class WhatWasSoundBefore {
+	class TraitWithEarlierSuccess {
 
 		/**
 		 * Guards against a part that begins to crash engines late, and is never refused.
 		 */
 		@Test
-		void isRefusedAfterSixCrashesWhileOthersGoWell() {
-			CrashTrackerTests.this.book.onSuccess(0, List.of(SUBJECT));
+		void isBlockedAfterSixCrashesWhileOthersSucceed() {
+			CrashTrackerTests.this.tracker.onSuccess(0, List.of(SUBJECT));
 			for (int i = 1; i <= 5; i++) {
 				crash(i * SECOND, SUBJECT);
-				CrashTrackerTests.this.book.onSuccess(i * SECOND + 200, List.of(FIRST));
+				CrashTrackerTests.this.tracker.onSuccess(i * SECOND + 200, List.of(FIRST));
 			}
-			assertThat(refuses(SUBJECT)).isFalse();
+			assertThat(isBlocked(SUBJECT)).isFalse();
 			assertThat(crash(6 * SECOND, SUBJECT)).containsExactly(SUBJECT);
 		}
 
 	}
 
 	@Nested
-	class ARefusal {
+	class ABlock {
 
 		/** Guards against a refusal that ends while such requests still come. */
 		@Test
-		void lastsAsLongAsSuchRequestsCome() {
-			convict();
+		void lastsWhileSuchRequestsArrive() {
+			blockDeadlyPart();
 			for (long now = 0; now < 3_600_000; now += 60 * SECOND) {
-				CrashTrackerTests.this.book.onRequest(now, List.of(DEADLY));
-				CrashTrackerTests.this.book.buildNote(now, CLOCK + now);
-				assertThat(refuses(DEADLY)).isTrue();
+				CrashTrackerTests.this.tracker.onRequest(now, List.of(DEADLY));
+				CrashTrackerTests.this.tracker.buildNote(now, CLOCK + now);
+				assertThat(isBlocked(DEADLY)).isTrue();
 			}
-			CrashTrackerTests.this.book.buildNote(4_300_000, CLOCK);
-			assertThat(refuses(DEADLY)).isFalse();
+			CrashTrackerTests.this.tracker.buildNote(4_300_000, CLOCK);
+			assertThat(isBlocked(DEADLY)).isFalse();
 		}
 
 		@Test
-		void isLearntFromAnotherNode() {
-			convict();
+		void isTakenFromAPeersNote() {
+			blockDeadlyPart();
 			CrashTracker other = new CrashTracker();
-			CrashNote note = CrashTrackerTests.this.book.buildNote(4 * SECOND, CLOCK).orElseThrow();
+			CrashNote note = CrashTrackerTests.this.tracker.buildNote(4 * SECOND, CLOCK).orElseThrow();
 			assertThat(other.onNote(50_000, CLOCK + 100, note).blocked()).containsExactly(DEADLY);
 			assertThat(other.isBlocked(List.of(DEADLY))).isTrue();
 		}
 
 		/** Guards against what was refused long ago and never again asked for. */
 		@Test
-		void isNotLearntFromANoteOfLongAgo() {
-			convict();
+		void isNotTakenFromAnOldNote() {
+			blockDeadlyPart();
 			CrashTracker other = new CrashTracker();
-			CrashNote note = CrashTrackerTests.this.book.buildNote(4 * SECOND, CLOCK).orElseThrow();
+			CrashNote note = CrashTrackerTests.this.tracker.buildNote(4 * SECOND, CLOCK).orElseThrow();
 			other.onNote(50_000, CLOCK + 700_000, note);
 			assertThat(other.isBlocked(List.of(DEADLY))).isFalse();
 		}
 
 		@Test
-		void endsOnceARequestWentWell() {
-			convict();
-			assertThat(CrashTrackerTests.this.book.onSuccess(5 * SECOND, List.of(FIRST, DEADLY)))
+		void endsOnceARequestSucceeds() {
+			blockDeadlyPart();
+			assertThat(CrashTrackerTests.this.tracker.onSuccess(5 * SECOND, List.of(FIRST, DEADLY)))
 				.containsExactly(DEADLY);
-			assertThat(refuses(DEADLY)).isFalse();
+			assertThat(isBlocked(DEADLY)).isFalse();
 		}
 
 		@Test
-		void isNotTakenUpAgainFromANoteOfBefore() {
-			convict();
-			CrashNote before = CrashTrackerTests.this.book.buildNote(4 * SECOND, CLOCK).orElseThrow();
-			CrashTrackerTests.this.book.onSuccess(5 * SECOND, List.of(DEADLY));
-			CrashTrackerTests.this.book.onNote(60 * SECOND, CLOCK + 56 * SECOND, before);
-			assertThat(refuses(DEADLY)).isFalse();
+		void isNotRestoredFromAnEarlierNote() {
+			blockDeadlyPart();
+			CrashNote before = CrashTrackerTests.this.tracker.buildNote(4 * SECOND, CLOCK).orElseThrow();
+			CrashTrackerTests.this.tracker.onSuccess(5 * SECOND, List.of(DEADLY));
+			CrashTrackerTests.this.tracker.onNote(60 * SECOND, CLOCK + 56 * SECOND, before);
+			assertThat(isBlocked(DEADLY)).isFalse();
 		}
 
 		@Test
-		void isTriedEverMoreRarely() {
-			convict();
+		void isTriedAtGrowingIntervals() {
+			blockDeadlyPart();
 			long now = 3 * SECOND;
 			for (int number = 1; number <= 3; number++) {
 				long pause = FIRST_TRIAL << (2 * (number - 1));
-				assertThat(CrashTrackerTests.this.book.retryAfterMillis(now, List.of(DEADLY))).isEqualTo(pause);
-				assertThat(CrashTrackerTests.this.book.findTrial(now + pause - 1, List.of(DEADLY))).isEmpty();
+				assertThat(CrashTrackerTests.this.tracker.retryAfterMillis(now, List.of(DEADLY))).isEqualTo(pause);
+				assertThat(CrashTrackerTests.this.tracker.findTrial(now + pause - 1, List.of(DEADLY))).isEmpty();
 				now += pause;
-				CrashTracker.Trial trial = CrashTrackerTests.this.book.findTrial(now, List.of(DEADLY)).orElseThrow();
+				CrashTracker.Trial trial = CrashTrackerTests.this.tracker.findTrial(now, List.of(DEADLY)).orElseThrow();
 				assertThat(trial).isEqualTo(new CrashTracker.Trial(DEADLY, number));
-				CrashTrackerTests.this.book.onTrialDecided(now, trial);
-				CrashTrackerTests.this.book.onTrialDecided(now, trial);
+				CrashTrackerTests.this.tracker.onTrialDecided(now, trial);
+				CrashTrackerTests.this.tracker.onTrialDecided(now, trial);
 			}
 		}
 
 	}
 
 	@Nested
-	class Bounds {
+	class Limits {
 
 		/** Guards against a caller who pushes a refusal out by naming many parts. */
 		@Test
-		void manyPartsAtCrashesPushNoRefusalOut() {
-			convict();
+		void manyPartsAtCrashesEvictNoBlock() {
+			blockDeadlyPart();
 			for (int i = 0; i < 2000; i++) {
 				crash(10 * SECOND + i, Trait.part("part-" + i), Trait.part("more-" + i));
-				CrashTrackerTests.this.book.onSuccess(10 * SECOND + i, List.of(Trait.part("sound-" + i)));
+				CrashTrackerTests.this.tracker.onSuccess(10 * SECOND + i, List.of(Trait.part("sound-" + i)));
 			}
-			assertThat(refuses(DEADLY)).isTrue();
+			assertThat(isBlocked(DEADLY)).isTrue();
 		}
 
 		@Test
-		void notesStaySmall() {
+		void notesAreBounded() {
 			for (int i = 0; i < 300; i++) {
 				Trait[] traits = new Trait[200];
 				for (int j = 0; j < traits.length; j++) {
@@ -404,7 +404,7 @@
 				}
 				crash(10 * SECOND + i, traits);
 			}
-			CrashNote note = CrashTrackerTests.this.book.buildNote(20 * SECOND, CLOCK).orElseThrow();
+			CrashNote note = CrashTrackerTests.this.tracker.buildNote(20 * SECOND, CLOCK).orElseThrow();
 			assertThat(note.crashes()).hasSize(16).allSatisfy((crash) -> assertThat(crash.ran()).hasSize(24));
 		}
 
--- a/core/src/test/java/org/gullsaddle/suspect/RepeatedContentTests.java
+++ b/core/src/test/java/org/gullsaddle/suspect/RepeatedContentTests.java
@@ -34,9 +34,9 @@
 	private static final long CONTACT_MILLIS = 4000;
 
 	/** How many requests may come after contact since the third crash. */
-	private static final int ALLOWED = 3;
+	private static final int MAX_LATE_REQUESTS = 3;
 
-	private final CrashTracker book = new CrashTracker();
+	private final CrashTracker tracker = new CrashTracker();
 
 	private int processes;
 
@@ -49,7 +49,7 @@
 	}
 
 	private void crash(long now, long ranMillis, Trait... traits) {
-		crash(this.book, now, ranMillis, traits);
+		crash(this.tracker, now, ranMillis, traits);
 	}
 
 	private void crash(CrashTracker at, long now, long ranMillis, Trait... traits) {
@@ -58,45 +58,45 @@
 		at.onCrash(now, new Crash("process-" + this.processes++, now, ran));
 	}
 
-	private void sound(long now, Trait... traits) {
-		this.book.onSuccess(now, List.of(traits));
+	private void onSuccess(long now, Trait... traits) {
+		this.tracker.onSuccess(now, List.of(traits));
 	}
 
-	private boolean refuses(Trait... traits) {
-		return this.book.isBlocked(List.of(traits));
+	private boolean isBlocked(Trait... traits) {
+		return this.tracker.isBlocked(List.of(traits));
 	}
 
 	/** Guards against twice the crashes for a content that went well before. */
 	@Test
-	void contentThatWasSoundBeforeIsRefusedAfterThreeCrashesWhileOthersGoWell() {
+	void contentWithEarlierSuccessIsBlockedAfterThreeCrashesWhileOthersSucceed() {
 		crash(0, SYSTEM, content("first"));
-		sound(SECOND, SYSTEM, POISON);
+		onSuccess(SECOND, SYSTEM, POISON);
 		for (int i = 2; i < 5; i++) {
-			assertThat(refuses(POISON)).isFalse();
+			assertThat(isBlocked(POISON)).isFalse();
 			crash(i * SECOND, SYSTEM, POISON);
-			sound(i * SECOND + 500, SYSTEM, content("sound-" + i));
+			onSuccess(i * SECOND + 500, SYSTEM, content("sound-" + i));
 		}
-		RepeatedContentTests.this.book.reevaluate(5 * SECOND);
-		assertThat(refuses(POISON)).isTrue();
+		RepeatedContentTests.this.tracker.reevaluate(5 * SECOND);
+		assertThat(isBlocked(POISON)).isTrue();
 	}
 
 	/** Guards against common parts refused as only requests of another kind go well. */
 	@Test
-	void plainRequestsThatGoWellSayNothingAgainstAPart() {
-		sound(0, SYSTEM, content("sound"));
+	void successOfRequestsWithoutPromptsDoesNotCountAgainstAPart() {
+		onSuccess(0, SYSTEM, content("sound"));
 		for (int i = 1; i < 9; i++) {
 			crash(i * SECOND, SYSTEM, content("own-" + i));
-			sound(i * SECOND + 500, content("plain-" + i));
+			onSuccess(i * SECOND + 500, content("plain-" + i));
 		}
-		RepeatedContentTests.this.book.reevaluate(10 * SECOND);
-		assertThat(refuses(SYSTEM)).isFalse();
+		RepeatedContentTests.this.tracker.reevaluate(10 * SECOND);
+		assertThat(isBlocked(SYSTEM)).isFalse();
 	}
 
 	/**
 	 * Guards against a content that is left out of a note as many parts ran beside it.
 	 */
 	@Test
-	void contentAtSeveralCrashesIsToldBeforePartsOfOne() {
+	void noteListsContentAtSeveralCrashesBeforePartsAtOne() {
 		for (int i = 0; i < 2; i++) {
 			Trait[] traits = new Trait[60];
 			for (int j = 0; j < traits.length; j++) {
@@ -105,7 +105,7 @@
 			traits[40] = POISON;
 			crash(i * SECOND, traits);
 		}
-		CrashNote note = this.book.buildNote(2 * SECOND, CLOCK).orElseThrow();
+		CrashNote note = this.tracker.buildNote(2 * SECOND, CLOCK).orElseThrow();
 		assertThat(note.crashes()).hasSize(2).allSatisfy((crash) -> assertThat(crash.ran()).containsKey(POISON));
 	}
 
@@ -118,46 +118,46 @@
 		 */
 		@ParameterizedTest
 		@CsvSource({ "1, 2000", "2, 2000", "2, 3500", "3, 1500", "3, 5000", "5, 1500", "5, 3500" })
-		void isRefusedSoonAfterTheThirdCrash(int copies, long everyMillis) {
+		void isBlockedSoonAfterTheThirdCrash(int copies, long everyMillis) {
 			long thirdAt = Long.MAX_VALUE / 2;
 			int late = 0;
-			for (long now = 0; now < 60 * SECOND && !refuses(POISON); now += everyMillis) {
+			for (long now = 0; now < 60 * SECOND && !isBlocked(POISON); now += everyMillis) {
 				late += (now > thirdAt + CONTACT_MILLIS) ? copies : 0;
 				for (int i = 0; i < copies; i++) {
 					crash(now + 300 + i, 300, SYSTEM, SUBJECT, POISON, content("beside-" + now + "-" + i));
 					thirdAt = (RepeatedContentTests.this.processes == 3) ? now + 300 + i : thirdAt;
 				}
-				sound(now + 800, SYSTEM, SUBJECT, content("sound-" + now));
-				RepeatedContentTests.this.book.reevaluate(now + 1400);
+				onSuccess(now + 800, SYSTEM, SUBJECT, content("sound-" + now));
+				RepeatedContentTests.this.tracker.reevaluate(now + 1400);
 			}
-			assertThat(refuses(POISON)).isTrue();
-			assertThat(late).isLessThanOrEqualTo(ALLOWED);
-			assertThat(refuses(SYSTEM, SUBJECT)).isFalse();
+			assertThat(isBlocked(POISON)).isTrue();
+			assertThat(late).isLessThanOrEqualTo(MAX_LATE_REQUESTS);
+			assertThat(isBlocked(SYSTEM, SUBJECT)).isFalse();
 		}
 
 		/**
 		 * Guards against a sound request refused as copies of it ran at a failing rack.
 		 */
 		@Test
-		void isNotRefusedForWhatOneRackTookAway() {
+		void isNotBlockedForCrashesOfOneRack() {
 			for (int i = 0; i < 5; i++) {
 				crash(SECOND + i, 300, SYSTEM, POISON);
 			}
 			crash(SECOND + 10, 300, SYSTEM, content("other"));
-			sound(2 * SECOND, SYSTEM, content("sound"));
-			RepeatedContentTests.this.book.reevaluate(4 * SECOND);
-			assertThat(refuses(POISON)).isFalse();
+			onSuccess(2 * SECOND, SYSTEM, content("sound"));
+			RepeatedContentTests.this.tracker.reevaluate(4 * SECOND);
+			assertThat(isBlocked(POISON)).isFalse();
 		}
 
 		/** Guards against the same where nothing else ran on that rack. */
 		@Test
-		void isNotRefusedForOneMomentAlone() {
+		void isNotBlockedForOneMomentAlone() {
 			for (int i = 0; i < 5; i++) {
 				crash(SECOND + i, 300, SYSTEM, POISON);
 			}
-			sound(2 * SECOND, SYSTEM, content("sound"));
-			RepeatedContentTests.this.book.reevaluate(4 * SECOND);
-			assertThat(refuses(POISON)).isFalse();
+			onSuccess(2 * SECOND, SYSTEM, content("sound"));
+			RepeatedContentTests.this.tracker.reevaluate(4 * SECOND);
+			assertThat(isBlocked(POISON)).isFalse();
 		}
 
 	}
@@ -167,74 +167,74 @@
 
 		/** Guards against a content that starts anew once a part is found out. */
 		@Test
-		void isRefusedAtItsNextCrash() {
+		void isBlockedAtItsNextCrash() {
 			for (int i = 0; i < 3; i++) {
 				crash(i * SECOND, DEADLY_PART, POISON, content("beside-" + i));
 			}
 			crash(3 * SECOND, DEADLY_PART, content("another"));
-			RepeatedContentTests.this.book.reevaluate(4 * SECOND);
-			assertThat(refuses(DEADLY_PART)).isTrue();
+			RepeatedContentTests.this.tracker.reevaluate(4 * SECOND);
+			assertThat(isBlocked(DEADLY_PART)).isTrue();
 			crash(20 * SECOND, SYSTEM, POISON);
-			RepeatedContentTests.this.book.reevaluate(21 * SECOND);
-			assertThat(refuses(POISON)).isTrue();
+			RepeatedContentTests.this.tracker.reevaluate(21 * SECOND);
+			assertThat(isBlocked(POISON)).isTrue();
 		}
 
 		/** Guards against a content that is let go for one crash that a part was at. */
 		@Test
-		void staysRefusedIfItsOtherCrashesAreEnough() {
+		void staysBlockedIfItsOtherCrashesAreEnough() {
 			for (int i = 0; i < 4; i++) {
 				crash(i * SECOND, SYSTEM, POISON, content("beside-" + i));
-				sound(i * SECOND + 500, SYSTEM);
+				onSuccess(i * SECOND + 500, SYSTEM);
 			}
-			assertThat(refuses(POISON)).isTrue();
+			assertThat(isBlocked(POISON)).isTrue();
 			crash(5 * SECOND, DEADLY_PART, POISON);
 			for (int i = 6; i < 10; i++) {
 				crash(i * SECOND, DEADLY_PART, content("with-part-" + i));
 			}
-			RepeatedContentTests.this.book.reevaluate(11 * SECOND);
-			assertThat(refuses(DEADLY_PART)).isTrue();
-			assertThat(refuses(POISON)).isTrue();
+			RepeatedContentTests.this.tracker.reevaluate(11 * SECOND);
+			assertThat(isBlocked(DEADLY_PART)).isTrue();
+			assertThat(isBlocked(POISON)).isTrue();
 		}
 
 		/** Guards against a refusal for crashes that a part explains. */
 		@Test
-		void bystanderIsLetGo() {
+		void bystanderIsUnblocked() {
 			Trait bystander = content("bystander");
 			for (int i = 0; i < 4; i++) {
 				crash(i * SECOND, (i < 3) ? new Trait[] { DEADLY_PART, bystander } : new Trait[] { DEADLY_PART });
-				RepeatedContentTests.this.book.reevaluate(i * SECOND + 900);
+				RepeatedContentTests.this.tracker.reevaluate(i * SECOND + 900);
 			}
-			assertThat(refuses(DEADLY_PART)).isTrue();
-			assertThat(refuses(bystander)).isFalse();
+			assertThat(isBlocked(DEADLY_PART)).isTrue();
+			assertThat(isBlocked(bystander)).isFalse();
 		}
 
 	}
 
 	@Nested
-	class AlsoHas {
+	class DoesNotBlock {
 
 		/** Guards against a rare part refused for the one request that has it. */
 		@Test
-		void partsThatAreServedInOtherRequests() {
+		void partsThatSucceedInOtherRequests() {
 			for (int i = 0; i < 6; i++) {
 				crash(i * 200L, SYSTEM, SUBJECT, POISON);
 			}
-			RepeatedContentTests.this.book.reevaluate(3 * SECOND);
-			assertThat(refuses(POISON)).isTrue();
-			assertThat(refuses(SYSTEM, SUBJECT)).isFalse();
+			RepeatedContentTests.this.tracker.reevaluate(3 * SECOND);
+			assertThat(isBlocked(POISON)).isTrue();
+			assertThat(isBlocked(SYSTEM, SUBJECT)).isFalse();
 		}
 
 		/** Guards against requests refused that were moved along from crash to crash. */
 		@Test
-		void bystandersThatMovedAlong() {
+		void bystandersRetriedAlongside() {
 			Trait bystander = content("a-bystander");
 			for (int i = 0; i < 3; i++) {
 				Map<Trait, Long> ran = Map.of(POISON, 30L, bystander, 400L);
-				RepeatedContentTests.this.book.onCrash(i * SECOND, new Crash("engine-" + i, i * SECOND, ran));
+				RepeatedContentTests.this.tracker.onCrash(i * SECOND, new Crash("engine-" + i, i * SECOND, ran));
 			}
-			RepeatedContentTests.this.book.reevaluate(3 * SECOND);
-			assertThat(refuses(POISON)).isTrue();
-			assertThat(refuses(bystander)).isFalse();
+			RepeatedContentTests.this.tracker.reevaluate(3 * SECOND);
+			assertThat(isBlocked(POISON)).isTrue();
+			assertThat(isBlocked(bystander)).isFalse();
 		}
 
 		/**
@@ -245,11 +245,11 @@
 			Trait underModel = Trait.part("subject", "large");
 			for (int i = 0; i < 8; i++) {
 				crash(i * 100L, SYSTEM, underModel, POISON);
-				sound(i * 100L + 50, SYSTEM);
+				onSuccess(i * 100L + 50, SYSTEM);
 			}
-			RepeatedContentTests.this.book.reevaluate(3 * SECOND);
-			assertThat(refuses(POISON)).isTrue();
-			assertThat(refuses(underModel)).isFalse();
+			RepeatedContentTests.this.tracker.reevaluate(3 * SECOND);
+			assertThat(isBlocked(POISON)).isTrue();
+			assertThat(isBlocked(underModel)).isFalse();
 		}
 
 	}
@@ -257,10 +257,10 @@
 	@Nested
 	class AfterARestart {
 
-		private final CrashTracker fresh = new CrashTracker();
+		private final CrashTracker restarted = new CrashTracker();
 
-		private void learn(long now, CrashTracker from) {
-			from.buildNote(now, CLOCK + now).ifPresent((note) -> this.fresh.onNote(now, CLOCK + now, note));
+		private void passNote(long now, CrashTracker from) {
+			from.buildNote(now, CLOCK + now).ifPresent((note) -> this.restarted.onNote(now, CLOCK + now, note));
 		}
 
 		/**
@@ -268,62 +268,63 @@
 		 * its start, and not of what went well then.
 		 */
 		@Test
-		void partsAtEarlierCrashesAreNotRefused() {
-			sound(0, SYSTEM, SUBJECT);
+		void partsAtEarlierCrashesAreNotBlocked() {
+			onSuccess(0, SYSTEM, SUBJECT);
 			for (int i = 1; i < 6; i++) {
 				List<Trait> beside = IntStream.range(8 * i, 8 * i + 8)
 					.mapToObj((j) -> Trait.part("part-" + j))
 					.toList();
-				RepeatedContentTests.this.book.onSuccess(i * SECOND - 1, beside);
+				RepeatedContentTests.this.tracker.onSuccess(i * SECOND - 1, beside);
 				List<Trait> ran = new ArrayList<>(beside);
 				ran.addAll(List.of(SYSTEM, SUBJECT, content("own-" + i)));
 				crash(i * SECOND, ran.toArray(Trait[]::new));
 			}
-			assertThat(refuses(SYSTEM, SUBJECT)).isFalse();
-			this.fresh.reevaluate(9 * SECOND);
-			learn(10 * SECOND, RepeatedContentTests.this.book);
-			this.fresh.reevaluate(12 * SECOND);
-			assertThat(this.fresh.isBlocked(List.of(SYSTEM, SUBJECT))).isFalse();
+			assertThat(isBlocked(SYSTEM, SUBJECT)).isFalse();
+			this.restarted.reevaluate(9 * SECOND);
+			passNote(10 * SECOND, RepeatedContentTests.this.tracker);
+			this.restarted.reevaluate(12 * SECOND);
+			assertThat(this.restarted.isBlocked(List.of(SYSTEM, SUBJECT))).isFalse();
 		}
 
 		@Test
-		void contentAtEarlierCrashesIsRefusedAtItsNextOne() {
+		void contentAtEarlierCrashesIsBlockedAtItsNextOne() {
 			crash(0, SYSTEM, POISON);
 			crash(SECOND, SYSTEM, POISON);
-			this.fresh.reevaluate(3 * SECOND);
-			learn(3 * SECOND, RepeatedContentTests.this.book);
-			crash(this.fresh, 4 * SECOND, 20, SYSTEM, POISON);
-			this.fresh.reevaluate(6 * SECOND);
-			assertThat(this.fresh.isBlocked(List.of(POISON))).isTrue();
+			this.restarted.reevaluate(3 * SECOND);
+			passNote(3 * SECOND, RepeatedContentTests.this.tracker);
+			crash(this.restarted, 4 * SECOND, 20, SYSTEM, POISON);
+			this.restarted.reevaluate(6 * SECOND);
+			assertThat(this.restarted.isBlocked(List.of(POISON))).isTrue();
 		}
 
 		/**
 		 * Guards against what a node told before its restart, lost with its next note.
 		 */
 		@Test
-		void earlierNoteOfTheNodeIsToldAgain() {
+		void ownEarlierNoteIsReportedAgain() {
 			crash(0, POISON);
-			learn(SECOND, RepeatedContentTests.this.book);
-			this.fresh.onOwnNote(SECOND, CLOCK + SECOND,
-					RepeatedContentTests.this.book.buildNote(SECOND, CLOCK + SECOND).orElseThrow());
-			crash(this.fresh, 2 * SECOND, 20, content("another"));
-			assertThat(this.fresh.buildNote(3 * SECOND, CLOCK + 3 * SECOND).orElseThrow().crashes()).hasSize(2);
+			passNote(SECOND, RepeatedContentTests.this.tracker);
+			this.restarted.onOwnNote(SECOND, CLOCK + SECOND,
+					RepeatedContentTests.this.tracker.buildNote(SECOND, CLOCK + SECOND).orElseThrow());
+			crash(this.restarted, 2 * SECOND, 20, content("another"));
+			assertThat(this.restarted.buildNote(3 * SECOND, CLOCK + 3 * SECOND).orElseThrow().crashes()).hasSize(2);
 		}
 
 		/** Guards against a refusal that was lifted and comes back by an older note. */
 		@Test
-		void liftedRefusalDoesNotComeBack() {
+		void liftedBlockDoesNotComeBack() {
 			for (int i = 0; i < 4; i++) {
 				crash(i * SECOND, DEADLY_PART, content("own-" + i));
 			}
-			CrashNote before = RepeatedContentTests.this.book.buildNote(4 * SECOND, CLOCK + 4 * SECOND).orElseThrow();
+			CrashNote before = RepeatedContentTests.this.tracker.buildNote(4 * SECOND, CLOCK + 4 * SECOND)
+				.orElseThrow();
 			CrashTracker other = new CrashTracker();
 			other.onNote(5 * SECOND, CLOCK + 5 * SECOND, before);
 			other.onSuccess(40 * SECOND, List.of(DEADLY_PART));
 			crash(other, 50 * SECOND, 20, content("later"));
-			this.fresh.onNote(60 * SECOND, CLOCK + 60 * SECOND, before);
-			learn(60 * SECOND, other);
-			assertThat(this.fresh.isBlocked(List.of(DEADLY_PART))).isFalse();
+			this.restarted.onNote(60 * SECOND, CLOCK + 60 * SECOND, before);
+			passNote(60 * SECOND, other);
+			assertThat(this.restarted.isBlocked(List.of(DEADLY_PART))).isFalse();
 		}
 
 	}
