--- a/core/src/main/java/org/gullsaddle/hold/Holder.java
+++ b/core/src/main/java/org/gullsaddle/hold/BufferAccount.java
@@ -6,36 +6,36 @@
  * What is held for one request in one direction. Tells the whole amount each time rather
  * than what came and went, so that a part that is dropped is not counted for ever.
  */
-public final class Holder implements AutoCloseable {
+public final class BufferAccount implements AutoCloseable {
 
 	private static final double MILLIS_PER_SECOND = 1000;
 
-	private final HoldingBudget budget;
+	private final BufferBudget budget;
 
 	private final String id;
 
-	private final long paceMillis;
+	private final long windowMillis;
 
-	private long held;
+	private long bufferedBytes;
 
 	private boolean waits;
 
-	private long waitsSince;
+	private long waitingSince;
 
 	/** When the window began in which bytes that moved are counted. */
 	private long windowStart;
 
 	private long moved;
 
-	private long movedBefore;
+	private long transferredBefore;
 
 	private boolean closed;
 
-	Holder(HoldingBudget budget, String id, long paceMillis) {
+	BufferAccount(BufferBudget budget, String id, long paceMillis) {
 		Check.that(paceMillis > 0, "paceMillis must be positive");
 		this.budget = budget;
 		this.id = id;
-		this.paceMillis = paceMillis;
+		this.windowMillis = paceMillis;
 	}
 
 	/**
@@ -45,21 +45,21 @@
 	 * rest
 	 * @param now the time in milliseconds
 	 */
-	public void holds(long bytes, boolean forOther, long now) {
+	public void recordBuffered(long bytes, boolean forOther, long now) {
 		if (this.closed) {
 			return;
 		}
 		boolean waitsNow = forOther && bytes > 0;
 		if (waitsNow && !this.waits) {
-			this.waitsSince = now;
+			this.waitingSince = now;
 			this.windowStart = now;
 			this.moved = 0;
-			this.movedBefore = 0;
+			this.transferredBefore = 0;
 		}
 		this.waits = waitsNow;
-		long change = bytes - this.held;
-		this.held = bytes;
-		this.budget.changed(change);
+		long change = bytes - this.bufferedBytes;
+		this.bufferedBytes = bytes;
+		this.budget.addBytes(change);
 	}
 
 	/**
@@ -67,8 +67,8 @@
 	 * @param bytes the bytes
 	 * @param now the time in milliseconds
 	 */
-	public void moved(long bytes, long now) {
-		turn(now);
+	public void recordTransferred(long bytes, long now) {
+		advanceWindow(now);
 		this.moved += bytes;
 	}
 
@@ -76,8 +76,8 @@
 	 * Says whether more may be read that would be held here.
 	 * @return true if it may
 	 */
-	public boolean mayRead() {
-		return this.budget.mayRead(this);
+	public boolean canRead() {
+		return this.budget.canRead(this);
 	}
 
 	/**
@@ -92,8 +92,8 @@
 	 * Returns what is held.
 	 * @return the bytes
 	 */
-	public long held() {
-		return this.held;
+	public long bufferedBytes() {
+		return this.bufferedBytes;
 	}
 
 	/**
@@ -102,26 +102,26 @@
 	 * @return the time in seconds, infinite if nothing moved
 	 */
 	public double secondsToEmpty(long now) {
-		turn(now);
+		advanceWindow(now);
 		double elapsed = now - this.windowStart;
-		double before = this.movedBefore * Math.max(0, 1 - elapsed / this.paceMillis);
-		return this.held / (this.moved + before) * this.paceMillis / MILLIS_PER_SECOND;
+		double before = this.transferredBefore * Math.max(0, 1 - elapsed / this.windowMillis);
+		return this.bufferedBytes / (this.moved + before) * this.windowMillis / MILLIS_PER_SECOND;
 	}
 
-	boolean waits() {
+	boolean isWaiting() {
 		return this.waits;
 	}
 
-	boolean judged(long now) {
-		return now - this.waitsSince >= this.paceMillis;
+	boolean isRateKnown(long now) {
+		return now - this.waitingSince >= this.windowMillis;
 	}
 
-	private void turn(long now) {
-		long windows = (now - this.windowStart) / this.paceMillis;
+	private void advanceWindow(long now) {
+		long windows = (now - this.windowStart) / this.windowMillis;
 		if (windows > 0) {
-			this.movedBefore = (windows == 1) ? this.moved : 0;
+			this.transferredBefore = (windows == 1) ? this.moved : 0;
 			this.moved = 0;
-			this.windowStart += windows * this.paceMillis;
+			this.windowStart += windows * this.windowMillis;
 		}
 	}
 
@@ -133,8 +133,8 @@
 		if (!this.closed) {
 			this.closed = true;
 			this.waits = false;
-			this.budget.closed(this);
-			this.held = 0;
+			this.budget.removeAccount(this);
+			this.bufferedBytes = 0;
 		}
 	}
 
--- a/core/src/main/java/org/gullsaddle/hold/HoldingBudget.java
+++ b/core/src/main/java/org/gullsaddle/hold/BufferBudget.java
@@ -13,25 +13,25 @@
  * the rest of. Once it is spent, only who holds little is read on, until there is room
  * again. Confined to one thread.
  */
-public final class HoldingBudget {
+public final class BufferBudget {
 
 	/**
 	 * The part of the memory that is for what is held: the rest is what the process needs
 	 * to run, and room for the collector.
 	 */
-	private static final int MEMORY_PARTS = 4;
+	private static final int MEMORY_DIVISOR = 4;
 
 	/** The part of the budget that one connection may take while others hold too. */
-	private static final int CONNECTION_PARTS = 4;
+	private static final int CONNECTION_DIVISOR = 4;
 
 	/** The part of the budget that must be free again after it was spent. */
-	private static final int ROOM_PARTS = 8;
+	private static final int RESUME_DIVISOR = 8;
 
-	private final long limit;
+	private final long limitBytes;
 
-	private final Set<Holder> holders = new LinkedHashSet<>();
+	private final Set<BufferAccount> accounts = new LinkedHashSet<>();
 
-	private long held;
+	private long bufferedBytes;
 
 	private boolean spent;
 
@@ -39,9 +39,9 @@
 	 * Makes a budget.
 	 * @param limit how many bytes may be held
 	 */
-	public HoldingBudget(long limit) {
+	public BufferBudget(long limit) {
 		Check.that(limit > 0, "limit must be positive");
-		this.limit = limit;
+		this.limitBytes = limit;
 	}
 
 	/**
@@ -49,8 +49,8 @@
 	 * @param memoryBytes what the process may use in all, in bytes
 	 * @return the budget, of a part of it
 	 */
-	public static HoldingBudget ofMemory(long memoryBytes) {
-		return new HoldingBudget(memoryBytes / MEMORY_PARTS);
+	public static BufferBudget ofMemory(long memoryBytes) {
+		return new BufferBudget(memoryBytes / MEMORY_DIVISOR);
 	}
 
 	/**
@@ -60,9 +60,9 @@
 	 * milliseconds
 	 * @return the holder, which holds nothing
 	 */
-	public Holder holder(String id, long paceMillis) {
-		Holder holder = new Holder(this, id, paceMillis);
-		this.holders.add(holder);
+	public BufferAccount openAccount(String id, long paceMillis) {
+		BufferAccount holder = new BufferAccount(this, id, paceMillis);
+		this.accounts.add(holder);
 		return holder;
 	}
 
@@ -70,23 +70,23 @@
 	 * Returns how much may be held.
 	 * @return the bytes
 	 */
-	public long limit() {
-		return this.limit;
+	public long limitBytes() {
+		return this.limitBytes;
 	}
 
 	/**
 	 * Returns how much is held.
 	 * @return the bytes
 	 */
-	public long held() {
-		return this.held;
+	public long bufferedBytes() {
+		return this.bufferedBytes;
 	}
 
 	/**
 	 * Says whether too much was held, and there is no room again since.
 	 * @return true if a holder is to be given up
 	 */
-	public boolean spent() {
+	public boolean isExhausted() {
 		return this.spent;
 	}
 
@@ -99,20 +99,23 @@
 	 * @return the holder, empty while the budget is not spent, or nothing that is held
 	 * waits for another side
 	 */
-	public Optional<Holder> toGiveUp(long now) {
+	public Optional<BufferAccount> findToAbort(long now) {
 		if (!this.spent) {
 			return Optional.empty();
 		}
-		Collection<Holder> large = this.holders.stream().filter((each) -> each.waits() && !little(each)).toList();
-		boolean overdrawn = this.held >= this.limit + this.limit / CONNECTION_PARTS;
+		Collection<BufferAccount> large = this.accounts.stream()
+			.filter((each) -> each.isWaiting() && !isSmall(each))
+			.toList();
+		boolean overdrawn = this.bufferedBytes >= this.limitBytes + this.limitBytes / CONNECTION_DIVISOR;
 		return large.stream()
-			.filter((each) -> each.judged(now))
-			.max(slowest(now))
-			.or(() -> overdrawn ? large.stream().max(slowest(now)) : Optional.empty());
+			.filter((each) -> each.isRateKnown(now))
+			.max(bySecondsToEmpty(now))
+			.or(() -> overdrawn ? large.stream().max(bySecondsToEmpty(now)) : Optional.empty());
 	}
 
-	private static Comparator<Holder> slowest(long now) {
-		return Comparator.<Holder>comparingDouble((each) -> each.secondsToEmpty(now)).thenComparingLong(Holder::held);
+	private static Comparator<BufferAccount> bySecondsToEmpty(long now) {
+		return Comparator.<BufferAccount>comparingDouble((each) -> each.secondsToEmpty(now))
+			.thenComparingLong(BufferAccount::bufferedBytes);
 	}
 
 	/**
@@ -120,23 +123,24 @@
 	 * wait for another side had equal ones. The mean of what is held would not do: one
 	 * large arrival raises it above all others.
 	 */
-	private boolean little(Holder holder) {
-		long waiting = this.holders.stream().filter(Holder::waits).count();
-		return 2 * waiting * holder.held() < this.limit;
+	private boolean isSmall(BufferAccount holder) {
+		long waiting = this.accounts.stream().filter(BufferAccount::isWaiting).count();
+		return 2 * waiting * holder.bufferedBytes() < this.limitBytes;
 	}
 
-	boolean mayRead(Holder holder) {
-		return this.spent ? little(holder) : holder.held() < this.limit / CONNECTION_PARTS;
+	boolean canRead(BufferAccount holder) {
+		return this.spent ? isSmall(holder) : holder.bufferedBytes() < this.limitBytes / CONNECTION_DIVISOR;
 	}
 
-	void changed(long bytes) {
-		this.held += bytes;
-		this.spent = this.held >= (this.spent ? this.limit - this.limit / ROOM_PARTS : this.limit);
+	void addBytes(long bytes) {
+		this.bufferedBytes += bytes;
+		this.spent = this.bufferedBytes >= (this.spent ? this.limitBytes - this.limitBytes / RESUME_DIVISOR
+				: this.limitBytes);
 	}
 
-	void closed(Holder holder) {
-		if (this.holders.remove(holder)) {
-			changed(-holder.held());
+	void removeAccount(BufferAccount holder) {
+		if (this.accounts.remove(holder)) {
+			addBytes(-holder.bufferedBytes());
 		}
 	}
 
--- a/core/src/main/java/org/gullsaddle/route/Planner.java
+++ b/core/src/main/java/org/gullsaddle/route/Planner.java
@@ -55,7 +55,7 @@
 			return Optional.empty();
 		}
 		Set<ModelVersion> good = new HashSet<>(served);
-		good.removeAll(this.guard.halted(template.name()));
+		good.removeAll(this.guard.haltedVersions(template.name()));
 		List<VersionRule> candidates = candidates(template, team, good, unit);
 		if (candidates.isEmpty()) {
 			// With nothing else left, a doubtful answer is worth more than none.
--- a/core/src/main/java/org/gullsaddle/route/Router.java
+++ b/core/src/main/java/org/gullsaddle/route/Router.java
@@ -114,7 +114,7 @@
 			case RouterEvent.AnswerRated rated -> rated(now, rated);
 			case RouterEvent.CallerGone gone -> callerGone(now, gone.request());
 			case RouterEvent.TemplateChanged changed -> templateChanged(changed.revision());
-			case RouterEvent.HaltLearned learned -> this.guard.learn(learned.halt());
+			case RouterEvent.HaltLearned learned -> this.guard.onHalt(learned.halt());
 			case RouterEvent.FreshnessChanged freshness -> this.gate.cutOff(freshness.cutOff());
 			case RouterEvent.SuspectLearned learned -> learn(learned.suspicion());
 			case RouterEvent.AttemptAccepted accepted -> this.open.accepted(accepted.attempt());
@@ -364,7 +364,7 @@
 		long cost = cost(state, completion.usage());
 		RequestState.Outstanding closed = state.close(Verdict.RAN, "done", completion.usage(), cost, now.stamp());
 		this.balancer.succeeded(closed.agent());
-		announce(this.guard.ended(state.request().template(), closed.version(), false));
+		announce(this.guard.onAttemptEnd(state.request().template(), closed.version(), false));
 		if (closed.alone()) {
 			this.suspects.clear(state.request().fingerprint());
 		}
@@ -404,7 +404,7 @@
 		if (score.isPresent()) {
 			double expected = state.expectedQuality(version);
 			this.quality.rated(state.subject(), expected, score.getAsDouble(), bar);
-			announce(this.guard.rated(state.request().template(), version, expected, score.getAsDouble()));
+			announce(this.guard.onRating(state.request().template(), version, expected, score.getAsDouble()));
 		}
 		else {
 			this.noCascadesUntil = now.millis() + RATER_PAUSE_MILLIS;
@@ -463,7 +463,7 @@
 				event.crashed() ? "backend-crashed" : "backend-failed", event.usage(), cost, now.stamp());
 		if (!state.answered() && event.verdict() != Verdict.NOT_RUN
 				&& this.balancer.failed(now.millis(), closed.agent(), closed.version())) {
-			announce(this.guard.ended(state.request().template(), closed.version(), true));
+			announce(this.guard.onAttemptEnd(state.request().template(), closed.version(), true));
 		}
 		if (event.crashed()) {
 			this.outbox.add(new RouterAction.Suspect(
@@ -513,7 +513,7 @@
 
 	private void templateChanged(TemplateRevision revision) {
 		if (this.templates.apply(revision)) {
-			this.guard.changed(revision.template().name(), revision.revision());
+			this.guard.onTemplateChange(revision.template().name(), revision.revision());
 		}
 	}
 
--- a/core/src/main/java/org/gullsaddle/route/SpotChecks.java
+++ b/core/src/main/java/org/gullsaddle/route/SpotChecks.java
@@ -42,7 +42,7 @@
 	}
 
 	Optional<RouterAction> consider(RequestState state, ModelVersion version, String answer) {
-		boolean closely = this.guard.closely(state.request().template(), version);
+		boolean closely = this.guard.shouldRateClosely(state.request().template(), version);
 		if (this.share == 0 || (!closely && this.random.nextDouble() >= this.share)) {
 			return Optional.empty();
 		}
@@ -59,7 +59,7 @@
 			return Optional.empty();
 		}
 		this.quality.rated(check.subject(), check.expected(), score.getAsDouble(), check.bar());
-		return this.guard.rated(check.subject().template(), check.subject().version(), check.expected(),
+		return this.guard.onRating(check.subject().template(), check.subject().version(), check.expected(),
 				score.getAsDouble());
 	}
 
--- a/core/src/test/java/org/gullsaddle/hold/HoldingBudgetTests.java
+++ b/core/src/test/java/org/gullsaddle/hold/BufferBudgetTests.java
@@ -9,7 +9,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-class HoldingBudgetTests {
+class BufferBudgetTests {
 
 	private static final long LIMIT = 1_000_000;
 
@@ -17,16 +17,16 @@
 
 	private static final long STEP_MILLIS = 100;
 
-	private final HoldingBudget budget = new HoldingBudget(LIMIT);
+	private final BufferBudget budget = new BufferBudget(LIMIT);
 
-	private Holder holding(String id, long bytes, long now) {
-		Holder holder = this.budget.holder(id, PACE_MILLIS);
-		holder.holds(bytes, true, now);
+	private BufferAccount holding(String id, long bytes, long now) {
+		BufferAccount holder = this.budget.openAccount(id, PACE_MILLIS);
+		holder.recordBuffered(bytes, true, now);
 		return holder;
 	}
 
 	private Optional<String> givenUp(long now) {
-		return this.budget.toGiveUp(now).map(Holder::id);
+		return this.budget.findToAbort(now).map(BufferAccount::id);
 	}
 
 	@Nested
@@ -42,16 +42,16 @@
 
 		private long most;
 
-		private void step(List<Holder> holders, long now) {
-			for (Holder each : List.copyOf(holders)) {
-				long held = each.held() + (each.mayRead() ? ANSWER_PART : 0);
+		private void step(List<BufferAccount> holders, long now) {
+			for (BufferAccount each : List.copyOf(holders)) {
+				long held = each.bufferedBytes() + (each.canRead() ? ANSWER_PART : 0);
 				long taken = each.id().startsWith("slow") ? Math.min(SLOW_PART, held) : held;
-				each.holds(held, true, now);
-				this.most = Math.max(this.most, HoldingBudgetTests.this.budget.held());
-				each.holds(held - taken, true, now);
-				each.moved(taken, now);
+				each.recordBuffered(held, true, now);
+				this.most = Math.max(this.most, BufferBudgetTests.this.budget.bufferedBytes());
+				each.recordBuffered(held - taken, true, now);
+				each.recordTransferred(taken, now);
 			}
-			HoldingBudgetTests.this.budget.toGiveUp(now).ifPresent((each) -> {
+			BufferBudgetTests.this.budget.findToAbort(now).ifPresent((each) -> {
 				this.left.add(each.id());
 				holders.remove(each);
 				each.close();
@@ -64,10 +64,10 @@
 		 */
 		@Test
 		void onlySlowOnesAreGivenUpAndTheMemoryLasts() {
-			List<Holder> holders = new ArrayList<>();
+			List<BufferAccount> holders = new ArrayList<>();
 			for (int i = 0; i < CALLERS; i++) {
-				holders.add(HoldingBudgetTests.this.budget.holder("slow-" + i, PACE_MILLIS));
-				holders.add(HoldingBudgetTests.this.budget.holder("quick-" + i, PACE_MILLIS));
+				holders.add(BufferBudgetTests.this.budget.openAccount("slow-" + i, PACE_MILLIS));
+				holders.add(BufferBudgetTests.this.budget.openAccount("quick-" + i, PACE_MILLIS));
 			}
 			for (long now = 0; now < 60_000; now += STEP_MILLIS) {
 				step(holders, now);
@@ -89,28 +89,28 @@
 		 */
 		@Test
 		void itIsGivenUpForThoseThatComeQuickly() {
-			Holder endless = holding("endless", 300_000, 0);
-			Holder quick = null;
+			BufferAccount endless = holding("endless", 300_000, 0);
+			BufferAccount quick = null;
 			for (long now = 0; now <= 4000; now += STEP_MILLIS) {
-				endless.holds(endless.held() + 100, true, now);
-				endless.moved(100, now);
+				endless.recordBuffered(endless.bufferedBytes() + 100, true, now);
+				endless.recordTransferred(100, now);
 				if (now == 2000) {
 					quick = holding("quick", 500_000, now);
 				}
 				if (quick != null) {
-					quick.holds(quick.held() + 30_000, true, now);
-					quick.moved(30_000, now);
+					quick.recordBuffered(quick.bufferedBytes() + 30_000, true, now);
+					quick.recordTransferred(30_000, now);
 				}
 			}
-			assertThat(HoldingBudgetTests.this.budget.spent()).isTrue();
+			assertThat(BufferBudgetTests.this.budget.isExhausted()).isTrue();
 			assertThat(givenUp(4000)).contains("endless");
 		}
 
 		@Test
 		void oneThatIsWholeIsNotGivenUp() {
-			Holder whole = holding("whole", LIMIT, 0);
+			BufferAccount whole = holding("whole", LIMIT, 0);
 			assertThat(givenUp(5000)).contains("whole");
-			whole.holds(LIMIT, false, 5000);
+			whole.recordBuffered(LIMIT, false, 5000);
 			assertThat(givenUp(5000)).isEmpty();
 		}
 
@@ -119,8 +119,8 @@
 	@Nested
 	class WithABudgetThatIsSpent {
 
-		private void move(Holder holder, long bytes) {
-			holder.moved(bytes, 2000);
+		private void move(BufferAccount holder, long bytes) {
+			holder.recordTransferred(bytes, 2000);
 		}
 
 		@Test
@@ -153,31 +153,31 @@
 		@Test
 		void arrivalsAloneAreGivenUpOnlyIfTheBudgetIsOverdrawn() {
 			holding("first", 600_000, 1900);
-			Holder second = holding("second", 500_000, 1900);
+			BufferAccount second = holding("second", 500_000, 1900);
 			assertThat(givenUp(2000)).isEmpty();
-			second.holds(800_000, true, 2000);
+			second.recordBuffered(800_000, true, 2000);
 			assertThat(givenUp(2000)).contains("second");
 		}
 
 		@Test
 		void whoHoldsLittleIsReadOn() {
-			Holder large = holding("large", 900_000, 0);
-			Holder little = holding("little", 100_000, 0);
-			assertThat(large.mayRead()).isFalse();
-			assertThat(little.mayRead()).isTrue();
-			assertThat(HoldingBudgetTests.this.budget.holder("new", PACE_MILLIS).mayRead()).isTrue();
+			BufferAccount large = holding("large", 900_000, 0);
+			BufferAccount little = holding("little", 100_000, 0);
+			assertThat(large.canRead()).isFalse();
+			assertThat(little.canRead()).isTrue();
+			assertThat(BufferBudgetTests.this.budget.openAccount("new", PACE_MILLIS).canRead()).isTrue();
 		}
 
 		@Test
 		void readingGoesOnOnlyOnceThereIsRoomAgain() {
 			holding("other", 860_000, 0);
-			Holder holder = holding("one", 240_000, 0);
-			holder.holds(100_000, true, 0);
-			assertThat(HoldingBudgetTests.this.budget.spent()).isTrue();
-			holder.holds(10_000, true, 0);
-			assertThat(HoldingBudgetTests.this.budget.spent()).isFalse();
-			holder.holds(100_000, true, 0);
-			assertThat(HoldingBudgetTests.this.budget.spent()).isFalse();
+			BufferAccount holder = holding("one", 240_000, 0);
+			holder.recordBuffered(100_000, true, 0);
+			assertThat(BufferBudgetTests.this.budget.isExhausted()).isTrue();
+			holder.recordBuffered(10_000, true, 0);
+			assertThat(BufferBudgetTests.this.budget.isExhausted()).isFalse();
+			holder.recordBuffered(100_000, true, 0);
+			assertThat(BufferBudgetTests.this.budget.isExhausted()).isFalse();
 		}
 
 	}
@@ -193,22 +193,22 @@
 
 		@Test
 		void oneConnectionGetsOnlyItsPart() {
-			assertThat(holding("one", LIMIT / 4, 0).mayRead()).isFalse();
-			assertThat(holding("other", LIMIT / 4 - 1, 0).mayRead()).isTrue();
+			assertThat(holding("one", LIMIT / 4, 0).canRead()).isFalse();
+			assertThat(holding("other", LIMIT / 4 - 1, 0).canRead()).isTrue();
 		}
 
 		@Test
 		void whatIsClosedIsGivenBackOnce() {
-			Holder holder = holding("one", 300, 0);
+			BufferAccount holder = holding("one", 300, 0);
 			holder.close();
 			holder.close();
-			holder.holds(500, true, 0);
-			assertThat(HoldingBudgetTests.this.budget.held()).isZero();
+			holder.recordBuffered(500, true, 0);
+			assertThat(BufferBudgetTests.this.budget.bufferedBytes()).isZero();
 		}
 
 		@Test
 		void itIsAPartOfTheProcessesMemory() {
-			assertThat(HoldingBudget.ofMemory(4000).limit()).isEqualTo(1000);
+			assertThat(BufferBudget.ofMemory(4000).limitBytes()).isEqualTo(1000);
 		}
 
 	}
--- a/core/src/test/java/org/gullsaddle/rollout/VersionGuardTests.java
+++ b/core/src/test/java/org/gullsaddle/rollout/VersionGuardTests.java
@@ -25,25 +25,25 @@
 	void versionThatTurnsBadIsHaltedWithinFewAnswersAndDoesNotFlap() {
 		Random random = new Random(1);
 		for (int i = 0; i < 1000; i++) {
-			assertThat(this.guard.rated(TEMPLATE, VERSION, 0.9, 0.9 + 0.1 * random.nextGaussian())).isEmpty();
+			assertThat(this.guard.onRating(TEMPLATE, VERSION, 0.9, 0.9 + 0.1 * random.nextGaussian())).isEmpty();
 		}
 		int answers = 0;
-		while (this.guard.halted(TEMPLATE).isEmpty()) {
-			this.guard.rated(TEMPLATE, VERSION, 0.9, 0.5 + 0.1 * random.nextGaussian());
+		while (this.guard.haltedVersions(TEMPLATE).isEmpty()) {
+			this.guard.onRating(TEMPLATE, VERSION, 0.9, 0.5 + 0.1 * random.nextGaussian());
 			answers++;
 		}
 		assertThat(answers).isLessThan(10);
 		for (int i = 0; i < 100; i++) {
-			this.guard.rated(TEMPLATE, VERSION, 0.9, 0.95);
+			this.guard.onRating(TEMPLATE, VERSION, 0.9, 0.95);
 		}
-		assertThat(this.guard.halted(TEMPLATE)).containsExactly(VERSION);
+		assertThat(this.guard.haltedVersions(TEMPLATE)).containsExactly(VERSION);
 	}
 
 	@Test
 	void versionThatFailsIsHaltedWithinFewAttempts() {
 		int attempts = 0;
-		while (this.guard.halted(TEMPLATE).isEmpty()) {
-			this.guard.ended(TEMPLATE, VERSION, true);
+		while (this.guard.haltedVersions(TEMPLATE).isEmpty()) {
+			this.guard.onAttemptEnd(TEMPLATE, VERSION, true);
 			attempts++;
 		}
 		assertThat(attempts).isBetween(2, 5);
@@ -52,7 +52,7 @@
 	@Test
 	void oneFailureInFiftyIsNoReason() {
 		for (int i = 0; i < 5000; i++) {
-			assertThat(this.guard.ended(TEMPLATE, VERSION, i % 50 == 0)).isEmpty();
+			assertThat(this.guard.onAttemptEnd(TEMPLATE, VERSION, i % 50 == 0)).isEmpty();
 		}
 	}
 
@@ -65,22 +65,22 @@
 		Random random = new Random(2);
 		for (int i = 0; i < 20_000; i++) {
 			double score = (random.nextInt(3) == 0) ? 0.35 : 0.95;
-			assertThat(this.guard.rated(TEMPLATE, VERSION, 0.75, score)).isEmpty();
+			assertThat(this.guard.onRating(TEMPLATE, VERSION, 0.75, score)).isEmpty();
 		}
 	}
 
 	@Test
 	void operatorsChangeEndsTheHalt() {
-		this.guard.learn(new Halt(TEMPLATE, 1, VERSION, "failures"));
-		this.guard.changed(TEMPLATE, 2);
-		assertThat(this.guard.halted(TEMPLATE)).isEmpty();
+		this.guard.onHalt(new Halt(TEMPLATE, 1, VERSION, "failures"));
+		this.guard.onTemplateChange(TEMPLATE, 2);
+		assertThat(this.guard.haltedVersions(TEMPLATE)).isEmpty();
 	}
 
 	@Test
 	void haltOfAnOlderRevisionIsNotTaken() {
-		this.guard.changed(TEMPLATE, 2);
-		this.guard.learn(new Halt(TEMPLATE, 1, VERSION, "failures"));
-		assertThat(this.guard.halted(TEMPLATE)).isEmpty();
+		this.guard.onTemplateChange(TEMPLATE, 2);
+		this.guard.onHalt(new Halt(TEMPLATE, 1, VERSION, "failures"));
+		assertThat(this.guard.haltedVersions(TEMPLATE)).isEmpty();
 	}
 
 }
--- a/daemon/src/main/java/org/gullsaddle/gateway/CallerFlow.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/CallerFlow.java
@@ -7,7 +7,7 @@
 import io.vertx.core.http.HttpHeaders;
 import io.vertx.core.http.HttpServerResponse;
 
-import org.gullsaddle.hold.Holder;
+import org.gullsaddle.hold.BufferAccount;
 
 /**
  * Passes an answer on as fast as its caller reads, and pauses its replica meanwhile. A
@@ -30,7 +30,7 @@
 
 	private final Runnable giveUp;
 
-	private final Holder holder;
+	private final BufferAccount holder;
 
 	private final Deque<Buffer> waiting = new ArrayDeque<>();
 
@@ -106,7 +106,7 @@
 			this.response.write(next);
 		}
 		this.waitingBytes -= sent;
-		this.holder.moved(sent, Clock.millis());
+		this.holder.recordTransferred(sent, Clock.millis());
 		count();
 		if (!this.waiting.isEmpty()) {
 			return;
@@ -138,7 +138,7 @@
 		this.kept = keptBytes;
 		count();
 		boolean full = !this.waiting.isEmpty() && !this.readingOn;
-		if ((full || !this.holder.mayRead()) && !this.paused) {
+		if ((full || !this.holder.canRead()) && !this.paused) {
 			this.paused = true;
 			this.pausedAt = Clock.millis();
 			this.from.pause(Attempt.Hold.CALLER);
@@ -153,7 +153,7 @@
 	}
 
 	private void count() {
-		this.holder.holds(this.waitingBytes + this.kept, !this.waiting.isEmpty(), Clock.millis());
+		this.holder.recordBuffered(this.waitingBytes + this.kept, !this.waiting.isEmpty(), Clock.millis());
 	}
 
 	@Override
@@ -162,7 +162,7 @@
 			drop();
 			this.holdings.close(this.holder);
 		}
-		else if (this.paused && this.holder.mayRead()) {
+		else if (this.paused && this.holder.canRead()) {
 			goOn(now);
 		}
 	}
--- a/daemon/src/main/java/org/gullsaddle/gateway/DecisionLog.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/DecisionLog.java
@@ -11,7 +11,7 @@
 import org.gullsaddle.base.LoadReport;
 import org.gullsaddle.fleet.FleetChange;
 import org.gullsaddle.fleet.ReplicaId;
-import org.gullsaddle.hold.Holder;
+import org.gullsaddle.hold.BufferAccount;
 import org.gullsaddle.serve.Choice;
 import org.gullsaddle.serve.Rollout;
 import org.gullsaddle.serve.RolloutProgress;
@@ -270,22 +270,22 @@
 		}
 	}
 
-	void readOn(Holder holder, long pausedMillis) {
+	void readOn(BufferAccount holder, long pausedMillis) {
 		if (allowed(false)) {
 			LOG.atInfo()
 				.addKeyValue("id", holder.id())
-				.addKeyValue("heldBytes", holder.held())
+				.addKeyValue("heldBytes", holder.bufferedBytes())
 				.addKeyValue("pausedMillis", pausedMillis)
 				.log("slow caller's answer read on");
 		}
 	}
 
-	void givenUp(Holder holder, String what, double secondsToEmpty, long held) {
+	void givenUp(BufferAccount holder, String what, double secondsToEmpty, long held) {
 		if (allowed(true)) {
 			LOG.atInfo()
 				.addKeyValue("id", holder.id())
 				.addKeyValue("what", what)
-				.addKeyValue("heldBytes", holder.held())
+				.addKeyValue("heldBytes", holder.bufferedBytes())
 				.addKeyValue("secondsToEmpty", Double.isFinite(secondsToEmpty) ? Math.round(secondsToEmpty) : -1)
 				.addKeyValue("heldInAll", held)
 				.log("given up for memory");
--- a/daemon/src/main/java/org/gullsaddle/gateway/Holdings.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/Holdings.java
@@ -5,8 +5,8 @@
 import java.util.Map;
 import java.util.Optional;
 
-import org.gullsaddle.hold.Holder;
-import org.gullsaddle.hold.HoldingBudget;
+import org.gullsaddle.hold.BufferAccount;
+import org.gullsaddle.hold.BufferBudget;
 import org.gullsaddle.telemetry.Telemetry;
 
 /**
@@ -15,13 +15,13 @@
  */
 final class Holdings {
 
-	private final Optional<HoldingBudget> budget;
+	private final Optional<BufferBudget> budget;
 
 	private final DecisionLog log;
 
 	private final Telemetry telemetry;
 
-	private final Map<Holder, Party> parties = new LinkedHashMap<>();
+	private final Map<BufferAccount, Party> parties = new LinkedHashMap<>();
 
 	/**
 	 * Makes what holds as the settings tell. The bytes lie in the heap, which may be less
@@ -29,7 +29,7 @@
 	 */
 	Holdings(LoadSettings load, DecisionLog log, Telemetry telemetry) {
 		this.budget = (load.pressure() && load.memoryBytes() > 0)
-				? Optional.of(HoldingBudget.ofMemory(Math.min(load.memoryBytes(), Runtime.getRuntime().maxMemory())))
+				? Optional.of(BufferBudget.ofMemory(Math.min(load.memoryBytes(), Runtime.getRuntime().maxMemory())))
 				: Optional.empty();
 		this.log = log;
 		this.telemetry = telemetry;
@@ -37,7 +37,7 @@
 
 	void showGauges() {
 		if (this.budget.isPresent()) {
-			this.telemetry.gauge("held.bytes", () -> this.budget.get().held());
+			this.telemetry.gauge("held.bytes", () -> this.budget.get().bufferedBytes());
 			this.telemetry.gauge("paused.answers", this::paused);
 		}
 	}
@@ -50,7 +50,7 @@
 	 * Says whether more is held than may be, so that only who holds little is read on.
 	 */
 	boolean spent() {
-		return this.budget.map(HoldingBudget::spent).orElse(false);
+		return this.budget.map(BufferBudget::isExhausted).orElse(false);
 	}
 
 	/**
@@ -65,13 +65,13 @@
 	 * Begins to hold.
 	 * @param paceMillis how long the other side may pause and still be on time
 	 */
-	Holder open(String id, long paceMillis, Party party) {
-		Holder holder = this.budget.orElseThrow().holder(id, paceMillis);
+	BufferAccount open(String id, long paceMillis, Party party) {
+		BufferAccount holder = this.budget.orElseThrow().openAccount(id, paceMillis);
 		this.parties.put(holder, party);
 		return holder;
 	}
 
-	void close(Holder holder) {
+	void close(BufferAccount holder) {
 		this.parties.remove(holder);
 		holder.close();
 	}
@@ -84,12 +84,12 @@
 			return;
 		}
 		List.copyOf(this.parties.values()).forEach((party) -> party.look(now));
-		this.budget.flatMap((each) -> each.toGiveUp(now)).ifPresent((holder) -> giveUp(holder, now));
+		this.budget.flatMap((each) -> each.findToAbort(now)).ifPresent((holder) -> giveUp(holder, now));
 	}
 
-	private void giveUp(Holder holder, long now) {
+	private void giveUp(BufferAccount holder, long now) {
 		Party party = this.parties.get(holder);
-		this.log.givenUp(holder, party.what(), holder.secondsToEmpty(now), this.budget.orElseThrow().held());
+		this.log.givenUp(holder, party.what(), holder.secondsToEmpty(now), this.budget.orElseThrow().bufferedBytes());
 		this.telemetry.count("given.up." + party.what());
 		close(holder);
 		party.giveUp();
@@ -99,7 +99,7 @@
 	 * Notes that a replica whose answer was paused is read on, lest it cuts the answer
 	 * off.
 	 */
-	void readOn(Holder holder, long pausedMillis) {
+	void readOn(BufferAccount holder, long pausedMillis) {
 		this.log.readOn(holder, pausedMillis);
 		this.telemetry.count("read.on.answer");
 	}
--- a/daemon/src/main/java/org/gullsaddle/gateway/Intake.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/Intake.java
@@ -5,7 +5,7 @@
 import io.vertx.core.buffer.Buffer;
 import io.vertx.core.http.HttpServerRequest;
 
-import org.gullsaddle.hold.Holder;
+import org.gullsaddle.hold.BufferAccount;
 
 /**
  * Reads a caller's request to its end.
@@ -26,7 +26,7 @@
 
 	private Buffer body = Buffer.buffer();
 
-	private Optional<Holder> holder = Optional.empty();
+	private Optional<BufferAccount> holder = Optional.empty();
 
 	private boolean paused;
 
@@ -55,7 +55,7 @@
 		this.request.endHandler((nothing) -> {
 			if (!this.over) {
 				this.over = true;
-				this.holder.ifPresent((each) -> each.holds(this.body.length(), false, Clock.millis()));
+				this.holder.ifPresent((each) -> each.recordBuffered(this.body.length(), false, Clock.millis()));
 				this.gateway.dispatcher().take(this.request, caller, this.body, this.startedAt);
 			}
 		});
@@ -79,10 +79,10 @@
 		if (this.holder.isEmpty()) {
 			this.holder = Optional.of(this.gateway.holdings().open(id, PACE_MILLIS, this));
 		}
-		Holder mine = this.holder.get();
-		mine.holds(this.body.length(), true, Clock.millis());
-		mine.moved(bytes, Clock.millis());
-		if (this.gateway.holdings().spent() && !mine.mayRead()) {
+		BufferAccount mine = this.holder.get();
+		mine.recordBuffered(this.body.length(), true, Clock.millis());
+		mine.recordTransferred(bytes, Clock.millis());
+		if (this.gateway.holdings().spent() && !mine.canRead()) {
 			this.paused = true;
 			this.request.pause();
 		}
--- a/measure/src/main/java/org/gullsaddle/measure/ExposureExperiment.java
+++ b/measure/src/main/java/org/gullsaddle/measure/ExposureExperiment.java
@@ -54,14 +54,14 @@
 	private static int stoppedAt(Kind kind, Random random, boolean turnsBad) {
 		VersionGuard guard = new VersionGuard();
 		int answer = 0;
-		while (answer < ANSWERS && guard.halted(Fixture.NAME).isEmpty()) {
+		while (answer < ANSWERS && guard.haltedVersions(Fixture.NAME).isEmpty()) {
 			boolean bad = turnsBad && answer >= TURNS_BAD_AT;
 			boolean fails = random.nextDouble() < ((bad && kind == Kind.FAILURES) ? 0.5 : 0.01);
-			guard.ended(Fixture.NAME, VERSION, fails);
-			if (!fails && (guard.closely(Fixture.NAME, VERSION) || random.nextDouble() < 0.1)) {
+			guard.onAttemptEnd(Fixture.NAME, VERSION, fails);
+			if (!fails && (guard.shouldRateClosely(Fixture.NAME, VERSION) || random.nextDouble() < 0.1)) {
 				double part = (bad && kind == Kind.RATINGS_FALL) ? 0.3 : 0.9;
 				double mean = (random.nextDouble() < part) ? 0.93 : 0.4;
-				guard.rated(Fixture.NAME, VERSION, 0.88, Math.clamp(mean + 0.05 * random.nextGaussian(), 0, 1));
+				guard.onRating(Fixture.NAME, VERSION, 0.88, Math.clamp(mean + 0.05 * random.nextGaussian(), 0, 1));
 			}
 			answer++;
 		}
