--- a/core/src/main/java/org/gullsaddle/allowance/Allowance.java
+++ b/core/src/main/java/org/gullsaddle/allowance/Allowance.java
@@ -10,7 +10,7 @@
 	/** How much of a second's requests may come at once. */
 	private static final double BURST_SECONDS = 1;
 
-	private static final double DEMAND_SMOOTHING = 0.3;
+	private static final double DEMAND_SMOOTHING_RATIO = 0.3;
 
 	private TeamRule rule;
 
@@ -26,15 +26,15 @@
 
 	private int peakRunning;
 
-	private long asked;
+	private long requestCount;
 
 	private double demand;
 
 	private long day = Long.MIN_VALUE;
 
-	private long moneyLeft;
+	private long budgetLeftMicros;
 
-	private boolean moneyShort;
+	private boolean isBudgetShort;
 
 	Allowance(TeamRule rule, long now) {
 		this.rule = rule;
@@ -53,7 +53,7 @@
 		return (now < this.validUntil) ? this.share : 0;
 	}
 
-	void grant(double newShare, long until, long now) {
+	void grantShare(double newShare, long until, long now) {
 		refill(now);
 		boolean first = this.validUntil == Long.MIN_VALUE;
 		this.share = newShare;
@@ -61,7 +61,7 @@
 		this.tokens = first ? burst() : Math.min(this.tokens, burst());
 	}
 
-	void shrink(double newShare, long now) {
+	void reduceShare(double newShare, long now) {
 		refill(now);
 		this.share = Math.min(this.share, newShare);
 		this.tokens = Math.min(this.tokens, burst());
@@ -70,18 +70,18 @@
 	/**
 	 * Takes a request's part, or says what is short.
 	 */
-	Shortage take(long now, long today, long costMicros) {
+	Shortage acquire(long now, long today, long costMicros) {
 		refill(now);
-		this.asked++;
+		this.requestCount++;
 		double held = share(now);
 		if (held == 0) {
 			return Shortage.NO_GRANT;
 		}
-		if (today != this.day || this.moneyLeft < costMicros) {
-			this.moneyShort = true;
-			return Shortage.MONEY;
+		if (today != this.day || this.budgetLeftMicros < costMicros) {
+			this.isBudgetShort = true;
+			return Shortage.BUDGET;
 		}
-		if (this.running >= limit(held)) {
+		if (this.running >= concurrencyLimit(held)) {
 			return Shortage.CONCURRENCY;
 		}
 		if (this.tokens < 1) {
@@ -90,18 +90,18 @@
 		this.tokens--;
 		this.running++;
 		this.peakRunning = Math.max(this.peakRunning, this.running);
-		this.moneyLeft -= costMicros;
+		this.budgetLeftMicros -= costMicros;
 		return Shortage.NONE;
 	}
 
-	void giveBack(long takenDay, long reservedMicros, long costMicros) {
+	void release(long takenDay, long reservedMicros, long costMicros) {
 		this.running--;
 		if (takenDay == this.day) {
-			this.moneyLeft += reservedMicros - costMicros;
+			this.budgetLeftMicros += reservedMicros - costMicros;
 		}
 	}
 
-	private int limit(double held) {
+	private int concurrencyLimit(double held) {
 		return (int) Math.floor(this.rule.concurrent() * held + 1e-9);
 	}
 
@@ -119,28 +119,28 @@
 	 * Returns the part of the allowance that this entry could use, from what was asked of
 	 * it since the last call.
 	 */
-	double wanted(long elapsedMillis) {
-		double perSecond = this.asked * 1000.0 / Math.max(1, elapsedMillis);
+	double measureWantedShare(long elapsedMillis) {
+		double perSecond = this.requestCount * 1000.0 / Math.max(1, elapsedMillis);
 		double part = Math.max(perSecond / this.rule.requestsPerSecond(),
 				(double) this.peakRunning / this.rule.concurrent());
-		this.asked = 0;
+		this.requestCount = 0;
 		this.peakRunning = this.running;
 		// Demand is followed up at once and forgotten slowly.
-		this.demand = (part > this.demand) ? part : this.demand + DEMAND_SMOOTHING * (part - this.demand);
+		this.demand = (part > this.demand) ? part : this.demand + DEMAND_SMOOTHING_RATIO * (part - this.demand);
 		return Math.min(1, this.demand * 1.25);
 	}
 
-	boolean needsMoney(long today, long chunk) {
-		return today != this.day || this.moneyShort || this.moneyLeft < chunk / 2;
+	boolean needsBudget(long today, long chunk) {
+		return today != this.day || this.isBudgetShort || this.budgetLeftMicros < chunk / 2;
 	}
 
-	void addMoney(long today, long micros) {
+	void addBudget(long today, long micros) {
 		if (today != this.day) {
 			this.day = today;
-			this.moneyLeft = 0;
+			this.budgetLeftMicros = 0;
 		}
-		this.moneyLeft += micros;
-		this.moneyShort = false;
+		this.budgetLeftMicros += micros;
+		this.isBudgetShort = false;
 	}
 
 	/**
@@ -148,7 +148,7 @@
 	 */
 	enum Shortage {
 
-		NONE, NO_GRANT, RATE, CONCURRENCY, MONEY
+		NONE, NO_GRANT, RATE, CONCURRENCY, BUDGET
 
 	}
 
--- a/core/src/main/java/org/gullsaddle/allowance/AllowanceBook.java
+++ b/core/src/main/java/org/gullsaddle/allowance/AllowanceTable.java
@@ -14,11 +14,11 @@
 /**
  * Holds requests to the part of each allowance that this entry was granted. Thread-safe.
  */
-public final class AllowanceBook {
+public final class AllowanceTable {
 
-	private static final long COME_BACK_MILLIS = 1000;
+	private static final long RETRY_AFTER_MILLIS = 1000;
 
-	private static final long MONEY_COME_BACK_MILLIS = 60_000;
+	private static final long BUDGET_RETRY_AFTER_MILLIS = 60_000;
 
 	private static final long DAY_MILLIS = 86_400_000;
 
@@ -39,7 +39,7 @@
 	 * @param template the template
 	 * @param now the time in milliseconds on the monotonic clock
 	 */
-	public synchronized void apply(Template template, long now) {
+	public synchronized void applyTemplate(Template template, long now) {
 		template.teams().forEach((team, rule) -> {
 			AllowanceKey key = new AllowanceKey(template.name(), team);
 			this.allowances.computeIfAbsent(key, (missing) -> new Allowance(rule, now)).rule(rule);
@@ -55,17 +55,17 @@
 	 * @param wallMillis the time in milliseconds since the epoch
 	 * @return the permit, or the refusal of a request that was not run
 	 */
-	public synchronized Result take(TemplateName template, TeamId team, long costMicros, long now, long wallMillis) {
+	public synchronized Result acquire(TemplateName template, TeamId team, long costMicros, long now, long wallMillis) {
 		AllowanceKey key = new AllowanceKey(template, team);
 		Allowance allowance = this.allowances.get(key);
 		if (allowance == null) {
 			return Result.refused(Refusal.notRun(RefusalReason.NO_TEMPLATE, 0));
 		}
-		return switch (allowance.take(now, day(wallMillis), costMicros)) {
+		return switch (allowance.acquire(now, day(wallMillis), costMicros)) {
 			case NONE -> Result.granted(new Permit(key, day(wallMillis), costMicros));
-			case NO_GRANT -> Result.refused(Refusal.notRun(RefusalReason.STORE_UNAVAILABLE, COME_BACK_MILLIS));
-			case RATE, CONCURRENCY -> Result.refused(Refusal.notRun(RefusalReason.ALLOWANCE, COME_BACK_MILLIS));
-			case MONEY -> Result.refused(Refusal.notRun(RefusalReason.ALLOWANCE, MONEY_COME_BACK_MILLIS));
+			case NO_GRANT -> Result.refused(Refusal.notRun(RefusalReason.STORE_UNAVAILABLE, RETRY_AFTER_MILLIS));
+			case RATE, CONCURRENCY -> Result.refused(Refusal.notRun(RefusalReason.ALLOWANCE, RETRY_AFTER_MILLIS));
+			case BUDGET -> Result.refused(Refusal.notRun(RefusalReason.ALLOWANCE, BUDGET_RETRY_AFTER_MILLIS));
 		};
 	}
 
@@ -74,8 +74,8 @@
 	 * @param permit what was taken
 	 * @param costMicros what the request cost, in micro-dollars
 	 */
-	public synchronized void giveBack(Permit permit, long costMicros) {
-		this.allowances.get(permit.key()).giveBack(permit.day(), permit.reservedMicros(), costMicros);
+	public synchronized void release(Permit permit, long costMicros) {
+		this.allowances.get(permit.key()).release(permit.day(), permit.reservedMicros(), costMicros);
 	}
 
 	/**
@@ -95,24 +95,24 @@
 		return rules;
 	}
 
-	synchronized double wanted(AllowanceKey key, long elapsedMillis) {
-		return this.allowances.get(key).wanted(elapsedMillis);
+	synchronized double measureWantedShare(AllowanceKey key, long elapsedMillis) {
+		return this.allowances.get(key).measureWantedShare(elapsedMillis);
 	}
 
-	synchronized void shrink(AllowanceKey key, double share, long now) {
-		this.allowances.get(key).shrink(share, now);
+	synchronized void reduceShare(AllowanceKey key, double share, long now) {
+		this.allowances.get(key).reduceShare(share, now);
 	}
 
-	synchronized void grant(AllowanceKey key, double share, long until, long now) {
-		this.allowances.get(key).grant(share, until, now);
+	synchronized void grantShare(AllowanceKey key, double share, long until, long now) {
+		this.allowances.get(key).grantShare(share, until, now);
 	}
 
-	synchronized boolean needsMoney(AllowanceKey key, long today, long chunk) {
-		return this.allowances.get(key).needsMoney(today, chunk);
+	synchronized boolean needsBudget(AllowanceKey key, long today, long chunk) {
+		return this.allowances.get(key).needsBudget(today, chunk);
 	}
 
-	synchronized void addMoney(AllowanceKey key, long today, long micros) {
-		this.allowances.get(key).addMoney(today, micros);
+	synchronized void addBudget(AllowanceKey key, long today, long micros) {
+		this.allowances.get(key).addBudget(today, micros);
 	}
 
 	/**
--- a/core/src/test/java/org/gullsaddle/allowance/GrantKeeperTests.java
+++ b/core/src/test/java/org/gullsaddle/allowance/GrantCoordinatorTests.java
@@ -15,9 +15,9 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-class GrantKeeperTests {
+class GrantCoordinatorTests {
 
-	private static final long TTL = 1000;
+	private static final long TTL_MILLIS = 1000;
 
 	private static final TeamId BASIC = new TeamId("basic");
 
@@ -26,10 +26,10 @@
 	private GrantDocument document = GrantDocument.EMPTY;
 
 	private void round(Node node, long now) {
-		GrantDocument next = node.keeper.propose(this.document, now, now, now);
+		GrantDocument next = node.coordinator.propose(this.document, now, now, now);
 		if (next != null) {
 			this.document = next;
-			node.keeper.accepted(now);
+			node.coordinator.onAccepted(now);
 		}
 	}
 
@@ -57,71 +57,71 @@
 			}
 			double sum = 0;
 			for (Node each : nodes) {
-				sum += each.book.share(KEY, now);
+				sum += each.allowances.share(KEY, now);
 			}
 			assertThat(sum).isLessThanOrEqualTo(1 + 1e-9);
 		}
 	}
 
 	private void write(Node node, Random random, long now) {
-		GrantDocument next = node.keeper.propose(node.read, node.askedAt, now, now);
+		GrantDocument next = node.coordinator.propose(node.read, node.askedAt, now, now);
 		// Compare-and-swap: only what was made from the present document is taken.
 		boolean taken = next != null && node.read == this.document;
 		if (taken) {
 			this.document = next;
 		}
 		if (taken && random.nextInt(4) > 0) {
-			node.keeper.accepted(now);
+			node.coordinator.onAccepted(now);
 		}
 		else {
-			node.keeper.abandoned();
+			node.coordinator.onNotAccepted();
 		}
 		node.read = null;
 	}
 
 	private static void demand(Node node, Random random, long now) {
 		for (int i = random.nextInt(20); i > 0; i--) {
-			node.book.take(Templates.ASSISTANT_NAME, BASIC, 1, now, now).permit().ifPresent((permit) -> {
+			node.allowances.acquire(Templates.ASSISTANT_NAME, BASIC, 1, now, now).permit().ifPresent((permit) -> {
 				if (random.nextBoolean()) {
-					node.book.giveBack(permit, 1);
+					node.allowances.release(permit, 1);
 				}
 			});
 		}
 	}
 
 	@Test
-	void oneEntryThatTakesAllDemandGetsNearlyAll() {
+	void entryWithAllDemandGetsNearlyAll() {
 		Node busy = new Node(1);
 		Node idle = new Node(2);
 		for (long now = 1; now < 5000; now += 100) {
 			for (int i = 0; i < 30; i++) {
-				busy.book.take(Templates.ASSISTANT_NAME, BASIC, 1, now, now)
+				busy.allowances.acquire(Templates.ASSISTANT_NAME, BASIC, 1, now, now)
 					.permit()
-					.ifPresent((permit) -> busy.book.giveBack(permit, 1));
+					.ifPresent((permit) -> busy.allowances.release(permit, 1));
 			}
 			round(busy, now);
 			round(idle, now);
 		}
-		assertThat(busy.book.share(KEY, 5000)).isGreaterThanOrEqualTo(0.95);
-		assertThat(idle.book.share(KEY, 5000)).isPositive();
+		assertThat(busy.allowances.share(KEY, 5000)).isGreaterThanOrEqualTo(0.95);
+		assertThat(idle.allowances.share(KEY, 5000)).isPositive();
 	}
 
 	@Test
-	void shareOfADeadEntryComesBack() {
+	void shareOfADeadEntryIsReassigned() {
 		Node lives = new Node(1);
 		Node dies = new Node(2);
 		round(dies, 1);
 		round(lives, 2);
-		double before = lives.book.share(KEY, 2);
-		for (long now = 100; now < 4 * TTL; now += 100) {
-			lives.book.take(Templates.ASSISTANT_NAME, BASIC, 1, now, now);
+		double before = lives.allowances.share(KEY, 2);
+		for (long now = 100; now < 4 * TTL_MILLIS; now += 100) {
+			lives.allowances.acquire(Templates.ASSISTANT_NAME, BASIC, 1, now, now);
 			round(lives, now);
 		}
-		assertThat(lives.book.share(KEY, 4 * TTL)).isGreaterThan(before).isGreaterThan(0.9);
+		assertThat(lives.allowances.share(KEY, 4 * TTL_MILLIS)).isGreaterThan(before).isGreaterThan(0.9);
 	}
 
 	@Test
-	void moneyOfADayIsNeverHandedOutTwice() {
+	void dailyBudgetIsNeverReservedTwice() {
 		Node one = new Node(1);
 		Node two = new Node(2);
 		long spent = 0;
@@ -129,7 +129,7 @@
 		for (long now = 1; now < 20_000; now += 20) {
 			Node node = (now % 40 == 1) ? one : two;
 			round(node, now);
-			if (node.book.take(Templates.ASSISTANT_NAME, BASIC, 300_000, now, now).permit().isPresent()) {
+			if (node.allowances.acquire(Templates.ASSISTANT_NAME, BASIC, 300_000, now, now).permit().isPresent()) {
 				spent += 300_000;
 			}
 		}
@@ -137,25 +137,25 @@
 	}
 
 	@Test
-	void entryWithoutAGrantRefusesTrulyNotRun() {
+	void entryWithoutAGrantRefusesAsStoreUnavailable() {
 		Node node = new Node(1);
-		assertThat(node.book.take(Templates.ASSISTANT_NAME, BASIC, 1, 1, 1).refusal().orElseThrow().reason())
+		assertThat(node.allowances.acquire(Templates.ASSISTANT_NAME, BASIC, 1, 1, 1).refusal().orElseThrow().reason())
 			.isEqualTo(RefusalReason.STORE_UNAVAILABLE);
 	}
 
 	private static final class Node {
 
-		private final AllowanceBook book = new AllowanceBook();
+		private final AllowanceTable allowances = new AllowanceTable();
 
-		private final GrantKeeper keeper;
+		private final GrantCoordinator coordinator;
 
 		private GrantDocument read;
 
 		private long askedAt;
 
 		Node(int number) {
-			this.book.apply(Templates.parse(Templates.ASSISTANT), 0);
-			this.keeper = new GrantKeeper(new NodeId("entry-" + number), TTL, this.book);
+			this.allowances.applyTemplate(Templates.parse(Templates.ASSISTANT), 0);
+			this.coordinator = new GrantCoordinator(new NodeId("entry-" + number), TTL_MILLIS, this.allowances);
 		}
 
 	}
--- a/daemon/src/main/java/org/gullsaddle/controller/GrantController.java
+++ b/daemon/src/main/java/org/gullsaddle/controller/GrantController.java
@@ -10,8 +10,8 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
+import org.gullsaddle.allowance.GrantCoordinator;
 import org.gullsaddle.allowance.GrantDocument;
-import org.gullsaddle.allowance.GrantKeeper;
 import org.gullsaddle.base.Json;
 import org.gullsaddle.store.Store;
 import org.gullsaddle.telemetry.NodeClock;
@@ -31,7 +31,7 @@
 
 	private final NodeClock clock;
 
-	private final GrantKeeper keeper;
+	private final GrantCoordinator keeper;
 
 	/**
 	 * Makes a controller.
@@ -40,7 +40,7 @@
 	 * @param clock the node's clocks
 	 * @param keeper decides the shares
 	 */
-	public GrantController(Store store, String prefix, NodeClock clock, GrantKeeper keeper) {
+	public GrantController(Store store, String prefix, NodeClock clock, GrantCoordinator keeper) {
 		this.store = store;
 		this.key = prefix + "grants";
 		this.clock = clock;
@@ -65,7 +65,7 @@
 			if (found.isEmpty()) {
 				return Completable.complete();
 			}
-			GrantDocument document = this.keeper.giveUpAll(read(found), this.clock.millis());
+			GrantDocument document = this.keeper.releaseGrants(read(found), this.clock.millis());
 			return write(found, document).ignoreElement();
 		});
 	}
@@ -80,14 +80,14 @@
 			}
 			return write(found, next).flatMapCompletable((revision) -> {
 				if (revision.isPresent()) {
-					this.keeper.accepted(this.clock.millis());
+					this.keeper.onAccepted(this.clock.millis());
 					return Completable.complete();
 				}
-				this.keeper.abandoned();
+				this.keeper.onNotAccepted();
 				return (triesLeft > 0) ? round(triesLeft - 1) : Completable.complete();
 			});
 		}).doOnError((failure) -> {
-			this.keeper.abandoned();
+			this.keeper.onNotAccepted();
 			LOG.atWarn().addKeyValue("reason", failure.getMessage()).log("allowances not renewed");
 		});
 	}
--- a/daemon/src/main/java/org/gullsaddle/entry/EntryNode.java
+++ b/daemon/src/main/java/org/gullsaddle/entry/EntryNode.java
@@ -21,8 +21,8 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-import org.gullsaddle.allowance.AllowanceBook;
-import org.gullsaddle.allowance.GrantKeeper;
+import org.gullsaddle.allowance.AllowanceTable;
+import org.gullsaddle.allowance.GrantCoordinator;
 import org.gullsaddle.allowance.Permit;
 import org.gullsaddle.base.AttemptId;
 import org.gullsaddle.base.Dispatch;
@@ -100,7 +100,7 @@
 
 	private final LedgerReader reader;
 
-	private final AllowanceBook allowances = new AllowanceBook();
+	private final AllowanceTable allowances = new AllowanceTable();
 
 	private final GrantController grants;
 
@@ -160,7 +160,7 @@
 		this.copies = new HeldCopies(this.ledger, clock);
 		this.reader = new LedgerReader(store, prefix);
 		this.grants = new GrantController(store, prefix, clock,
-				new GrantKeeper(new NodeId(run), entry.grantMillis(), this.allowances));
+				new GrantCoordinator(new NodeId(run), entry.grantMillis(), this.allowances));
 		this.claimRegister = new RegisterController(store, prefix + "claims/", clock, CLAIM_SHARDS,
 				CLAIM_RETENTION_MILLIS);
 		this.sessionRegister = new RegisterController(store, prefix + "sessions/", clock, SESSION_SHARDS,
@@ -359,7 +359,7 @@
 		this.ledger.append(new LedgerEntry.Whole(record));
 		Permit permit = this.permits.remove(record.request());
 		if (permit != null) {
-			this.allowances.giveBack(permit, record.costMicros());
+			this.allowances.release(permit, record.costMicros());
 		}
 		LOG.atInfo()
 			.addKeyValue("request", record.request())
@@ -387,7 +387,7 @@
 	 */
 	void refusedAtOnce(Exchange exchange, Refusal refusal) {
 		if (exchange.permit() != null) {
-			this.allowances.giveBack(exchange.permit(), 0);
+			this.allowances.release(exchange.permit(), 0);
 		}
 		if (exchange.team() == null || exchange.template() == null || exchange.deadline() == 0) {
 			this.telemetry.count("unrouted." + refusal.reason());
@@ -438,7 +438,7 @@
 		return this.templates;
 	}
 
-	AllowanceBook allowances() {
+	AllowanceTable allowances() {
 		return this.allowances;
 	}
 
@@ -502,7 +502,7 @@
 	}
 
 	private void templateChanged(TemplateRevision revision) {
-		this.allowances.apply(revision.template(), this.clock.millis());
+		this.allowances.applyTemplate(revision.template(), this.clock.millis());
 		// The agents hear of it first: a dispatch under a revision that its agent does
 		// not know
 		// would be refused.
--- a/daemon/src/main/java/org/gullsaddle/entry/Filters.java
+++ b/daemon/src/main/java/org/gullsaddle/entry/Filters.java
@@ -11,7 +11,7 @@
 import io.vertx.core.json.JsonArray;
 import io.vertx.core.json.JsonObject;
 
-import org.gullsaddle.allowance.AllowanceBook;
+import org.gullsaddle.allowance.AllowanceTable;
 import org.gullsaddle.base.Json;
 import org.gullsaddle.base.Refusal;
 import org.gullsaddle.base.RefusalReason;
@@ -279,7 +279,7 @@
 	/**
 	 * Takes the request's part of its team's allowance.
 	 */
-	record Allowance(EntryNode node, AllowanceBook book) implements Filter {
+	record Allowance(EntryNode node, AllowanceTable book) implements Filter {
 
 		@Override
 		public void apply(Exchange exchange) throws RefusedException {
@@ -293,7 +293,7 @@
 				.sorted()
 				.skip(Math.max(0, template.versions().size() - 2))
 				.sum();
-			AllowanceBook.Result result = this.book.take(exchange.template(), exchange.team(), cost,
+			AllowanceTable.Result result = this.book.acquire(exchange.template(), exchange.team(), cost,
 					this.node.clock().millis(), this.node.clock().wallMillis());
 			if (result.refusal().isPresent()) {
 				throw new RefusedException(result.refusal().get(), "the team's allowance is used up for now");
--- a/measure/src/main/java/org/gullsaddle/measure/AllowanceExperiment.java
+++ b/measure/src/main/java/org/gullsaddle/measure/AllowanceExperiment.java
@@ -3,10 +3,10 @@
 import java.util.List;
 import java.util.Random;
 
-import org.gullsaddle.allowance.AllowanceBook;
 import org.gullsaddle.allowance.AllowanceKey;
+import org.gullsaddle.allowance.AllowanceTable;
+import org.gullsaddle.allowance.GrantCoordinator;
 import org.gullsaddle.allowance.GrantDocument;
-import org.gullsaddle.allowance.GrantKeeper;
 import org.gullsaddle.base.NodeId;
 import org.gullsaddle.base.TeamId;
 import org.gullsaddle.template.Template;
@@ -63,24 +63,24 @@
 		GrantDocument next = node.keeper.propose(this.document, now, now, now);
 		if (next != null) {
 			this.document = next;
-			node.keeper.accepted(now);
+			node.keeper.onAccepted(now);
 		}
 	}
 
 	private static final class Node {
 
-		private final AllowanceBook book = new AllowanceBook();
+		private final AllowanceTable book = new AllowanceTable();
 
-		private final GrantKeeper keeper;
+		private final GrantCoordinator keeper;
 
 		Node(String name, Template template) {
-			this.book.apply(template, 0);
-			this.keeper = new GrantKeeper(new NodeId(name), 10_000, this.book);
+			this.book.applyTemplate(template, 0);
+			this.keeper = new GrantCoordinator(new NodeId(name), 10_000, this.book);
 		}
 
 		boolean take(long now) {
-			AllowanceBook.Result result = this.book.take(Fixture.NAME, TEAM, 1, now, now);
-			result.permit().ifPresent((permit) -> this.book.giveBack(permit, 1));
+			AllowanceTable.Result result = this.book.acquire(Fixture.NAME, TEAM, 1, now, now);
+			result.permit().ifPresent((permit) -> this.book.release(permit, 1));
 			return result.permit().isPresent();
 		}
 
