--- a/cli/src/main/java/org/gullsaddle/cli/LedgerCommands.java
+++ b/cli/src/main/java/org/gullsaddle/cli/LedgerCommands.java
@@ -156,12 +156,12 @@
 
 		@Override
 		ExitCode run(AdminClient client) throws CommandException {
-			List<ServingOrder.Written> written = new ArrayList<>();
+			List<ServingOrder.WriterRecord> written = new ArrayList<>();
 			for (JsonObject entry : objects(client.text("ledger?" + span()))) {
 				if (entry.containsKey("request")
 						&& (this.teams.isEmpty() || this.teams.contains(entry.getString("team")))) {
 					RequestRecord record = values(entry.encode(), RequestRecord.class).get(0);
-					written.add(new ServingOrder.Written(entry.getString("writer"), record));
+					written.add(new ServingOrder.WriterRecord(entry.getString("writer"), record));
 				}
 			}
 			StringBuilder text = new StringBuilder();
--- a/core/src/main/java/org/gullsaddle/agent/Admission.java
+++ b/core/src/main/java/org/gullsaddle/agent/Admission.java
@@ -19,8 +19,8 @@
 import org.gullsaddle.base.Usage;
 import org.gullsaddle.base.Verdict;
 import org.gullsaddle.clock.Moment;
-import org.gullsaddle.ledger.AttemptLine;
-import org.gullsaddle.ledger.HeldLine;
+import org.gullsaddle.ledger.AgentRecord;
+import org.gullsaddle.ledger.AttemptRecord;
 import org.gullsaddle.suspect.SuspectContent;
 import org.gullsaddle.suspect.SuspectTracker;
 import org.gullsaddle.template.Template;
@@ -373,7 +373,7 @@
 		if (work.alone()) {
 			this.suspects.clear(work.dispatch().fingerprint());
 		}
-		HeldLine line = hold(now, work, Verdict.RAN, "done", completion.usage());
+		AgentRecord line = hold(now, work, Verdict.RAN, "done", completion.usage());
 		AdmissionAction end = new AdmissionAction.SendDone(work.entry(), event.attempt(), completion, work.length());
 		this.closing.put(event.attempt(), new Closing(end, now.millis() + COPY_MILLIS));
 		Optional<NodeId> holder = this.entries.stream().filter((entry) -> !entry.equals(work.entry())).findAny();
@@ -422,15 +422,15 @@
 		startNext(now);
 	}
 
-	private HeldLine hold(Moment now, Work work, Verdict verdict, String outcome, Usage usage) {
+	private AgentRecord hold(Moment now, Work work, Verdict verdict, String outcome, Usage usage) {
 		Dispatch dispatch = work.dispatch();
 		// What a caller stopped it pays for as far as it ran; a backend server's fault is
 		// free.
 		boolean billed = verdict == Verdict.RAN || (work.cancelled() && !outcome.equals(CRASHED));
 		long cost = billed ? cost(dispatch, usage) : 0;
-		AttemptLine line = new AttemptLine(work.attempt(), dispatch.version(), this.settings.id(), dispatch.revision(),
-				verdict, outcome, usage, cost, work.startStamp(), now.stamp());
-		HeldLine held = new HeldLine(work.entry(), dispatch.team(), dispatch.template(), line);
+		AttemptRecord line = new AttemptRecord(work.attempt(), dispatch.version(), this.settings.id(),
+				dispatch.revision(), verdict, outcome, usage, cost, work.startStamp(), now.stamp());
+		AgentRecord held = new AgentRecord(work.entry(), dispatch.team(), dispatch.template(), line);
 		this.actions.add(new AdmissionAction.Hold(held));
 		return held;
 	}
--- a/core/src/main/java/org/gullsaddle/agent/AdmissionAction.java
+++ b/core/src/main/java/org/gullsaddle/agent/AdmissionAction.java
@@ -7,7 +7,7 @@
 import org.gullsaddle.base.Refusal;
 import org.gullsaddle.base.Usage;
 import org.gullsaddle.base.Verdict;
-import org.gullsaddle.ledger.HeldLine;
+import org.gullsaddle.ledger.AgentRecord;
 import org.gullsaddle.suspect.SuspectContent;
 
 /**
@@ -94,7 +94,7 @@
 	 *
 	 * @param line the line
 	 */
-	record Hold(HeldLine line) implements AdmissionAction {
+	record Hold(AgentRecord line) implements AdmissionAction {
 	}
 
 	/**
@@ -104,7 +104,7 @@
 	 * @param holder the other entry
 	 * @param line the line
 	 */
-	record Copy(NodeId holder, HeldLine line) implements AdmissionAction {
+	record Copy(NodeId holder, AgentRecord line) implements AdmissionAction {
 	}
 
 	/**
--- a/core/src/main/java/org/gullsaddle/agent/HeldLines.java
+++ b/core/src/main/java/org/gullsaddle/agent/HeldLines.java
@@ -9,7 +9,7 @@
 
 import org.gullsaddle.base.NodeId;
 import org.gullsaddle.base.RequestId;
-import org.gullsaddle.ledger.HeldLine;
+import org.gullsaddle.ledger.AgentRecord;
 
 /**
  * The lines of attempts that ran here and whose request's record is not known to be in
@@ -40,7 +40,7 @@
 	 * @param line the line
 	 * @param now the time in milliseconds on the monotonic clock
 	 */
-	public void hold(HeldLine line, long now) {
+	public void hold(AgentRecord line, long now) {
 		this.lines.computeIfAbsent(line.line().attempt().request(), (id) -> new ArrayList<>()).add(new Held(line, now));
 	}
 
@@ -59,8 +59,8 @@
 	 * @param connected the entries that are linked
 	 * @return the lines
 	 */
-	public List<HeldLine> due(long now, Set<NodeId> connected) {
-		List<HeldLine> due = new ArrayList<>();
+	public List<AgentRecord> due(long now, Set<NodeId> connected) {
+		List<AgentRecord> due = new ArrayList<>();
 		Iterator<List<Held>> each = this.lines.values().iterator();
 		while (each.hasNext()) {
 			List<Held> held = each.next();
@@ -76,8 +76,8 @@
 	 * Takes out all lines.
 	 * @return the lines
 	 */
-	public List<HeldLine> all() {
-		List<HeldLine> all = new ArrayList<>();
+	public List<AgentRecord> all() {
+		List<AgentRecord> all = new ArrayList<>();
 		this.lines.values().forEach((held) -> held.forEach((one) -> all.add(one.line())));
 		this.lines.clear();
 		return all;
@@ -97,7 +97,7 @@
 		return waited > this.patienceMillis || (gone && waited > this.patienceMillis / 10);
 	}
 
-	private record Held(HeldLine line, long since) {
+	private record Held(AgentRecord line, long since) {
 	}
 
 }
--- a/core/src/main/java/org/gullsaddle/ledger/HeldLine.java
+++ b/core/src/main/java/org/gullsaddle/ledger/AgentRecord.java
@@ -13,5 +13,5 @@
  * @param template the template
  * @param line the line
  */
-public record HeldLine(NodeId entry, TeamId team, TemplateName template, AttemptLine line) {
+public record AgentRecord(NodeId entry, TeamId team, TemplateName template, AttemptRecord line) {
 }
--- a/core/src/main/java/org/gullsaddle/ledger/AttemptLine.java
+++ b/core/src/main/java/org/gullsaddle/ledger/AttemptRecord.java
@@ -21,6 +21,6 @@
  * @param start when it was sent, as a hybrid logical clock stamp
  * @param end when its end was known, as a hybrid logical clock stamp
  */
-public record AttemptLine(AttemptId attempt, ModelVersion version, NodeId agent, long revision, Verdict verdict,
+public record AttemptRecord(AttemptId attempt, ModelVersion version, NodeId agent, long revision, Verdict verdict,
 		String outcome, Usage usage, long costMicros, long start, long end) {
 }
--- a/core/src/main/java/org/gullsaddle/ledger/Bills.java
+++ b/core/src/main/java/org/gullsaddle/ledger/Bills.java
@@ -24,9 +24,9 @@
 
 	private static final Comparator<AttemptId> ORDER = Comparator.comparingInt(AttemptId::number);
 
-	private final Map<RequestId, RequestRecord> wholes = new LinkedHashMap<>();
+	private final Map<RequestId, RequestRecord> requestRecords = new LinkedHashMap<>();
 
-	private final Map<RequestId, Map<AttemptId, HeldLine>> parts = new LinkedHashMap<>();
+	private final Map<RequestId, Map<AttemptId, AgentRecord>> agentRecords = new LinkedHashMap<>();
 
 	/**
 	 * Gathers entries.
@@ -45,9 +45,10 @@
 	 */
 	public void add(LedgerEntry entry) {
 		switch (entry) {
-			case LedgerEntry.Whole whole -> this.wholes.putIfAbsent(whole.request(), whole.record());
-			case LedgerEntry.Part part -> this.parts.computeIfAbsent(part.request(), (id) -> new TreeMap<>(ORDER))
-				.putIfAbsent(part.held().line().attempt(), part.held());
+			case LedgerEntry.RequestEntry whole -> this.requestRecords.putIfAbsent(whole.request(), whole.record());
+			case LedgerEntry.AttemptEntry part ->
+				this.agentRecords.computeIfAbsent(part.request(), (id) -> new TreeMap<>(ORDER))
+					.putIfAbsent(part.agentRecord().line().attempt(), part.agentRecord());
 		}
 	}
 
@@ -55,11 +56,11 @@
 	 * Returns one bill for each request.
 	 * @return the bills by request
 	 */
-	public Map<RequestId, Bill> all() {
+	public Map<RequestId, Bill> byRequest() {
 		Map<RequestId, Bill> bills = new LinkedHashMap<>();
-		this.wholes.forEach((id, record) -> bills.put(id, new Bill(id, record.team(), record.template(),
+		this.requestRecords.forEach((id, record) -> bills.put(id, new Bill(id, record.team(), record.template(),
 				record.costMicros(), record.verdict(), record.outcome())));
-		this.parts.forEach((id, lines) -> bills.computeIfAbsent(id, (missing) -> fromParts(id, lines)));
+		this.agentRecords.forEach((id, lines) -> bills.computeIfAbsent(id, (missing) -> fromAgentRecords(id, lines)));
 		return bills;
 	}
 
@@ -69,12 +70,12 @@
 	 */
 	public Map<TeamId, Long> byTeam() {
 		Map<TeamId, Long> totals = new HashMap<>();
-		all().values().forEach((bill) -> totals.merge(bill.team(), bill.costMicros(), Long::sum));
+		byRequest().values().forEach((bill) -> totals.merge(bill.team(), bill.costMicros(), Long::sum));
 		return new TreeMap<>(totals);
 	}
 
-	private static Bill fromParts(RequestId id, Map<AttemptId, HeldLine> lines) {
-		HeldLine first = lines.values().iterator().next();
+	private static Bill fromAgentRecords(RequestId id, Map<AttemptId, AgentRecord> lines) {
+		AgentRecord first = lines.values().iterator().next();
 		long cost = lines.values().stream().mapToLong((held) -> held.line().costMicros()).sum();
 		Verdict verdict = lines.values()
 			.stream()
--- a/core/src/main/java/org/gullsaddle/ledger/LedgerEntry.java
+++ b/core/src/main/java/org/gullsaddle/ledger/LedgerEntry.java
@@ -33,10 +33,10 @@
 	static LedgerEntry read(String text) throws IOException {
 		JsonNode tree = Json.tree(text);
 		if (tree.has("request")) {
-			return new Whole(Json.convert(tree, RequestRecord.class));
+			return new RequestEntry(Json.convert(tree, RequestRecord.class));
 		}
 		if (tree.has("line")) {
-			return new Part(Json.convert(tree, HeldLine.class));
+			return new AttemptEntry(Json.convert(tree, AgentRecord.class));
 		}
 		throw new IOException("a ledger entry is neither a request's record nor an attempt's line");
 	}
@@ -46,7 +46,7 @@
 	 *
 	 * @param record the record
 	 */
-	record Whole(RequestRecord record) implements LedgerEntry {
+	record RequestEntry(RequestRecord record) implements LedgerEntry {
 
 		@Override
 		public RequestId request() {
@@ -65,16 +65,16 @@
 	 *
 	 * @param held the line
 	 */
-	record Part(HeldLine held) implements LedgerEntry {
+	record AttemptEntry(AgentRecord agentRecord) implements LedgerEntry {
 
 		@Override
 		public RequestId request() {
-			return this.held.line().attempt().request();
+			return this.agentRecord.line().attempt().request();
 		}
 
 		@Override
 		public String text() {
-			return Json.write(this.held);
+			return Json.write(this.agentRecord);
 		}
 
 	}
--- a/core/src/main/java/org/gullsaddle/ledger/LedgerVerifier.java
+++ b/core/src/main/java/org/gullsaddle/ledger/LedgerVerifier.java
@@ -36,9 +36,9 @@
 		List<LedgerFlaw> flaws = new ArrayList<>();
 		byWriter.forEach((writer, own) -> {
 			own.sort(Comparator.comparingLong(Segment::sequence));
-			LedgerFlaw flaw = chain(own);
+			LedgerFlaw flaw = checkChain(own);
 			if (flaw == null) {
-				flaw = end(own.get(own.size() - 1), headOf.get(writer));
+				flaw = checkHead(own.get(own.size() - 1), headOf.get(writer));
 			}
 			if (flaw != null) {
 				flaws.add(flaw);
@@ -47,7 +47,7 @@
 		return flaws;
 	}
 
-	private static LedgerFlaw chain(List<Segment> segments) {
+	private static LedgerFlaw checkChain(List<Segment> segments) {
 		String hash = segments.get(0).previous();
 		long expected = segments.get(0).sequence();
 		for (Segment segment : segments) {
@@ -72,7 +72,7 @@
 		return null;
 	}
 
-	private static LedgerFlaw end(Segment last, LedgerHead head) {
+	private static LedgerFlaw checkHead(Segment last, LedgerHead head) {
 		if (head == null) {
 			return new LedgerFlaw(last.writer(), last.sequence(), 0, "the writer's head is missing");
 		}
--- a/core/src/main/java/org/gullsaddle/ledger/LedgerWriter.java
+++ b/core/src/main/java/org/gullsaddle/ledger/LedgerWriter.java
@@ -27,9 +27,9 @@
 
 	private final Deque<LedgerEntry> pending = new ArrayDeque<>();
 
-	private List<RequestId> underWayRequests = List.of();
+	private List<RequestId> inFlightRequests = List.of();
 
-	private Segment underWay;
+	private Segment inFlight;
 
 	private long sequence;
 
@@ -47,8 +47,8 @@
 	}
 
 	/**
-	 * Adds an entry. It is taken even when {@link #hasRoom()} is false: what ran is never
-	 * left out; the room bounds what is let in.
+	 * Adds an entry. It is taken even when {@link #hasCapacity()} is false: what ran is
+	 * never left out; the room bounds what is let in.
 	 * @param entry the entry
 	 */
 	public void append(LedgerEntry entry) {
@@ -60,40 +60,40 @@
 	 * would pile up in memory, and be lost with it.
 	 * @return true if fewer entries wait than allowed
 	 */
-	public boolean hasRoom() {
-		return waiting() < this.maxPending;
+	public boolean hasCapacity() {
+		return pendingCount() < this.maxPending;
 	}
 
 	/**
 	 * Returns how many entries are not known to be in the store.
 	 * @return the number
 	 */
-	public int waiting() {
-		return this.pending.size() + this.underWayRequests.size();
+	public int pendingCount() {
+		return this.pending.size() + this.inFlightRequests.size();
 	}
 
 	/**
 	 * Returns the segment to write: the one under way again, or the next.
 	 * @return the segment, or empty if there is nothing to write
 	 */
-	public Optional<Segment> next() {
-		if (this.underWay == null && !this.pending.isEmpty()) {
-			this.underWay = build();
+	public Optional<Segment> nextSegment() {
+		if (this.inFlight == null && !this.pending.isEmpty()) {
+			this.inFlight = build();
 		}
-		return Optional.ofNullable(this.underWay);
+		return Optional.ofNullable(this.inFlight);
 	}
 
 	/**
 	 * Notes that the store has the segment under way.
 	 * @return the requests whose entries it holds
 	 */
-	public List<RequestId> written() {
-		Check.that(this.underWay != null, "no segment is under way");
-		this.sequence = this.underWay.sequence();
-		this.head = this.underWay.head();
-		this.underWay = null;
-		List<RequestId> requests = this.underWayRequests;
-		this.underWayRequests = List.of();
+	public List<RequestId> onWritten() {
+		Check.that(this.inFlight != null, "no segment is under way");
+		this.sequence = this.inFlight.sequence();
+		this.head = this.inFlight.head();
+		this.inFlight = null;
+		List<RequestId> requests = this.inFlightRequests;
+		this.inFlightRequests = List.of();
 		return requests;
 	}
 
@@ -110,7 +110,7 @@
 			requests.add(entry.request());
 			characters += text.length();
 		}
-		this.underWayRequests = List.copyOf(requests);
+		this.inFlightRequests = List.copyOf(requests);
 		return new Segment(this.writer, this.sequence + 1, this.head, rows);
 	}
 
--- a/core/src/main/java/org/gullsaddle/ledger/RequestRecord.java
+++ b/core/src/main/java/org/gullsaddle/ledger/RequestRecord.java
@@ -24,7 +24,7 @@
  * @param finished when its caller had its final answer, as a hybrid logical clock stamp
  */
 public record RequestRecord(RequestId request, TeamId team, TemplateName template, String session, long admitted,
-		String plan, List<AttemptLine> attempts, Verdict verdict, String outcome, long costMicros, long finished) {
+		String plan, List<AttemptRecord> attempts, Verdict verdict, String outcome, long costMicros, long finished) {
 
 	public RequestRecord {
 		attempts = List.copyOf(attempts);
--- a/core/src/main/java/org/gullsaddle/ledger/ServingOrder.java
+++ b/core/src/main/java/org/gullsaddle/ledger/ServingOrder.java
@@ -31,10 +31,10 @@
 	 * @param uncertaintyMillis how far two clocks may differ, in milliseconds
 	 * @return the places, first served first
 	 */
-	public static List<Place> of(Collection<Written> written, long uncertaintyMillis) {
+	public static List<Place> of(Collection<WriterRecord> written, long uncertaintyMillis) {
 		Check.that(uncertaintyMillis >= 0, "uncertaintyMillis must not be negative");
 		List<Served> served = new ArrayList<>();
-		for (Written each : written) {
+		for (WriterRecord each : written) {
 			each.record()
 				.attempts()
 				.stream()
@@ -48,13 +48,13 @@
 		for (Served each : served) {
 			places.add(new Place(places.size() + 1, each.written().record().request(), each.written().record().team(),
 					each.line().version(), each.line().start(), each.written().writer(),
-					before == null || certain(before, each, uncertaintyMillis)));
+					before == null || isOrderCertain(before, each, uncertaintyMillis)));
 			before = each;
 		}
 		return places;
 	}
 
-	private static boolean certain(Served before, Served after, long uncertaintyMillis) {
+	private static boolean isOrderCertain(Served before, Served after, long uncertaintyMillis) {
 		if (before.written().writer().equals(after.written().writer())) {
 			return true;
 		}
@@ -68,7 +68,7 @@
 	 * @param writer the writer
 	 * @param record the record
 	 */
-	public record Written(String writer, RequestRecord record) {
+	public record WriterRecord(String writer, RequestRecord record) {
 	}
 
 	/**
@@ -86,7 +86,7 @@
 			boolean certain) {
 	}
 
-	private record Served(Written written, AttemptLine line) {
+	private record Served(WriterRecord written, AttemptRecord line) {
 	}
 
 }
--- a/core/src/main/java/org/gullsaddle/register/RegisterEvent.java
+++ b/core/src/main/java/org/gullsaddle/register/RegisterEvent.java
@@ -24,7 +24,7 @@
 	 * @param revision the value's revision, 0 if it does not exist
 	 * @param entries the entries in it
 	 */
-	record WasRead(long revision, List<Entry> entries) implements RegisterEvent {
+	record Loaded(long revision, List<Entry> entries) implements RegisterEvent {
 	}
 
 	/**
--- a/core/src/main/java/org/gullsaddle/register/RegisterShard.java
+++ b/core/src/main/java/org/gullsaddle/register/RegisterShard.java
@@ -38,13 +38,13 @@
 
 	private Map<String, Entry> written = Map.of();
 
-	private Map<String, Entry> known;
+	private Map<String, Entry> entries;
 
 	private long revision;
 
-	private boolean busy;
+	private boolean storeCallPending;
 
-	private long readsDone;
+	private long readCount;
 
 	private long retryAt = Long.MIN_VALUE;
 
@@ -70,13 +70,13 @@
 	 */
 	public List<RegisterAction> handle(long now, long wallMillis, RegisterEvent event) {
 		switch (event) {
-			case RegisterEvent.Submitted submitted -> submitted(submitted);
-			case RegisterEvent.WasRead read -> wasRead(read);
-			case RegisterEvent.ReadFailed failed -> readFailed(now);
-			case RegisterEvent.Written done -> written(done.revision());
-			case RegisterEvent.Conflicted conflict -> again();
-			case RegisterEvent.WriteUnknown unknown -> again();
-			case RegisterEvent.Tick tick -> expire(now);
+			case RegisterEvent.Submitted submitted -> onSubmitted(submitted);
+			case RegisterEvent.Loaded read -> onRead(read);
+			case RegisterEvent.ReadFailed failed -> onReadFailed(now);
+			case RegisterEvent.Written done -> onWritten(done.revision());
+			case RegisterEvent.Conflicted conflict -> retryBatch();
+			case RegisterEvent.WriteUnknown unknown -> retryBatch();
+			case RegisterEvent.Tick tick -> expireDeadlines(now);
 		}
 		advance(now, wallMillis);
 		List<RegisterAction> decided = List.copyOf(this.actions);
@@ -84,36 +84,36 @@
 		return decided;
 	}
 
-	private void submitted(RegisterEvent.Submitted event) {
+	private void onSubmitted(RegisterEvent.Submitted event) {
 		if (this.pending.size() >= MAX_PENDING) {
 			this.actions.add(new RegisterAction.Unavailable(event.id()));
 			return;
 		}
-		this.pending.add(new Pending(event.id(), event.operation(), event.deadline(), this.readsDone, false));
+		this.pending.add(new Pending(event.id(), event.operation(), event.deadline(), this.readCount, false));
 	}
 
-	private void wasRead(RegisterEvent.WasRead event) {
-		this.busy = false;
-		this.readsDone++;
+	private void onRead(RegisterEvent.Loaded event) {
+		this.storeCallPending = false;
+		this.readCount++;
 		this.revision = event.revision();
-		this.known = new LinkedHashMap<>();
+		this.entries = new LinkedHashMap<>();
 		for (Entry entry : event.entries()) {
-			this.known.put(entry.key(), entry);
+			this.entries.put(entry.key(), entry);
 		}
 	}
 
-	private void readFailed(long now) {
-		this.busy = false;
-		this.known = null;
+	private void onReadFailed(long now) {
+		this.storeCallPending = false;
+		this.entries = null;
 		this.retryAt = now + RETRY_MILLIS;
 		// Whoever waits for an answer gets it now; work that no one waits for is kept.
-		giveUp((waiting) -> waiting.deadline() != Long.MAX_VALUE);
+		abandon((waiting) -> waiting.deadline() != Long.MAX_VALUE);
 	}
 
-	private void written(long newRevision) {
-		this.busy = false;
+	private void onWritten(long newRevision) {
+		this.storeCallPending = false;
 		this.revision = newRevision;
-		this.known = this.written;
+		this.entries = this.written;
 		for (Pending done : this.batch) {
 			answer(done);
 		}
@@ -124,20 +124,20 @@
 	 * Reads before trying the batch again: what it put may be there, or what another node
 	 * put.
 	 */
-	private void again() {
-		this.busy = false;
-		this.known = null;
+	private void retryBatch() {
+		this.storeCallPending = false;
+		this.entries = null;
 		for (int i = this.batch.size() - 1; i >= 0; i--) {
-			this.pending.addFirst(this.batch.get(i).asTried());
+			this.pending.addFirst(this.batch.get(i).withTried());
 		}
 		this.batch = List.of();
 	}
 
-	private void expire(long now) {
-		giveUp((waiting) -> waiting.deadline() <= now);
+	private void expireDeadlines(long now) {
+		abandon((waiting) -> waiting.deadline() <= now);
 	}
 
-	private void giveUp(Predicate<Pending> condition) {
+	private void abandon(Predicate<Pending> condition) {
 		List<Pending> over = this.pending.stream().filter(condition).toList();
 		this.pending.removeAll(over);
 		for (Pending waiting : over) {
@@ -146,28 +146,28 @@
 				// A lost answer may hide a put that took effect; left behind, it would
 				// hold its
 				// key for a request that was told it had not run.
-				this.pending.add(new Pending(Pending.NOBODY, new Operation.Remove(put.key(), put.nonce()),
-						Long.MAX_VALUE, this.readsDone, false));
+				this.pending.add(new Pending(Pending.NO_CALLER, new Operation.Remove(put.key(), put.nonce()),
+						Long.MAX_VALUE, this.readCount, false));
 			}
 		}
 	}
 
 	private void advance(long now, long wallMillis) {
-		if (this.busy || this.pending.isEmpty() || now < this.retryAt) {
+		if (this.storeCallPending || this.pending.isEmpty() || now < this.retryAt) {
 			return;
 		}
-		if (this.known == null || this.pending.stream().anyMatch(this::needsRead)) {
-			this.busy = true;
+		if (this.entries == null || this.pending.stream().anyMatch(this::needsRead)) {
+			this.storeCallPending = true;
 			this.actions.add(new RegisterAction.Read());
 			return;
 		}
-		Map<String, Entry> next = new LinkedHashMap<>(this.known);
+		Map<String, Entry> next = new LinkedHashMap<>(this.entries);
 		next.values().removeIf((entry) -> entry.time() + this.retentionMillis < wallMillis);
 		List<Pending> taken = new ArrayList<>();
 		boolean changed = false;
 		while (!this.pending.isEmpty()) {
 			Pending each = this.pending.poll();
-			if (apply(next, each, wallMillis)) {
+			if (applyOperation(next, each, wallMillis)) {
 				changed = true;
 				taken.add(each);
 			}
@@ -182,7 +182,7 @@
 			}
 		}
 		if (changed) {
-			this.busy = true;
+			this.storeCallPending = true;
 			this.batch = taken;
 			this.written = next;
 			this.actions.add(new RegisterAction.Write(this.revision, List.copyOf(next.values())));
@@ -197,11 +197,11 @@
 	private boolean needsRead(Pending each) {
 		boolean answersFromPresent = each.operation() instanceof Operation.Put
 				|| each.operation() instanceof Operation.Replace;
-		return answersFromPresent && this.known.containsKey(each.operation().key())
-				&& each.submittedAfterRead() >= this.readsDone;
+		return answersFromPresent && this.entries.containsKey(each.operation().key())
+				&& each.readCountAtSubmission() >= this.readCount;
 	}
 
-	private boolean apply(Map<String, Entry> entries, Pending each, long wallMillis) {
+	private boolean applyOperation(Map<String, Entry> entries, Pending each, long wallMillis) {
 		Entry present = entries.get(each.operation().key());
 		return switch (each.operation()) {
 			case Operation.Put put -> present == null && entries.size() < this.maxEntries
@@ -222,8 +222,8 @@
 	}
 
 	private void answer(Pending each) {
-		if (each.id() != Pending.NOBODY) {
-			this.actions.add(new RegisterAction.Answer(each.id(), this.known.get(each.operation().key())));
+		if (each.id() != Pending.NO_CALLER) {
+			this.actions.add(new RegisterAction.Answer(each.id(), this.entries.get(each.operation().key())));
 		}
 	}
 
@@ -233,12 +233,12 @@
 	 * @param submittedAfterRead how many reads were done when it was asked for
 	 * @param tried whether a write with it was sent whose end is not known
 	 */
-	private record Pending(long id, Operation operation, long deadline, long submittedAfterRead, boolean tried) {
+	private record Pending(long id, Operation operation, long deadline, long readCountAtSubmission, boolean tried) {
 
-		static final long NOBODY = -1;
+		static final long NO_CALLER = -1;
 
-		Pending asTried() {
-			return new Pending(this.id, this.operation, this.deadline, this.submittedAfterRead, true);
+		Pending withTried() {
+			return new Pending(this.id, this.operation, this.deadline, this.readCountAtSubmission, true);
 		}
 
 	}
--- a/core/src/main/java/org/gullsaddle/route/RequestState.java
+++ b/core/src/main/java/org/gullsaddle/route/RequestState.java
@@ -14,7 +14,7 @@
 import org.gullsaddle.base.TeamId;
 import org.gullsaddle.base.Usage;
 import org.gullsaddle.base.Verdict;
-import org.gullsaddle.ledger.AttemptLine;
+import org.gullsaddle.ledger.AttemptRecord;
 import org.gullsaddle.ledger.RequestRecord;
 import org.gullsaddle.template.Template;
 import org.gullsaddle.template.TemplateRevision;
@@ -31,7 +31,7 @@
 
 	private final long admitted;
 
-	private final List<AttemptLine> lines = new ArrayList<>();
+	private final List<AttemptRecord> lines = new ArrayList<>();
 
 	private final Set<NodeId> tried = new HashSet<>();
 
@@ -209,7 +209,7 @@
 		if (attemptVerdict != Verdict.NOT_RUN) {
 			this.failed.add(closed.agent());
 		}
-		this.lines.add(new AttemptLine(closed.attempt(), closed.version(), closed.agent(), closed.revision(),
+		this.lines.add(new AttemptRecord(closed.attempt(), closed.version(), closed.agent(), closed.revision(),
 				attemptVerdict, attemptOutcome, usage, costMicros, closed.stamp(), stamp));
 		return closed;
 	}
@@ -313,7 +313,7 @@
 	}
 
 	long cost() {
-		return this.lines.stream().mapToLong(AttemptLine::costMicros).sum();
+		return this.lines.stream().mapToLong(AttemptRecord::costMicros).sum();
 	}
 
 	RequestRecord record() {
--- a/core/src/test/java/org/gullsaddle/base/StoredDocumentTests.java
+++ b/core/src/test/java/org/gullsaddle/base/StoredDocumentTests.java
@@ -18,9 +18,9 @@
 import org.gullsaddle.allowance.Grant;
 import org.gullsaddle.allowance.GrantDocument;
 import org.gullsaddle.fleet.RolloutState;
-import org.gullsaddle.ledger.AttemptLine;
+import org.gullsaddle.ledger.AgentRecord;
+import org.gullsaddle.ledger.AttemptRecord;
 import org.gullsaddle.ledger.Bills;
-import org.gullsaddle.ledger.HeldLine;
 import org.gullsaddle.ledger.LedgerEntry;
 import org.gullsaddle.ledger.LedgerFlaw;
 import org.gullsaddle.ledger.LedgerHead;
@@ -69,10 +69,10 @@
 
 	private static final Fingerprint CONTENT = new Fingerprint("c0ffee");
 
-	private static final AttemptLine LINE = new AttemptLine(ATTEMPT, VERSION, NODE, 3, Verdict.RAN, "done",
+	private static final AttemptRecord LINE = new AttemptRecord(ATTEMPT, VERSION, NODE, 3, Verdict.RAN, "done",
 			new Usage(4, 5), 6, 7, 8);
 
-	private static final HeldLine HELD = new HeldLine(NODE, TEAM, TEMPLATE, LINE);
+	private static final AgentRecord HELD = new AgentRecord(NODE, TEAM, TEMPLATE, LINE);
 
 	private static final RequestRecord RECORD = new RequestRecord(new RequestId("r1"), TEAM, TEMPLATE, "session-1", 9,
 			"cascade", List.of(LINE), Verdict.MAY_HAVE_RUN, "served", 10, 11);
@@ -86,7 +86,8 @@
 						Map.of(Trait.part("p2", "large"), 22L),
 						List.of(new CrashNote.NotedBlock(Trait.content(CONTENT), 23, 24, 25, 26))));
 		documents.put("limit-note", new LimitNote(27, true, 2.5));
-		documents.put("segment", new Segment("node-1", 1, "", List.of(row(new LedgerEntry.Whole(RECORD).text()))));
+		documents.put("segment",
+				new Segment("node-1", 1, "", List.of(row(new LedgerEntry.RequestEntry(RECORD).text()))));
 		documents.put("ledger-head", new LedgerHead("node-1", 28, "hash-1"));
 		documents.put("request-record", RECORD);
 		documents.put("held-line", HELD);
@@ -165,8 +166,8 @@
 		Segment segment = Json.read(kept().get("segment"), Segment.class);
 		LedgerHead head = new LedgerHead(segment.writer(), segment.sequence(), segment.head());
 		assertThat(LedgerVerifier.verify(List.of(segment), List.of(head))).isEmpty();
-		assertThat(LedgerEntry.read(segment.rows().get(0).text())).isEqualTo(new LedgerEntry.Whole(RECORD));
-		assertThat(LedgerEntry.read(kept().get("held-line"))).isEqualTo(new LedgerEntry.Part(HELD));
+		assertThat(LedgerEntry.read(segment.rows().get(0).text())).isEqualTo(new LedgerEntry.RequestEntry(RECORD));
+		assertThat(LedgerEntry.read(kept().get("held-line"))).isEqualTo(new LedgerEntry.AttemptEntry(HELD));
 	}
 
 	@Test
--- a/core/src/test/java/org/gullsaddle/fuzz/FuzzAgent.java
+++ b/core/src/test/java/org/gullsaddle/fuzz/FuzzAgent.java
@@ -24,7 +24,7 @@
 import org.gullsaddle.base.TeamId;
 import org.gullsaddle.base.Usage;
 import org.gullsaddle.base.Verdict;
-import org.gullsaddle.ledger.HeldLine;
+import org.gullsaddle.ledger.AgentRecord;
 import org.gullsaddle.ledger.LedgerEntry;
 import org.gullsaddle.ledger.LedgerWriter;
 import org.gullsaddle.ledger.Segment;
@@ -175,8 +175,8 @@
 
 	void tick() {
 		handle(new AdmissionEvent.Tick());
-		for (HeldLine line : this.held.due(this.world.now().millis(), this.world.entriesOf(this.id))) {
-			this.ledger.append(new LedgerEntry.Part(line));
+		for (AgentRecord line : this.held.due(this.world.now().millis(), this.world.entriesOf(this.id))) {
+			this.ledger.append(new LedgerEntry.AttemptEntry(line));
 		}
 		flush();
 	}
@@ -185,12 +185,12 @@
 	 * Writes all that is held, as on a graceful stop.
 	 */
 	void writeAll() {
-		this.held.all().forEach((line) -> this.ledger.append(new LedgerEntry.Part(line)));
+		this.held.all().forEach((line) -> this.ledger.append(new LedgerEntry.AttemptEntry(line)));
 		flush();
 	}
 
 	private void flush() {
-		Segment segment = this.ledger.next().orElse(null);
+		Segment segment = this.ledger.nextSegment().orElse(null);
 		if (segment == null || this.flushing || this.dead) {
 			return;
 		}
@@ -199,7 +199,7 @@
 		this.world.store.write(key, 0, segment, (result) -> {
 			this.flushing = false;
 			if (result instanceof FaultyStore.Result.Written || result instanceof FaultyStore.Result.Conflict) {
-				this.ledger.written();
+				this.ledger.onWritten();
 			}
 		});
 	}
--- a/core/src/test/java/org/gullsaddle/fuzz/FuzzEntry.java
+++ b/core/src/test/java/org/gullsaddle/fuzz/FuzzEntry.java
@@ -22,8 +22,8 @@
 import org.gullsaddle.base.RequestId;
 import org.gullsaddle.base.Usage;
 import org.gullsaddle.base.Verdict;
-import org.gullsaddle.ledger.AttemptLine;
-import org.gullsaddle.ledger.HeldLine;
+import org.gullsaddle.ledger.AgentRecord;
+import org.gullsaddle.ledger.AttemptRecord;
 import org.gullsaddle.ledger.LedgerEntry;
 import org.gullsaddle.ledger.LedgerWriter;
 import org.gullsaddle.ledger.RequestRecord;
@@ -142,7 +142,7 @@
 		this.handling = false;
 	}
 
-	void hold(HeldLine line) {
+	void hold(AgentRecord line) {
 		this.copies.hold(line, this.world.now().millis());
 		this.world.oracle.heldBy(line.line().attempt().request().value(), this.run);
 	}
@@ -152,15 +152,15 @@
 	}
 
 	void writeAll() {
-		this.copies.all().forEach((line) -> this.ledger.append(new LedgerEntry.Part(line)));
+		this.copies.all().forEach((line) -> this.ledger.append(new LedgerEntry.AttemptEntry(line)));
 	}
 
 	void tick() {
 		if (this.dead) {
 			return;
 		}
-		for (HeldLine line : this.copies.due(this.world.now().millis(), this.world.entries())) {
-			this.ledger.append(new LedgerEntry.Part(line));
+		for (AgentRecord line : this.copies.due(this.world.now().millis(), this.world.entries())) {
+			this.ledger.append(new LedgerEntry.AttemptEntry(line));
 		}
 		handle(new RouterEvent.Tick());
 		register("claims", this.claims, new RegisterEvent.Tick());
@@ -169,7 +169,7 @@
 	}
 
 	void flush() {
-		Segment segment = this.ledger.next().orElse(null);
+		Segment segment = this.ledger.nextSegment().orElse(null);
 		if (segment == null || this.flushing || this.dead) {
 			return;
 		}
@@ -179,7 +179,7 @@
 			this.flushing = false;
 			boolean there = this.world.store.get(key) != null && result instanceof FaultyStore.Result.Conflict;
 			if (!this.dead && (result instanceof FaultyStore.Result.Written || there)) {
-				recorded(this.ledger.written());
+				recorded(this.ledger.onWritten());
 			}
 		});
 	}
@@ -230,10 +230,10 @@
 			case RouterAction.KeepRecord keep -> keep(keep.record());
 			case RouterAction.Record record -> {
 				Set<NodeId> agents = new HashSet<>();
-				record.record().attempts().stream().map(AttemptLine::agent).forEach(agents::add);
+				record.record().attempts().stream().map(AttemptRecord::agent).forEach(agents::add);
 				this.holders.put(record.record().request(), agents);
 				if (this.world.plant != Plant.RECORDS_ARE_LOST) {
-					this.ledger.append(new LedgerEntry.Whole(record.record()));
+					this.ledger.append(new LedgerEntry.RequestEntry(record.record()));
 				}
 				this.world.oracle.heldBy(record.record().request().value(), this.run);
 			}
@@ -248,7 +248,7 @@
 			handle(new RouterEvent.RecordKept(record.request()));
 		}
 		else {
-			this.ledger.append(new LedgerEntry.Whole(record));
+			this.ledger.append(new LedgerEntry.RequestEntry(record));
 		}
 	}
 
@@ -331,7 +331,7 @@
 	@SuppressWarnings("unchecked")
 	private static RegisterEvent event(FaultyStore.Result result) {
 		return switch (result) {
-			case FaultyStore.Result.Read read -> new RegisterEvent.WasRead(read.revision(),
+			case FaultyStore.Result.Read read -> new RegisterEvent.Loaded(read.revision(),
 					(read.content() != null) ? (List<Entry>) read.content() : new ArrayList<>());
 			case FaultyStore.Result.Written written -> new RegisterEvent.Written(written.revision());
 			case FaultyStore.Result.Conflict conflict -> new RegisterEvent.Conflicted();
--- a/core/src/test/java/org/gullsaddle/fuzz/StoredBills.java
+++ b/core/src/test/java/org/gullsaddle/fuzz/StoredBills.java
@@ -25,7 +25,7 @@
 		}
 		Map<String, List<Long>> bills = new HashMap<>();
 		Bills.of(all)
-			.all()
+			.byRequest()
 			.values()
 			.forEach((bill) -> bills.computeIfAbsent(bill.request().value(), (id) -> new ArrayList<>())
 				.add(bill.costMicros()));
--- a/core/src/test/java/org/gullsaddle/ledger/LedgerTests.java
+++ b/core/src/test/java/org/gullsaddle/ledger/LedgerTests.java
@@ -30,18 +30,19 @@
 
 	private static final TemplateName TEMPLATE = new TemplateName("assistant");
 
-	private static AttemptLine line(String request, int number, long cost) {
-		return new AttemptLine(new AttemptId(new RequestId(request), number), ModelVersion.of("small@v1"),
+	private static AttemptRecord attemptRecord(String request, int number, long cost) {
+		return new AttemptRecord(new AttemptId(new RequestId(request), number), ModelVersion.of("small@v1"),
 				new NodeId("agent-1"), 1, Verdict.RAN, "done", new Usage(1, 2), cost, 1, 2);
 	}
 
-	private static LedgerEntry whole(String request, long cost) {
-		return new LedgerEntry.Whole(new RequestRecord(new RequestId(request), TEAM, TEMPLATE, null, 1, "direct",
-				List.of(line(request, 1, cost)), Verdict.RAN, "served", cost, 2));
+	private static LedgerEntry requestEntry(String request, long cost) {
+		return new LedgerEntry.RequestEntry(new RequestRecord(new RequestId(request), TEAM, TEMPLATE, null, 1, "direct",
+				List.of(attemptRecord(request, 1, cost)), Verdict.RAN, "served", cost, 2));
 	}
 
-	private static LedgerEntry part(String request, int number, long cost) {
-		return new LedgerEntry.Part(new HeldLine(new NodeId("entry-1"), TEAM, TEMPLATE, line(request, number, cost)));
+	private static LedgerEntry attemptEntry(String request, int number, long cost) {
+		return new LedgerEntry.AttemptEntry(
+				new AgentRecord(new NodeId("entry-1"), TEAM, TEMPLATE, attemptRecord(request, number, cost)));
 	}
 
 	@Nested
@@ -50,29 +51,29 @@
 		private final LedgerWriter writer = new LedgerWriter("entry-1.run", 3);
 
 		@Test
-		void segmentKeepsItsContentUntilItIsKnownToBeWritten() {
-			this.writer.append(whole("r1", 5));
-			Segment first = this.writer.next().orElseThrow();
-			this.writer.append(whole("r2", 5));
-			assertThat(this.writer.next()).contains(first);
-			assertThat(this.writer.written()).containsExactly(new RequestId("r1"));
-			Segment second = this.writer.next().orElseThrow();
+		void segmentKeepsItsContentUntilWritten() {
+			this.writer.append(requestEntry("r1", 5));
+			Segment first = this.writer.nextSegment().orElseThrow();
+			this.writer.append(requestEntry("r2", 5));
+			assertThat(this.writer.nextSegment()).contains(first);
+			assertThat(this.writer.onWritten()).containsExactly(new RequestId("r1"));
+			Segment second = this.writer.nextSegment().orElseThrow();
 			assertThat(second.sequence()).isEqualTo(2);
 			assertThat(second.previous()).isEqualTo(first.head());
 		}
 
 		@Test
-		void roomRunsOutWhileTheStoreIsDown() {
+		void capacityRunsOutWhileTheStoreIsDown() {
 			for (int i = 0; i < 3; i++) {
-				assertThat(this.writer.hasRoom()).isTrue();
-				this.writer.append(whole("r" + i, 1));
+				assertThat(this.writer.hasCapacity()).isTrue();
+				this.writer.append(requestEntry("r" + i, 1));
 			}
-			assertThat(this.writer.hasRoom()).isFalse();
+			assertThat(this.writer.hasCapacity()).isFalse();
 		}
 
 		@Test
 		void entriesAreReadAsTheyWereWritten() throws IOException {
-			for (LedgerEntry entry : List.of(whole("r1", 5), part("r2", 1, 7))) {
+			for (LedgerEntry entry : List.of(requestEntry("r1", 5), attemptEntry("r2", 1, 7))) {
 				assertThat(LedgerEntry.read(entry.text())).isEqualTo(entry);
 			}
 		}
@@ -91,10 +92,10 @@
 			LedgerWriter writer = new LedgerWriter("entry-1.run", 100);
 			for (int segment = 0; segment < 3; segment++) {
 				for (int i = 0; i < 3; i++) {
-					writer.append(whole("r" + segment + i, 5));
+					writer.append(requestEntry("r" + segment + i, 5));
 				}
-				this.segments.add(writer.next().orElseThrow());
-				writer.written();
+				this.segments.add(writer.nextSegment().orElseThrow());
+				writer.onWritten();
 			}
 			Segment last = this.segments.get(2);
 			this.head = new LedgerHead(last.writer(), last.sequence(), last.head());
@@ -165,10 +166,10 @@
 		}
 
 		@Test
-		void recordWrittenAnewWithItsChainIsFoundByTheNextSegment() {
+		void recordRewrittenWithItsChainIsFoundByTheNextSegment() {
 			LedgerWriter forger = new LedgerWriter("entry-1.run", 100);
-			forger.append(whole("forged", 1));
-			this.segments.set(0, forger.next().orElseThrow());
+			forger.append(requestEntry("forged", 1));
+			this.segments.set(0, forger.nextSegment().orElseThrow());
 			assertThat(flaw()).startsWith("entry-1.run, segment 2: the segment does not follow");
 		}
 
@@ -177,15 +178,16 @@
 	@Nested
 	class Order {
 
-		private static ServingOrder.Written served(String request, String writer, long millis) {
-			AttemptLine line = new AttemptLine(new AttemptId(new RequestId(request), 1), ModelVersion.of("small@v1"),
-					new NodeId("agent-1"), 1, Verdict.RAN, "done", Usage.NONE, 1, HybridClock.stamp(millis, 0), 0);
-			return new ServingOrder.Written(writer, new RequestRecord(new RequestId(request), TEAM, TEMPLATE, null, 1,
-					"direct", List.of(line), Verdict.RAN, "served", 1, 2));
+		private static ServingOrder.WriterRecord served(String request, String writer, long millis) {
+			AttemptRecord line = new AttemptRecord(new AttemptId(new RequestId(request), 1),
+					ModelVersion.of("small@v1"), new NodeId("agent-1"), 1, Verdict.RAN, "done", Usage.NONE, 1,
+					HybridClock.stamp(millis, 0), 0);
+			return new ServingOrder.WriterRecord(writer, new RequestRecord(new RequestId(request), TEAM, TEMPLATE, null,
+					1, "direct", List.of(line), Verdict.RAN, "served", 1, 2));
 		}
 
 		@Test
-		void oneClockTellsAnyOrderAndTwoOnlyBeyondTheirUncertainty() {
+		void orderOfTwoClocksIsCertainOnlyBeyondTheirUncertainty() {
 			List<ServingOrder.Place> places = ServingOrder.of(List.of(served("d", "two", 1030),
 					served("a", "one", 1000), served("b", "one", 1001), served("c", "two", 1005)), 10);
 			assertThat(places).extracting((place) -> place.request().value()).containsExactly("a", "b", "c", "d");
@@ -198,9 +200,10 @@
 	class Billing {
 
 		@Test
-		void recordAndHeldLinesOfARequestAreOneBill() {
-			Bills bills = Bills.of(List.of(part("r1", 1, 5), whole("r1", 5), whole("r1", 5), part("r1", 1, 5)));
-			assertThat(bills.all()).hasSize(1);
+		void requestRecordAndAgentRecordsAreOneBill() {
+			Bills bills = Bills.of(List.of(attemptEntry("r1", 1, 5), requestEntry("r1", 5), requestEntry("r1", 5),
+					attemptEntry("r1", 1, 5)));
+			assertThat(bills.byRequest()).hasSize(1);
 			assertThat(bills.byTeam()).containsEntry(TEAM, 5L);
 		}
 
@@ -209,14 +212,15 @@
 		 * held, one of them twice.
 		 */
 		@Test
-		void linesAloneMakeABill() {
-			Bills bills = Bills.of(List.of(part("r1", 1, 5), part("r1", 2, 40), part("r1", 2, 40)));
+		void agentRecordsAloneMakeABill() {
+			Bills bills = Bills
+				.of(List.of(attemptEntry("r1", 1, 5), attemptEntry("r1", 2, 40), attemptEntry("r1", 2, 40)));
 			assertThat(bills.byTeam()).containsEntry(TEAM, 45L);
 		}
 
 		@Test
 		void requestWithoutEntriesHasNoBill() {
-			assertThat(Optional.ofNullable(Bills.of(List.of()).all().get(new RequestId("r1")))).isEmpty();
+			assertThat(Optional.ofNullable(Bills.of(List.of()).byRequest().get(new RequestId("r1")))).isEmpty();
 		}
 
 	}
--- a/core/src/test/java/org/gullsaddle/register/RegisterShardTests.java
+++ b/core/src/test/java/org/gullsaddle/register/RegisterShardTests.java
@@ -15,12 +15,12 @@
 
 	private long now = 1;
 
-	private void happens(RegisterEvent event) {
+	private void handle(RegisterEvent event) {
 		this.actions.addAll(this.shard.handle(this.now, this.now, event));
 	}
 
 	private void put(long id, String key, String nonce) {
-		happens(new RegisterEvent.Submitted(id, new Operation.Put(key, nonce, "value"), this.now + 500));
+		handle(new RegisterEvent.Submitted(id, new Operation.Put(key, nonce, "value"), this.now + 500));
 	}
 
 	private static Entry entry(String key, String nonce) {
@@ -32,14 +32,14 @@
 	}
 
 	@Test
-	void operationsThatWaitShareOneWrite() {
+	void pendingOperationsShareOneWrite() {
 		put(1, "a", "n1");
 		put(2, "b", "n2");
-		happens(new RegisterEvent.WasRead(7, List.of()));
+		handle(new RegisterEvent.Loaded(7, List.of()));
 		RegisterAction.Write write = (RegisterAction.Write) last();
 		assertThat(write.expectedRevision()).isEqualTo(7);
 		assertThat(write.entries()).extracting(Entry::key).containsExactly("a", "b");
-		happens(new RegisterEvent.Written(8));
+		handle(new RegisterEvent.Written(8));
 		assertThat(this.actions).filteredOn(RegisterAction.Answer.class::isInstance).hasSize(2);
 	}
 
@@ -48,21 +48,21 @@
 	 * with this node's own nonce: the claim is granted, and not taken for another's.
 	 */
 	@Test
-	void lostAnswerIsSettledByReadingAgain() {
+	void lostAnswerIsResolvedByReadingAgain() {
 		put(1, "a", "n1");
-		happens(new RegisterEvent.WasRead(0, List.of()));
-		happens(new RegisterEvent.WriteUnknown());
+		handle(new RegisterEvent.Loaded(0, List.of()));
+		handle(new RegisterEvent.WriteUnknown());
 		assertThat(last()).isInstanceOf(RegisterAction.Read.class);
-		happens(new RegisterEvent.WasRead(1, List.of(entry("a", "n1"))));
+		handle(new RegisterEvent.Loaded(1, List.of(entry("a", "n1"))));
 		assertThat(last()).isEqualTo(new RegisterAction.Answer(1, entry("a", "n1")));
 	}
 
 	@Test
 	void conflictShowsWhatTheOtherNodePut() {
 		put(1, "a", "n1");
-		happens(new RegisterEvent.WasRead(0, List.of()));
-		happens(new RegisterEvent.Conflicted());
-		happens(new RegisterEvent.WasRead(1, List.of(entry("a", "other"))));
+		handle(new RegisterEvent.Loaded(0, List.of()));
+		handle(new RegisterEvent.Conflicted());
+		handle(new RegisterEvent.Loaded(1, List.of(entry("a", "other"))));
 		assertThat(last()).isEqualTo(new RegisterAction.Answer(1, entry("a", "other")));
 	}
 
@@ -72,48 +72,48 @@
 	 * later.
 	 */
 	@Test
-	void putOfUnknownFateIsTakenBack() {
+	void putWithUnknownResultIsRemoved() {
 		put(1, "a", "n1");
-		happens(new RegisterEvent.WasRead(0, List.of()));
-		happens(new RegisterEvent.WriteUnknown());
-		happens(new RegisterEvent.ReadFailed());
+		handle(new RegisterEvent.Loaded(0, List.of()));
+		handle(new RegisterEvent.WriteUnknown());
+		handle(new RegisterEvent.ReadFailed());
 		assertThat(last()).isEqualTo(new RegisterAction.Unavailable(1));
 		this.now += 300;
-		happens(new RegisterEvent.Tick());
-		happens(new RegisterEvent.WasRead(1, List.of(entry("a", "n1"))));
+		handle(new RegisterEvent.Tick());
+		handle(new RegisterEvent.Loaded(1, List.of(entry("a", "n1"))));
 		assertThat(((RegisterAction.Write) last()).entries()).isEmpty();
 	}
 
 	@Test
 	void entryReadBeforeTheOperationIsNotTrusted() {
 		put(1, "a", "n1");
-		happens(new RegisterEvent.WasRead(0, List.of(entry("b", "other"))));
-		happens(new RegisterEvent.Written(2));
+		handle(new RegisterEvent.Loaded(0, List.of(entry("b", "other"))));
+		handle(new RegisterEvent.Written(2));
 		put(2, "b", "n2");
 		assertThat(last()).isInstanceOf(RegisterAction.Read.class);
-		happens(new RegisterEvent.WasRead(3, List.of(entry("a", "n1"))));
+		handle(new RegisterEvent.Loaded(3, List.of(entry("a", "n1"))));
 		assertThat(((RegisterAction.Write) last()).entries()).extracting(Entry::key).containsExactly("a", "b");
 	}
 
 	@Test
-	void fullShardTakesNoMore() {
+	void fullShardAcceptsNoPut() {
 		put(1, "a", "n1");
-		happens(new RegisterEvent.WasRead(1, List.of(entry("x", "n"), entry("y", "n"))));
+		handle(new RegisterEvent.Loaded(1, List.of(entry("x", "n"), entry("y", "n"))));
 		assertThat(last()).isEqualTo(new RegisterAction.Unavailable(1));
 	}
 
 	@Test
-	void oldEntriesMakeRoom() {
+	void expiredEntriesFreeCapacity() {
 		this.now = 2000;
 		put(1, "a", "n1");
-		happens(new RegisterEvent.WasRead(1, List.of(entry("x", "n"), entry("y", "n"))));
+		handle(new RegisterEvent.Loaded(1, List.of(entry("x", "n"), entry("y", "n"))));
 		assertThat(((RegisterAction.Write) last()).entries()).extracting(Entry::key).containsExactly("a");
 	}
 
 	@Test
 	void onlyTheOwnerChangesItsEntry() {
-		happens(new RegisterEvent.Submitted(1, new Operation.Update("a", "stranger", "mine"), Long.MAX_VALUE));
-		happens(new RegisterEvent.WasRead(1, List.of(entry("a", "n1"))));
+		handle(new RegisterEvent.Submitted(1, new Operation.Update("a", "stranger", "mine"), Long.MAX_VALUE));
+		handle(new RegisterEvent.Loaded(1, List.of(entry("a", "n1"))));
 		assertThat(last()).isEqualTo(new RegisterAction.Answer(1, entry("a", "n1")));
 	}
 
--- a/daemon/src/main/java/org/gullsaddle/backend/AgentNode.java
+++ b/daemon/src/main/java/org/gullsaddle/backend/AgentNode.java
@@ -32,7 +32,7 @@
 import org.gullsaddle.base.Verdict;
 import org.gullsaddle.controller.LedgerController;
 import org.gullsaddle.controller.TemplateController;
-import org.gullsaddle.ledger.HeldLine;
+import org.gullsaddle.ledger.AgentRecord;
 import org.gullsaddle.ledger.LedgerEntry;
 import org.gullsaddle.settings.Role;
 import org.gullsaddle.settings.Settings;
@@ -371,8 +371,8 @@
 	private void tick() {
 		handle(new AdmissionEvent.Tick());
 		synchronized (this) {
-			for (HeldLine line : this.held.due(this.clock.millis(), this.entries.keySet())) {
-				this.ledger.append(new LedgerEntry.Part(line));
+			for (AgentRecord line : this.held.due(this.clock.millis(), this.entries.keySet())) {
+				this.ledger.append(new LedgerEntry.AttemptEntry(line));
 			}
 		}
 	}
@@ -386,7 +386,7 @@
 	}
 
 	private synchronized void writeAllHeld() {
-		this.held.all().forEach((line) -> this.ledger.append(new LedgerEntry.Part(line)));
+		this.held.all().forEach((line) -> this.ledger.append(new LedgerEntry.AttemptEntry(line)));
 	}
 
 	private synchronized List<SuspectContent> suspects() {
--- a/daemon/src/main/java/org/gullsaddle/controller/LedgerController.java
+++ b/daemon/src/main/java/org/gullsaddle/controller/LedgerController.java
@@ -76,7 +76,7 @@
 	 * @return true if there is room for their records
 	 */
 	public synchronized boolean hasRoom() {
-		return this.writer.hasRoom();
+		return this.writer.hasCapacity();
 	}
 
 	/**
@@ -84,7 +84,7 @@
 	 * @return the number
 	 */
 	public synchronized int waiting() {
-		return this.writer.waiting();
+		return this.writer.pendingCount();
 	}
 
 	/**
@@ -149,7 +149,7 @@
 	}
 
 	private synchronized Optional<Segment> next() {
-		Optional<Segment> segment = this.writer.next();
+		Optional<Segment> segment = this.writer.nextSegment();
 		if (segment.isPresent() && this.key == null) {
 			// The hour is part of the key, and must not change while the write is in
 			// doubt.
@@ -181,7 +181,7 @@
 	private void written() {
 		List<RequestId> requests;
 		synchronized (this) {
-			requests = this.writer.written();
+			requests = this.writer.onWritten();
 			this.key = null;
 		}
 		this.recorded.accept(requests);
--- a/daemon/src/main/java/org/gullsaddle/controller/RegisterController.java
+++ b/daemon/src/main/java/org/gullsaddle/controller/RegisterController.java
@@ -151,14 +151,14 @@
 		private void read() {
 			RegisterController.this.store.get(this.key)
 				.map((found) -> found.isPresent() ? decode(found.get())
-						: (RegisterEvent) new RegisterEvent.WasRead(0, List.of()))
+						: (RegisterEvent) new RegisterEvent.Loaded(0, List.of()))
 				.onErrorReturnItem(new RegisterEvent.ReadFailed())
 				.subscribe(this::handle);
 		}
 
 		private RegisterEvent decode(Store.StoredValue value) throws IOException {
 			Entry[] entries = Json.read(value.value(), Entry[].class);
-			return new RegisterEvent.WasRead(value.revision(), List.of(entries));
+			return new RegisterEvent.Loaded(value.revision(), List.of(entries));
 		}
 
 		private void write(RegisterAction.Write write) {
--- a/daemon/src/main/java/org/gullsaddle/entry/AdminApi.java
+++ b/daemon/src/main/java/org/gullsaddle/entry/AdminApi.java
@@ -301,7 +301,7 @@
 				JsonObject teams = new JsonObject();
 				bills.byTeam().forEach((team, micros) -> teams.put(team.value(), micros));
 				JsonArray requests = new JsonArray();
-				bills.all().values().forEach((bill) -> requests.add(new JsonObject(Json.write(bill))));
+				bills.byRequest().values().forEach((bill) -> requests.add(new JsonObject(Json.write(bill))));
 				context.json(new JsonObject().put("teams", teams).put("requests", requests));
 			}, (failure) -> fail(context, UNAVAILABLE, failure.getMessage()));
 	}
@@ -381,8 +381,8 @@
 
 	private static TeamId team(LedgerEntry entry) {
 		return switch (entry) {
-			case LedgerEntry.Whole whole -> whole.record().team();
-			case LedgerEntry.Part part -> part.held().team();
+			case LedgerEntry.RequestEntry whole -> whole.record().team();
+			case LedgerEntry.AttemptEntry part -> part.agentRecord().team();
 		};
 	}
 
--- a/daemon/src/main/java/org/gullsaddle/entry/EntryNode.java
+++ b/daemon/src/main/java/org/gullsaddle/entry/EntryNode.java
@@ -37,7 +37,7 @@
 import org.gullsaddle.controller.MemberController;
 import org.gullsaddle.controller.RegisterController;
 import org.gullsaddle.controller.TemplateController;
-import org.gullsaddle.ledger.AttemptLine;
+import org.gullsaddle.ledger.AttemptRecord;
 import org.gullsaddle.ledger.LedgerEntry;
 import org.gullsaddle.ledger.RequestRecord;
 import org.gullsaddle.rollout.Halt;
@@ -346,17 +346,17 @@
 
 	@Override
 	public void keepRecord(RequestRecord record) {
-		this.ledger.append(new LedgerEntry.Whole(record));
+		this.ledger.append(new LedgerEntry.RequestEntry(record));
 	}
 
 	@Override
 	public void record(RequestRecord record) {
 		Set<NodeId> agents = new HashSet<>();
-		record.attempts().stream().map(AttemptLine::agent).forEach(agents::add);
+		record.attempts().stream().map(AttemptRecord::agent).forEach(agents::add);
 		if (!agents.isEmpty()) {
 			this.holders.put(record.request(), agents);
 		}
-		this.ledger.append(new LedgerEntry.Whole(record));
+		this.ledger.append(new LedgerEntry.RequestEntry(record));
 		Permit permit = this.permits.remove(record.request());
 		if (permit != null) {
 			this.allowances.release(permit, record.costMicros());
@@ -396,7 +396,7 @@
 		this.telemetry.outcome(exchange.template(), exchange.team(), refusal.reason().toString());
 		if (this.ledger.hasRoom()) {
 			String session = (exchange.session() != null) ? exchange.session().value() : null;
-			this.ledger.append(new LedgerEntry.Whole(new RequestRecord(exchange.id(), exchange.team(),
+			this.ledger.append(new LedgerEntry.RequestEntry(new RequestRecord(exchange.id(), exchange.team(),
 					exchange.template(), session, exchange.arrival().stamp(), "none", List.of(), Verdict.NOT_RUN,
 					refusal.reason().toString(), 0, this.clock.stamp())));
 		}
--- a/daemon/src/main/java/org/gullsaddle/entry/HeldCopies.java
+++ b/daemon/src/main/java/org/gullsaddle/entry/HeldCopies.java
@@ -7,7 +7,7 @@
 import org.gullsaddle.base.NodeId;
 import org.gullsaddle.base.RequestId;
 import org.gullsaddle.controller.LedgerController;
-import org.gullsaddle.ledger.HeldLine;
+import org.gullsaddle.ledger.AgentRecord;
 import org.gullsaddle.ledger.LedgerEntry;
 import org.gullsaddle.telemetry.NodeClock;
 
@@ -30,7 +30,7 @@
 		this.clock = clock;
 	}
 
-	synchronized void hold(HeldLine line) {
+	synchronized void hold(AgentRecord line) {
 		this.lines.hold(line, this.clock.millis());
 	}
 
@@ -46,8 +46,8 @@
 		write(this.lines.all());
 	}
 
-	private void write(List<HeldLine> due) {
-		due.forEach((line) -> this.ledger.append(new LedgerEntry.Part(line)));
+	private void write(List<AgentRecord> due) {
+		due.forEach((line) -> this.ledger.append(new LedgerEntry.AttemptEntry(line)));
 	}
 
 }
--- a/daemon/src/main/java/org/gullsaddle/wire/Frame.java
+++ b/daemon/src/main/java/org/gullsaddle/wire/Frame.java
@@ -17,7 +17,7 @@
 import org.gullsaddle.base.TemplateName;
 import org.gullsaddle.base.Usage;
 import org.gullsaddle.base.Verdict;
-import org.gullsaddle.ledger.HeldLine;
+import org.gullsaddle.ledger.AgentRecord;
 import org.gullsaddle.rollout.Halt;
 import org.gullsaddle.settings.Role;
 import org.gullsaddle.suspect.SuspectContent;
@@ -206,7 +206,7 @@
 	 *
 	 * @param line the line
 	 */
-	record Copy(HeldLine line) implements Frame {
+	record Copy(AgentRecord line) implements Frame {
 	}
 
 	/**
--- a/daemon/src/test/java/org/gullsaddle/controller/LedgerControllerTests.java
+++ b/daemon/src/test/java/org/gullsaddle/controller/LedgerControllerTests.java
@@ -33,7 +33,7 @@
 
 	private RequestId append(String id) {
 		RequestId request = new RequestId(id);
-		this.ledger.append(new LedgerEntry.Whole(new RequestRecord(request, new TeamId("bakers"),
+		this.ledger.append(new LedgerEntry.RequestEntry(new RequestRecord(request, new TeamId("bakers"),
 				new TemplateName("assistant"), null, 1, "none", List.of(), Verdict.RAN, "served", 0, 2)));
 		return request;
 	}
--- a/daemon/src/test/java/org/gullsaddle/wire/FrameCodecTests.java
+++ b/daemon/src/test/java/org/gullsaddle/wire/FrameCodecTests.java
@@ -32,8 +32,8 @@
 import org.gullsaddle.base.TemplateName;
 import org.gullsaddle.base.Usage;
 import org.gullsaddle.base.Verdict;
-import org.gullsaddle.ledger.AttemptLine;
-import org.gullsaddle.ledger.HeldLine;
+import org.gullsaddle.ledger.AgentRecord;
+import org.gullsaddle.ledger.AttemptRecord;
 import org.gullsaddle.rollout.Halt;
 import org.gullsaddle.settings.Role;
 import org.gullsaddle.suspect.SuspectContent;
@@ -57,7 +57,7 @@
 	private static final ObjectMapper PLAIN = new ObjectMapper(new MessagePackFactory());
 
 	static Stream<Frame> frames() throws YamlException {
-		AttemptLine line = new AttemptLine(ATTEMPT, VERSION, NODE, 1, Verdict.RAN, "done", USAGE, 5, 6, 7);
+		AttemptRecord line = new AttemptRecord(ATTEMPT, VERSION, NODE, 1, Verdict.RAN, "done", USAGE, 5, 6, 7);
 		String yaml = """
 				template: t
 				versions: [{version: small@v1}]
@@ -75,7 +75,7 @@
 				new Frame.Chunk(ATTEMPT, 5, "text ü"),
 				new Frame.Done(ATTEMPT, new Completion(200, "text/plain", "stop", USAGE), 12),
 				new Frame.Failed(ATTEMPT, Verdict.MAY_HAVE_RUN, true, USAGE),
-				new Frame.Copy(new HeldLine(NODE, new TeamId("gold"), new TemplateName("t"), line)),
+				new Frame.Copy(new AgentRecord(NODE, new TeamId("gold"), new TemplateName("t"), line)),
 				new Frame.CopyHeld(ATTEMPT), new Frame.Recorded(List.of(new RequestId("r1"))),
 				new Frame.Templates(List.of(new TemplateRevision(4, "c", "ann", 8, yaml, Template.parse(yaml)))),
 				new Frame.InForce(Map.of(new TemplateName("t"), 4L)),
