--- a/core/src/main/java/org/gullsaddle/agent/Admission.java
+++ b/core/src/main/java/org/gullsaddle/agent/Admission.java
@@ -24,8 +24,8 @@
 import org.gullsaddle.suspect.SuspectContent;
 import org.gullsaddle.suspect.SuspectTracker;
 import org.gullsaddle.template.Template;
-import org.gullsaddle.template.TemplateBook;
 import org.gullsaddle.template.TemplateRevision;
+import org.gullsaddle.template.TemplateTable;
 
 /**
  * Decides what one backend server is given. Single-threaded: hand it one event at a time,
@@ -52,7 +52,7 @@
 
 	private final AdmissionSettings settings;
 
-	private final TemplateBook templates = new TemplateBook();
+	private final TemplateTable templates = new TemplateTable();
 
 	private final SuspectTracker suspects = new SuspectTracker();
 
@@ -154,7 +154,7 @@
 	 * Returns the revisions in force here.
 	 * @return the templates
 	 */
-	public TemplateBook templates() {
+	public TemplateTable templates() {
 		return this.templates;
 	}
 
@@ -227,7 +227,7 @@
 	 * and refuses too; the entry sends the revision ahead of the work.
 	 */
 	private boolean permitted(Dispatch dispatch) {
-		TemplateRevision held = this.templates.get(dispatch.template()).orElse(null);
+		TemplateRevision held = this.templates.find(dispatch.template()).orElse(null);
 		if (held == null || held.revision() < dispatch.revision()) {
 			return false;
 		}
@@ -436,9 +436,9 @@
 	}
 
 	private long cost(Dispatch dispatch, Usage usage) {
-		return this.templates.get(dispatch.template())
-			.flatMap((revision) -> revision.template().rule(dispatch.version()))
-			.map((rule) -> rule.price().of(usage))
+		return this.templates.find(dispatch.template())
+			.flatMap((revision) -> revision.template().findRule(dispatch.version()))
+			.map((rule) -> rule.price().costOf(usage))
 			.orElse(0L);
 	}
 
--- a/core/src/main/java/org/gullsaddle/base/Check.java
+++ b/core/src/main/java/org/gullsaddle/base/Check.java
@@ -35,7 +35,7 @@
 		}
 	}
 
-	static void id(String value, String name, int maxLength) {
+	static void checkId(String value, String name, int maxLength) {
 		notNull(value, name);
 		that(!value.isEmpty(), name + " must not be empty");
 		that(value.length() <= maxLength, name + " must have at most " + maxLength + " characters");
--- a/core/src/main/java/org/gullsaddle/base/Fingerprint.java
+++ b/core/src/main/java/org/gullsaddle/base/Fingerprint.java
@@ -14,7 +14,7 @@
 
 	@JsonCreator(mode = JsonCreator.Mode.DELEGATING)
 	public Fingerprint {
-		Check.id(value, "fingerprint", MAX_LENGTH);
+		Check.checkId(value, "fingerprint", MAX_LENGTH);
 	}
 
 	@Override
--- a/core/src/main/java/org/gullsaddle/base/ModelVersion.java
+++ b/core/src/main/java/org/gullsaddle/base/ModelVersion.java
@@ -14,8 +14,8 @@
 	private static final int MAX_LENGTH = 64;
 
 	public ModelVersion {
-		Check.id(model, "model", MAX_LENGTH);
-		Check.id(version, "version", MAX_LENGTH);
+		Check.checkId(model, "model", MAX_LENGTH);
+		Check.checkId(version, "version", MAX_LENGTH);
 		Check.that(model.indexOf('@') < 0 && version.indexOf('@') < 0, "model and version must not contain '@'");
 	}
 
--- a/core/src/main/java/org/gullsaddle/base/NodeId.java
+++ b/core/src/main/java/org/gullsaddle/base/NodeId.java
@@ -14,7 +14,7 @@
 
 	@JsonCreator(mode = JsonCreator.Mode.DELEGATING)
 	public NodeId {
-		Check.id(value, "node id", MAX_LENGTH);
+		Check.checkId(value, "node id", MAX_LENGTH);
 	}
 
 	@Override
--- a/core/src/main/java/org/gullsaddle/base/Price.java
+++ b/core/src/main/java/org/gullsaddle/base/Price.java
@@ -20,7 +20,7 @@
 	 * @param usage the tokens used
 	 * @return the cost in micro-dollars
 	 */
-	public long of(Usage usage) {
+	public long costOf(Usage usage) {
 		long tokens = usage.promptTokens() * this.promptPerThousand + usage.outputTokens() * this.outputPerThousand;
 		return this.perCall + Math.ceilDiv(tokens, THOUSAND);
 	}
--- a/core/src/main/java/org/gullsaddle/base/RequestId.java
+++ b/core/src/main/java/org/gullsaddle/base/RequestId.java
@@ -14,7 +14,7 @@
 
 	@JsonCreator(mode = JsonCreator.Mode.DELEGATING)
 	public RequestId {
-		Check.id(value, "request id", MAX_LENGTH);
+		Check.checkId(value, "request id", MAX_LENGTH);
 	}
 
 	@Override
--- a/core/src/main/java/org/gullsaddle/base/SessionId.java
+++ b/core/src/main/java/org/gullsaddle/base/SessionId.java
@@ -14,7 +14,7 @@
 
 	@JsonCreator(mode = JsonCreator.Mode.DELEGATING)
 	public SessionId {
-		Check.id(value, "session id", MAX_LENGTH);
+		Check.checkId(value, "session id", MAX_LENGTH);
 	}
 
 	@Override
--- a/core/src/main/java/org/gullsaddle/base/TeamId.java
+++ b/core/src/main/java/org/gullsaddle/base/TeamId.java
@@ -14,7 +14,7 @@
 
 	@JsonCreator(mode = JsonCreator.Mode.DELEGATING)
 	public TeamId {
-		Check.id(value, "team", MAX_LENGTH);
+		Check.checkId(value, "team", MAX_LENGTH);
 	}
 
 	@Override
--- a/core/src/main/java/org/gullsaddle/base/TemplateName.java
+++ b/core/src/main/java/org/gullsaddle/base/TemplateName.java
@@ -14,7 +14,7 @@
 
 	@JsonCreator(mode = JsonCreator.Mode.DELEGATING)
 	public TemplateName {
-		Check.id(value, "template name", MAX_LENGTH);
+		Check.checkId(value, "template name", MAX_LENGTH);
 	}
 
 	@Override
--- a/core/src/main/java/org/gullsaddle/base/Verdict.java
+++ b/core/src/main/java/org/gullsaddle/base/Verdict.java
@@ -33,7 +33,7 @@
 	 * @param other the verdict of the other attempt
 	 * @return the one that claims more to have happened
 	 */
-	public Verdict and(Verdict other) {
+	public Verdict combine(Verdict other) {
 		return (compareTo(other) >= 0) ? this : other;
 	}
 
--- a/core/src/main/java/org/gullsaddle/ledger/Bills.java
+++ b/core/src/main/java/org/gullsaddle/ledger/Bills.java
@@ -80,7 +80,7 @@
 		Verdict verdict = lines.values()
 			.stream()
 			.map((held) -> held.line().verdict())
-			.reduce(Verdict.NOT_RUN, Verdict::and);
+			.reduce(Verdict.NOT_RUN, Verdict::combine);
 		return new Bill(id, first.team(), first.template(), cost, verdict, "entry-lost");
 	}
 
--- a/core/src/main/java/org/gullsaddle/route/FinalAnswers.java
+++ b/core/src/main/java/org/gullsaddle/route/FinalAnswers.java
@@ -51,7 +51,7 @@
 			deliverFallback(now, state, "served-below-target");
 			return;
 		}
-		Refusal told = new Refusal(refusal.reason(), state.verdict().and(refusal.verdict()),
+		Refusal told = new Refusal(refusal.reason(), state.verdict().combine(refusal.verdict()),
 				refusal.retryAfterMillis());
 		this.outbox.add(new RouterAction.Refuse(state.id(), told));
 		end(now, state, told.reason().toString());
--- a/core/src/main/java/org/gullsaddle/route/Gate.java
+++ b/core/src/main/java/org/gullsaddle/route/Gate.java
@@ -8,7 +8,7 @@
 import org.gullsaddle.suspect.SuspectTracker;
 import org.gullsaddle.template.CutOffBehaviour;
 import org.gullsaddle.template.TeamRule;
-import org.gullsaddle.template.TemplateBook;
+import org.gullsaddle.template.TemplateTable;
 
 /**
  * Refuses at once what need not be tried.
@@ -21,7 +21,7 @@
 
 	private final RouterSettings settings;
 
-	private final TemplateBook templates;
+	private final TemplateTable templates;
 
 	private final SuspectTracker suspects;
 
@@ -29,7 +29,7 @@
 
 	private boolean cutOff;
 
-	Gate(RouterSettings settings, TemplateBook templates, SuspectTracker suspects, ComeBack comeBack) {
+	Gate(RouterSettings settings, TemplateTable templates, SuspectTracker suspects, ComeBack comeBack) {
 		this.settings = settings;
 		this.templates = templates;
 		this.suspects = suspects;
@@ -44,8 +44,8 @@
 	 * Returns the refusal of a request that is not to be let in, or empty.
 	 */
 	Optional<Refusal> check(Moment now, IncomingRequest request, int open) {
-		TeamRule team = this.templates.get(request.template())
-			.flatMap((revision) -> revision.template().team(request.team()))
+		TeamRule team = this.templates.find(request.template())
+			.flatMap((revision) -> revision.template().findTeam(request.team()))
 			.orElse(null);
 		if (team == null) {
 			return Optional.of(Refusal.notRun(RefusalReason.NO_TEMPLATE, 0));
--- a/core/src/main/java/org/gullsaddle/route/Outbox.java
+++ b/core/src/main/java/org/gullsaddle/route/Outbox.java
@@ -30,7 +30,7 @@
 
 	void send(RequestState state, NodeId agent, AttemptId attempt, boolean alone) {
 		IncomingRequest request = state.request();
-		TeamRule rule = state.template().team(state.team()).orElseThrow();
+		TeamRule rule = state.template().findTeam(state.team()).orElseThrow();
 		String resume = state.lastStage() ? state.received().toString() : "";
 		add(new RouterAction.Send(agent,
 				new Dispatch(attempt, state.team(), request.template(), state.revision().revision(), state.version(),
--- a/core/src/main/java/org/gullsaddle/route/Planner.java
+++ b/core/src/main/java/org/gullsaddle/route/Planner.java
@@ -50,7 +50,7 @@
 	 */
 	Optional<Plan> plan(Template template, TeamId team, Set<ModelVersion> served, double unit, boolean cascades,
 			double dice) {
-		TeamRule rule = template.team(team).orElse(null);
+		TeamRule rule = template.findTeam(team).orElse(null);
 		if (rule == null) {
 			return Optional.empty();
 		}
@@ -191,7 +191,7 @@
 	}
 
 	private static double cost(VersionRule version) {
-		return version.price().of(TYPICAL);
+		return version.price().costOf(TYPICAL);
 	}
 
 	private static String round(double number) {
--- a/core/src/main/java/org/gullsaddle/route/RequestState.java
+++ b/core/src/main/java/org/gullsaddle/route/RequestState.java
@@ -153,7 +153,7 @@
 	 * Returns the mean rating that the operator expects of a version.
 	 */
 	double expectedQuality(ModelVersion version) {
-		return template().rule(version).map(VersionRule::quality).orElse(UNKNOWN_QUALITY);
+		return template().findRule(version).map(VersionRule::quality).orElse(UNKNOWN_QUALITY);
 	}
 
 	boolean lastStage() {
@@ -205,7 +205,7 @@
 	Outstanding close(Verdict attemptVerdict, String attemptOutcome, Usage usage, long costMicros, long stamp) {
 		Outstanding closed = this.outstanding;
 		this.outstanding = null;
-		this.verdict = this.verdict.and(attemptVerdict);
+		this.verdict = this.verdict.combine(attemptVerdict);
 		if (attemptVerdict != Verdict.NOT_RUN) {
 			this.failed.add(closed.agent());
 		}
@@ -284,7 +284,7 @@
 	 * Returns the verdict for the caller: what is outstanding may have run.
 	 */
 	Verdict verdict() {
-		return (this.outstanding != null) ? this.verdict.and(Verdict.MAY_HAVE_RUN) : this.verdict;
+		return (this.outstanding != null) ? this.verdict.combine(Verdict.MAY_HAVE_RUN) : this.verdict;
 	}
 
 	boolean answered() {
--- a/core/src/main/java/org/gullsaddle/route/Router.java
+++ b/core/src/main/java/org/gullsaddle/route/Router.java
@@ -7,12 +7,12 @@
 
 import org.gullsaddle.base.AttemptId;
 import org.gullsaddle.base.Completion;
+import org.gullsaddle.base.KeyHash;
 import org.gullsaddle.base.ModelVersion;
 import org.gullsaddle.base.NodeId;
 import org.gullsaddle.base.Refusal;
 import org.gullsaddle.base.RefusalReason;
 import org.gullsaddle.base.RequestId;
-import org.gullsaddle.base.Spread;
 import org.gullsaddle.base.Usage;
 import org.gullsaddle.base.Verdict;
 import org.gullsaddle.clock.Moment;
@@ -22,8 +22,8 @@
 import org.gullsaddle.suspect.SuspectContent;
 import org.gullsaddle.suspect.SuspectTracker;
 import org.gullsaddle.template.Template;
-import org.gullsaddle.template.TemplateBook;
 import org.gullsaddle.template.TemplateRevision;
+import org.gullsaddle.template.TemplateTable;
 
 /**
  * Decides what happens to the requests of an entry. Single-threaded: hand it one event at
@@ -48,7 +48,7 @@
 
 	private final RandomGenerator random;
 
-	private final TemplateBook templates = new TemplateBook();
+	private final TemplateTable templates = new TemplateTable();
 
 	private final QualityBook quality = new QualityBook();
 
@@ -142,7 +142,7 @@
 
 	private void arrived(Moment now, IncomingRequest request) {
 		Optional<Refusal> refusal = this.gate.check(now, request, this.open.size());
-		TemplateRevision revision = this.templates.get(request.template()).orElse(null);
+		TemplateRevision revision = this.templates.find(request.template()).orElse(null);
 		RequestState state = new RequestState(request, revision, unit(request), now.stamp());
 		this.open.add(state);
 		if (refusal.isPresent()) {
@@ -575,14 +575,14 @@
 	}
 
 	private void refresh(RequestState state) {
-		this.templates.get(state.request().template())
-			.filter((newest) -> newest.template().team(state.team()).isPresent())
+		this.templates.find(state.request().template())
+			.filter((newest) -> newest.template().findTeam(state.team()).isPresent())
 			.ifPresent(state::refresh);
 	}
 
 	private long cost(RequestState state, Usage usage) {
 		Template template = state.template();
-		return template.rule(state.outstanding().version()).map((rule) -> rule.price().of(usage)).orElse(0L);
+		return template.findRule(state.outstanding().version()).map((rule) -> rule.price().costOf(usage)).orElse(0L);
 	}
 
 	/**
@@ -591,7 +591,7 @@
 	 */
 	private static double unit(IncomingRequest request) {
 		String key = request.session().map((session) -> request.team() + "/" + session).orElse(request.id().value());
-		return Spread.unit(key);
+		return KeyHash.toUnitInterval(key);
 	}
 
 }
--- a/core/src/main/java/org/gullsaddle/route/SpotChecks.java
+++ b/core/src/main/java/org/gullsaddle/route/SpotChecks.java
@@ -48,7 +48,7 @@
 		}
 		AttemptId attempt = new AttemptId(state.id(), state.attempts());
 		double expected = state.expectedQuality(version);
-		double bar = state.template().team(state.team()).map(Planner::bar).orElse(0.0);
+		double bar = state.template().findTeam(state.team()).map(Planner::bar).orElse(0.0);
 		this.waiting.put(attempt, new Check(state.subject(), expected, bar));
 		return Optional.of(new RouterAction.Rate(attempt, version, state.request().body(), answer));
 	}
--- a/core/src/main/java/org/gullsaddle/serve/ColdPace.java
+++ b/core/src/main/java/org/gullsaddle/serve/ColdPace.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 import java.util.Set;
 
-import org.gullsaddle.base.Spread;
+import org.gullsaddle.base.KeyHash;
 import org.gullsaddle.fleet.Replica;
 import org.gullsaddle.fleet.ReplicaId;
 
@@ -85,7 +85,7 @@
 
 	private long most(long second, ReplicaId replica, double share) {
 		double whole = Math.floor(share);
-		boolean oneMore = Spread.unit(this.node + '/' + replica + '/' + second) < share - whole;
+		boolean oneMore = KeyHash.toUnitInterval(this.node + '/' + replica + '/' + second) < share - whole;
 		return (long) whole + (oneMore ? 1 : 0);
 	}
 
--- a/core/src/main/java/org/gullsaddle/serve/Homes.java
+++ b/core/src/main/java/org/gullsaddle/serve/Homes.java
@@ -8,7 +8,7 @@
 import java.util.Set;
 import java.util.stream.Collectors;
 
-import org.gullsaddle.base.Spread;
+import org.gullsaddle.base.KeyHash;
 import org.gullsaddle.fleet.Replica;
 import org.gullsaddle.fleet.ReplicaId;
 
@@ -107,7 +107,7 @@
 		Set<ReplicaId> away = new HashSet<>();
 		for (List<Replica> near : byRegion.values()) {
 			List<Replica> ordered = new ArrayList<>(near);
-			ordered.sort(Comparator.comparingDouble((replica) -> Spread.unit(replica.id().value())));
+			ordered.sort(Comparator.comparingDouble((replica) -> KeyHash.toUnitInterval(replica.id().value())));
 			long homes = smallHomes(near.size());
 			for (int i = 0; i < ordered.size() && homes > 0; i++) {
 				if ((i < homes) == (task.scale() == ModelScale.LARGE)) {
--- a/core/src/main/java/org/gullsaddle/serve/LimitShare.java
+++ b/core/src/main/java/org/gullsaddle/serve/LimitShare.java
@@ -5,8 +5,8 @@
 import java.util.Optional;
 import java.util.OptionalInt;
 
+import org.gullsaddle.base.KeyHash;
 import org.gullsaddle.base.NodeId;
-import org.gullsaddle.base.Spread;
 import org.gullsaddle.fleet.Replica;
 
 /**
@@ -79,7 +79,7 @@
 
 	private static Comparator<Peer> nearest(Replica replica, Place place) {
 		return Comparator.comparing((Peer peer) -> place.reach(peer.dataCenter(), replica.dataCenter()))
-			.thenComparing((peer) -> Spread.unit(peer.node() + "/" + replica.id()))
+			.thenComparing((peer) -> KeyHash.toUnitInterval(peer.node() + "/" + replica.id()))
 			.thenComparing(Peer::node);
 	}
 
--- a/core/src/main/java/org/gullsaddle/serve/LoadTrial.java
+++ b/core/src/main/java/org/gullsaddle/serve/LoadTrial.java
@@ -6,8 +6,8 @@
 import java.util.Map;
 import java.util.Set;
 
+import org.gullsaddle.base.KeyHash;
 import org.gullsaddle.base.LoadReport;
-import org.gullsaddle.base.Spread;
 import org.gullsaddle.fleet.Replica;
 import org.gullsaddle.fleet.ReplicaId;
 
@@ -98,7 +98,8 @@
 	List<Replica> fill(long now, List<Replica> replicas, Set<ReplicaId> leftOut, boolean smallest) {
 		List<Replica> open = replicas.stream()
 			.filter((replica) -> !leftOut.contains(replica.id()))
-			.sorted(Comparator.comparingDouble((replica) -> Spread.unit(replica.id().value() + '@' + this.target)))
+			.sorted(Comparator
+				.comparingDouble((replica) -> KeyHash.toUnitInterval(replica.id().value() + '@' + this.target)))
 			.toList();
 		if (open.isEmpty()) {
 			return replicas;
--- a/core/src/main/java/org/gullsaddle/serve/Loss.java
+++ b/core/src/main/java/org/gullsaddle/serve/Loss.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-import org.gullsaddle.base.Spread;
+import org.gullsaddle.base.KeyHash;
 
 /**
  * What may be lost of a request's worth at a replica, as a share of that worth. The
@@ -136,7 +136,7 @@
 		public double of(Candidate candidate) {
 			List<PromptPart> parts = candidate.task().prompt().parts();
 			return parts.isEmpty() ? 0
-					: NOT_PREFERRED * Spread.unit(parts.get(0).id() + '/' + candidate.replica().id());
+					: NOT_PREFERRED * KeyHash.toUnitInterval(parts.get(0).id() + '/' + candidate.replica().id());
 		}
 
 	}
--- a/core/src/main/java/org/gullsaddle/serve/RetryRule.java
+++ b/core/src/main/java/org/gullsaddle/serve/RetryRule.java
@@ -49,7 +49,7 @@
 
 	private void ran(Verdict attempt) {
 		this.runs++;
-		this.verdict = this.verdict.and(attempt);
+		this.verdict = this.verdict.combine(attempt);
 	}
 
 	/**
--- a/core/src/main/java/org/gullsaddle/serve/Rollout.java
+++ b/core/src/main/java/org/gullsaddle/serve/Rollout.java
@@ -7,8 +7,8 @@
 import java.util.Optional;
 import java.util.Set;
 
+import org.gullsaddle.base.KeyHash;
 import org.gullsaddle.base.LoadReport;
-import org.gullsaddle.base.Spread;
 import org.gullsaddle.fleet.Replica;
 import org.gullsaddle.fleet.ReplicaId;
 import org.gullsaddle.fleet.RolloutOrder;
@@ -437,7 +437,7 @@
 	}
 
 	private boolean chosen(long now, ReleaseKey key) {
-		return Spread.unit(key.value() + '@' + this.order.target()) < share(now, key);
+		return KeyHash.toUnitInterval(key.value() + '@' + this.order.target()) < share(now, key);
 	}
 
 	/**
--- a/core/src/main/java/org/gullsaddle/serve/RolloutTurns.java
+++ b/core/src/main/java/org/gullsaddle/serve/RolloutTurns.java
@@ -3,7 +3,7 @@
 import java.util.HashMap;
 import java.util.Map;
 
-import org.gullsaddle.base.Spread;
+import org.gullsaddle.base.KeyHash;
 import org.gullsaddle.fleet.RolloutState;
 import org.gullsaddle.fleet.ServiceName;
 
@@ -79,7 +79,7 @@
 			case COMPLETED -> COMPLETE_SPREAD * duration;
 			case ROLLED_BACK -> TAKE_BACK_SPREAD_MILLIS;
 		};
-		return Math.round(spread * Spread.unit(this.node + '/' + rollout.order().target() + '/' + state));
+		return Math.round(spread * KeyHash.toUnitInterval(this.node + '/' + rollout.order().target() + '/' + state));
 	}
 
 	/**
--- a/core/src/main/java/org/gullsaddle/template/Freshness.java
+++ b/core/src/main/java/org/gullsaddle/template/ConfigFreshness.java
@@ -6,9 +6,9 @@
  * Tells a node that lost the store whether others may be changing the configuration
  * without it.
  */
-public final class Freshness {
+public final class ConfigFreshness {
 
-	private Freshness() {
+	private ConfigFreshness() {
 	}
 
 	/**
@@ -24,7 +24,7 @@
 	 * @param peers the other entries on the VM list
 	 * @return true if the node is cut off
 	 */
-	public static boolean cutOff(long ownAgeMillis, long limitMillis, Collection<Peer> peers) {
+	public static boolean isCutOff(long ownAgeMillis, long limitMillis, Collection<Peer> peers) {
 		if (ownAgeMillis <= limitMillis) {
 			return false;
 		}
--- a/core/src/main/java/org/gullsaddle/template/Template.java
+++ b/core/src/main/java/org/gullsaddle/template/Template.java
@@ -56,7 +56,7 @@
 	 * @param version the version
 	 * @return its rule, or empty if the template does not name it
 	 */
-	public Optional<VersionRule> rule(ModelVersion version) {
+	public Optional<VersionRule> findRule(ModelVersion version) {
 		return this.versions.stream().filter((rule) -> rule.version().equals(version)).findFirst();
 	}
 
@@ -65,7 +65,7 @@
 	 * @param team the team
 	 * @return its parameters, or empty if the template is not for this team
 	 */
-	public Optional<TeamRule> team(TeamId team) {
+	public Optional<TeamRule> findTeam(TeamId team) {
 		return Optional.ofNullable(this.teams.get(team));
 	}
 
@@ -81,7 +81,7 @@
 		if (teamRule == null || !teamRule.versions().contains(version)) {
 			return false;
 		}
-		return rule(version).map((rule) -> rule.accepts(pinned)).orElse(false);
+		return findRule(version).map((rule) -> rule.allowsStart(pinned)).orElse(false);
 	}
 
 	/**
@@ -152,7 +152,7 @@
 	}
 
 	private Template change(ModelVersion version, UnaryOperator<VersionRule> change) {
-		Check.that(rule(version).isPresent(), "template " + this.name + " has no version " + version);
+		Check.that(findRule(version).isPresent(), "template " + this.name + " has no version " + version);
 		List<VersionRule> rules = new ArrayList<>();
 		for (VersionRule rule : this.versions) {
 			rules.add(rule.version().equals(version) ? change.apply(rule) : rule);
--- a/core/src/main/java/org/gullsaddle/template/TemplateBook.java
+++ b/core/src/main/java/org/gullsaddle/template/TemplateTable.java
@@ -9,7 +9,7 @@
 /**
  * The templates in force on a node. Not thread-safe.
  */
-public final class TemplateBook {
+public final class TemplateTable {
 
 	private final Map<TemplateName, TemplateRevision> templates = new TreeMap<>();
 
@@ -36,7 +36,7 @@
 	 * @param name the template
 	 * @return the revision, or empty if none is known
 	 */
-	public Optional<TemplateRevision> get(TemplateName name) {
+	public Optional<TemplateRevision> find(TemplateName name) {
 		return Optional.ofNullable(this.templates.get(name));
 	}
 
@@ -54,7 +54,7 @@
 	 * Returns all templates in force, by name.
 	 * @return an unmodifiable snapshot
 	 */
-	public Map<TemplateName, TemplateRevision> all() {
+	public Map<TemplateName, TemplateRevision> snapshot() {
 		return Map.copyOf(this.templates);
 	}
 
--- a/core/src/main/java/org/gullsaddle/template/TemplateWriter.java
+++ b/core/src/main/java/org/gullsaddle/template/TemplateWriter.java
@@ -15,7 +15,7 @@
  */
 final class TemplateWriter {
 
-	private static final double MICROS = 1_000_000;
+	private static final double MICROS_PER_DOLLAR = 1_000_000;
 
 	private static final double PER_THOUSAND = 1000;
 
@@ -33,10 +33,10 @@
 		root.put("kind", template.kind().toString());
 		root.put("repeatable", template.repeatable());
 		ArrayNode versions = root.putArray("versions");
-		template.versions().forEach((rule) -> version(versions.addObject(), rule));
+		template.versions().forEach((rule) -> writeVersion(versions.addObject(), rule));
 		ObjectNode teams = root.putObject("teams");
 		new TreeMap<TeamId, TeamRule>(template.teams())
-			.forEach((team, rule) -> team(teams.putObject(team.value()), rule));
+			.forEach((team, rule) -> writeTeam(teams.putObject(team.value()), rule));
 		try {
 			return MAPPER.writeValueAsString(root);
 		}
@@ -45,7 +45,7 @@
 		}
 	}
 
-	private static void version(ObjectNode node, VersionRule rule) {
+	private static void writeVersion(ObjectNode node, VersionRule rule) {
 		node.put("version", rule.version().toString());
 		node.put("state", rule.state().toString());
 		node.put("share", rule.share());
@@ -53,10 +53,10 @@
 		ObjectNode price = node.putObject("price");
 		price.put("prompt", rule.price().promptPerThousand() / PER_THOUSAND);
 		price.put("output", rule.price().outputPerThousand() / PER_THOUSAND);
-		price.put("call", rule.price().perCall() / MICROS);
+		price.put("call", rule.price().perCall() / MICROS_PER_DOLLAR);
 	}
 
-	private static void team(ObjectNode node, TeamRule rule) {
+	private static void writeTeam(ObjectNode node, TeamRule rule) {
 		ArrayNode versions = node.putArray("versions");
 		rule.versions().stream().sorted().forEach((version) -> versions.add(version.toString()));
 		node.put("qualityTarget", rule.qualityTarget());
@@ -64,7 +64,7 @@
 		node.put("weight", rule.weight());
 		node.put("requestsPerSecond", rule.requestsPerSecond());
 		node.put("concurrent", rule.concurrent());
-		node.put("dollarsPerDay", rule.microDollarsPerDay() / MICROS);
+		node.put("dollarsPerDay", rule.microDollarsPerDay() / MICROS_PER_DOLLAR);
 		node.put("deadline", rule.deadlineMillis() + "ms");
 		node.put("cutOff", rule.cutOff().toString());
 	}
--- a/core/src/main/java/org/gullsaddle/template/VersionRule.java
+++ b/core/src/main/java/org/gullsaddle/template/VersionRule.java
@@ -38,7 +38,7 @@
 	 * @param pinned whether the request's session has this version already
 	 * @return true if it may
 	 */
-	public boolean accepts(boolean pinned) {
+	public boolean allowsStart(boolean pinned) {
 		return switch (this.state) {
 			case ACTIVE -> pinned || this.share > 0;
 			case RETIRING -> pinned;
--- a/core/src/main/java/org/gullsaddle/yaml/YamlNode.java
+++ b/core/src/main/java/org/gullsaddle/yaml/YamlNode.java
@@ -13,8 +13,8 @@
 
 /**
  * A place in a YAML text. Its readers return something usable even where the text is
- * wrong, and note the problem; {@link #check()} throws once all was read, so that a
- * person sees every problem at once.
+ * wrong, and note the problem; {@link #throwIfProblems()} throws once all was read, so
+ * that a person sees every problem at once.
  *
  * <pre>
  * YamlNode node = YamlNode.read(yaml);
@@ -25,9 +25,9 @@
  */
 public final class YamlNode {
 
-	private static final long SECOND = 1000;
+	private static final long SECOND_MILLIS = 1000;
 
-	private static final long MINUTE = 60 * SECOND;
+	private static final long MINUTE_MILLIS = 60 * SECOND_MILLIS;
 
 	private final JsonNode node;
 
@@ -43,7 +43,7 @@
 		this.lines = lines;
 		this.problems = problems;
 		if (!node.isObject() && pointer.isEmpty()) {
-			problem("", "must be a mapping of keys to values");
+			addProblem("", "must be a mapping of keys to values");
 		}
 	}
 
@@ -71,7 +71,7 @@
 	 * Throws if any problem was noted anywhere in the text.
 	 * @throws YamlException with all problems
 	 */
-	public void check() throws YamlException {
+	public void throwIfProblems() throws YamlException {
 		if (!this.problems.isEmpty()) {
 			throw new YamlException(this.problems);
 		}
@@ -90,7 +90,7 @@
 	 * @param key the key it is at, or empty for this place itself
 	 * @param reason what is wrong and what is allowed
 	 */
-	public void problem(String key, String reason) {
+	public void addProblem(String key, String reason) {
 		String place = key.isEmpty() ? this.pointer : this.pointer + "/" + key;
 		String path = place.isEmpty() ? "file" : place.substring(1).replace('/', '.');
 		this.problems.add(new Problem(this.lines.line(place), path, reason));
@@ -100,11 +100,11 @@
 	 * Notes every key that is not allowed here.
 	 * @param keys the keys allowed
 	 */
-	public void only(String... keys) {
+	public void checkKeys(String... keys) {
 		Set<String> known = Set.of(keys);
 		this.node.fieldNames().forEachRemaining((name) -> {
 			if (!known.contains(name)) {
-				problem(name, "unknown key; allowed are " + String.join(", ", keys));
+				addProblem(name, "unknown key; allowed are " + String.join(", ", keys));
 			}
 		});
 	}
@@ -129,7 +129,7 @@
 			value = JsonNodeFactory.instance.objectNode();
 		}
 		else if (!value.isObject()) {
-			problem(key, "must be a mapping of keys to values");
+			addProblem(key, "must be a mapping of keys to values");
 			value = JsonNodeFactory.instance.objectNode();
 		}
 		return new YamlNode(value, this.pointer + "/" + key, this.lines, this.problems);
@@ -152,7 +152,7 @@
 	 */
 	public List<YamlNode> items(String key) {
 		if (!this.node.path(key).isArray() || this.node.path(key).isEmpty()) {
-			problem(key, "must be a list with at least one item");
+			addProblem(key, "must be a list with at least one item");
 			return List.of();
 		}
 		return optionalItems(key);
@@ -170,7 +170,7 @@
 			return items;
 		}
 		if (!list.isArray()) {
-			problem(key, "must be a list");
+			addProblem(key, "must be a list");
 			return items;
 		}
 		for (int i = 0; i < list.size(); i++) {
@@ -189,7 +189,7 @@
 	 */
 	public <T> T convert(String key, Function<String, T> conversion) {
 		if (!has(key)) {
-			problem(key, "is missing");
+			addProblem(key, "is missing");
 			return null;
 		}
 		return convert(key, this.node.get(key).asText(), conversion);
@@ -227,7 +227,7 @@
 	public <T> T choice(String key, T[] values, T fallback) {
 		if (!has(key)) {
 			if (fallback == null) {
-				problem(key, "is missing");
+				addProblem(key, "is missing");
 			}
 			return fallback;
 		}
@@ -237,7 +237,7 @@
 				return value;
 			}
 		}
-		problem(key, "'" + text + "' is not allowed; allowed are "
+		addProblem(key, "'" + text + "' is not allowed; allowed are "
 				+ String.join(", ", Arrays.stream(values).map(Object::toString).toList()));
 		return fallback;
 	}
@@ -253,7 +253,7 @@
 			return fallback;
 		}
 		if (!this.node.get(key).isBoolean()) {
-			problem(key, "must be true or false");
+			addProblem(key, "must be true or false");
 		}
 		return this.node.get(key).asBoolean();
 	}
@@ -269,13 +269,13 @@
 	public double number(String key, double min, double max, Double fallback) {
 		if (!has(key)) {
 			if (fallback == null) {
-				problem(key, "is missing");
+				addProblem(key, "is missing");
 			}
 			return (fallback != null) ? fallback : min;
 		}
 		JsonNode value = this.node.get(key);
 		if (!value.isNumber() || value.asDouble() < min || value.asDouble() > max) {
-			problem(key, "must be a number between " + plain(min) + " and " + plain(max));
+			addProblem(key, "must be a number between " + format(min) + " and " + format(max));
 			return min;
 		}
 		return value.asDouble();
@@ -294,25 +294,25 @@
 		String text = this.node.get(key).asText();
 		try {
 			if (text.endsWith("ms")) {
-				return positive(key, Long.parseLong(text.substring(0, text.length() - 2)));
+				return checkPositive(key, Long.parseLong(text.substring(0, text.length() - 2)));
 			}
 			if (text.endsWith("s")) {
-				return positive(key, Long.parseLong(text.substring(0, text.length() - 1)) * SECOND);
+				return checkPositive(key, Long.parseLong(text.substring(0, text.length() - 1)) * SECOND_MILLIS);
 			}
 			if (text.endsWith("m")) {
-				return positive(key, Long.parseLong(text.substring(0, text.length() - 1)) * MINUTE);
+				return checkPositive(key, Long.parseLong(text.substring(0, text.length() - 1)) * MINUTE_MILLIS);
 			}
 		}
 		catch (NumberFormatException ex) {
 			// reported below, with the forms that are allowed
 		}
-		problem(key, "must be a time such as 500ms, 30s or 2m, not '" + text + "'");
+		addProblem(key, "must be a time such as 500ms, 30s or 2m, not '" + text + "'");
 		return fallback;
 	}
 
-	private long positive(String key, long millis) {
+	private long checkPositive(String key, long millis) {
 		if (millis <= 0) {
-			problem(key, "must be more than 0");
+			addProblem(key, "must be more than 0");
 		}
 		return millis;
 	}
@@ -322,12 +322,12 @@
 			return conversion.apply(text);
 		}
 		catch (IllegalArgumentException ex) {
-			problem(key, ex.getMessage());
+			addProblem(key, ex.getMessage());
 			return null;
 		}
 	}
 
-	private static String plain(double number) {
+	private static String format(double number) {
 		return (number == Math.rint(number)) ? Long.toString((long) number) : Double.toString(number);
 	}
 
--- a/core/src/test/java/org/gullsaddle/base/StoredDocumentTests.java
+++ b/core/src/test/java/org/gullsaddle/base/StoredDocumentTests.java
@@ -192,7 +192,7 @@
 			.isEqualTo("d9c2d66b522c2522728f539ff9f67b85d40defff095fc8a528c994f4f35bb3de");
 		assertThat(hex.formatHex(Digests.hmac("key".getBytes(StandardCharsets.UTF_8), "a", "b")))
 			.isEqualTo("29c5f0eea2d0a51b661193b3a56191192b2861f543ea0499a7f9725f7e7062fc");
-		assertThat(Spread.unit("replica-1@v2")).isEqualTo(0.18899674947299394);
+		assertThat(KeyHash.toUnitInterval("replica-1@v2")).isEqualTo(0.18899674947299394);
 	}
 
 }
--- a/core/src/test/java/org/gullsaddle/fuzz/FuzzAgent.java
+++ b/core/src/test/java/org/gullsaddle/fuzz/FuzzAgent.java
@@ -112,7 +112,7 @@
 	@Override
 	public boolean allowed(String team, String version) {
 		return template((held) -> held.template()
-			.team(new TeamId(team))
+			.findTeam(new TeamId(team))
 			.map((rule) -> rule.versions().contains(ModelVersion.of(version)))
 			.orElse(false));
 	}
@@ -120,7 +120,7 @@
 	@Override
 	public boolean withdrawn(String version) {
 		return template((held) -> held.template()
-			.rule(ModelVersion.of(version))
+			.findRule(ModelVersion.of(version))
 			.map((rule) -> rule.state() == VersionState.WITHDRAWN)
 			.orElse(true));
 	}
--- a/core/src/test/java/org/gullsaddle/template/TemplateTests.java
+++ b/core/src/test/java/org/gullsaddle/template/TemplateTests.java
@@ -93,8 +93,8 @@
 			Template two = Templates.parse(Templates.ASSISTANT.replace("  - {version: large@v1",
 					"  - {version: large@v2, share: 0, price: {output: 10}}\n  - {version: large@v1"));
 			Template changed = two.withShare(ModelVersion.of("large@v2"), 0.25);
-			assertThat(changed.rule(LARGE).orElseThrow().share()).isEqualTo(0.75);
-			assertThat(changed.rule(SMALL).orElseThrow().share()).isEqualTo(1);
+			assertThat(changed.findRule(LARGE).orElseThrow().share()).isEqualTo(0.75);
+			assertThat(changed.findRule(SMALL).orElseThrow().share()).isEqualTo(1);
 		}
 
 	}
@@ -109,7 +109,7 @@
 		@Test
 		void olderRevisionNeverReplacesANewerOne() {
 			Template template = Templates.parse(Templates.ASSISTANT);
-			TemplateBook book = new TemplateBook();
+			TemplateTable book = new TemplateTable();
 			assertThat(book.apply(Templates.revision(2, template.withState(LARGE, VersionState.WITHDRAWN)))).isTrue();
 			assertThat(book.apply(Templates.revision(1, template))).isFalse();
 			assertThat(book.revisionOf(template.name())).isEqualTo(2);
@@ -126,14 +126,14 @@
 				20000  |       |       | false
 				""")
 		void nodeIsCutOffOnlyIfAnotherEntryCouldBeTakingChanges(long own, String one, String two, boolean cutOff) {
-			assertThat(Freshness.cutOff(own, 10_000,
+			assertThat(ConfigFreshness.isCutOff(own, 10_000,
 					Stream.of(one, two).filter((age) -> age != null).map(InForce::peer).toList()))
 				.isEqualTo(cutOff);
 		}
 
-		private static Freshness.Peer peer(String age) {
-			return age.equals("gone") ? new Freshness.Peer(false, Long.MAX_VALUE)
-					: new Freshness.Peer(true, Long.parseLong(age));
+		private static ConfigFreshness.Peer peer(String age) {
+			return age.equals("gone") ? new ConfigFreshness.Peer(false, Long.MAX_VALUE)
+					: new ConfigFreshness.Peer(true, Long.parseLong(age));
 		}
 
 	}
--- a/daemon/src/main/java/org/gullsaddle/controller/TemplateController.java
+++ b/daemon/src/main/java/org/gullsaddle/controller/TemplateController.java
@@ -23,8 +23,8 @@
 import org.gullsaddle.store.StoreException;
 import org.gullsaddle.telemetry.NodeClock;
 import org.gullsaddle.template.Template;
-import org.gullsaddle.template.TemplateBook;
 import org.gullsaddle.template.TemplateRevision;
+import org.gullsaddle.template.TemplateTable;
 
 /**
  * Keeps the templates in force, from the store and from peers, and changes them by
@@ -46,7 +46,7 @@
 
 	private final NodeClock clock;
 
-	private final TemplateBook book = new TemplateBook();
+	private final TemplateTable book = new TemplateTable();
 
 	private final List<Consumer<TemplateRevision>> listeners = new CopyOnWriteArrayList<>();
 
@@ -94,7 +94,7 @@
 	 * @return a snapshot
 	 */
 	public synchronized Map<TemplateName, TemplateRevision> all() {
-		return this.book.all();
+		return this.book.snapshot();
 	}
 
 	/**
@@ -103,7 +103,7 @@
 	 */
 	public synchronized Map<TemplateName, Long> revisions() {
 		Map<TemplateName, Long> numbers = new HashMap<>();
-		this.book.all().forEach((name, revision) -> numbers.put(name, revision.revision()));
+		this.book.snapshot().forEach((name, revision) -> numbers.put(name, revision.revision()));
 		return numbers;
 	}
 
@@ -113,7 +113,7 @@
 	 * @return its revision, or empty if there is none
 	 */
 	public synchronized Optional<TemplateRevision> get(TemplateName name) {
-		return this.book.get(name);
+		return this.book.find(name);
 	}
 
 	/**
--- a/daemon/src/main/java/org/gullsaddle/entry/CallerApi.java
+++ b/daemon/src/main/java/org/gullsaddle/entry/CallerApi.java
@@ -114,7 +114,7 @@
 		}
 		JsonArray data = new JsonArray();
 		this.node.templates().all().forEach((name, revision) -> {
-			if (revision.template().team(exchange.team()).isPresent()) {
+			if (revision.template().findTeam(exchange.team()).isPresent()) {
 				data.add(new JsonObject().put("id", name.value()).put("object", "model").put("owned_by", "gullsaddle"));
 			}
 		});
--- a/daemon/src/main/java/org/gullsaddle/entry/EntryNode.java
+++ b/daemon/src/main/java/org/gullsaddle/entry/EntryNode.java
@@ -50,7 +50,7 @@
 import org.gullsaddle.suspect.SuspectContent;
 import org.gullsaddle.telemetry.NodeClock;
 import org.gullsaddle.telemetry.Telemetry;
-import org.gullsaddle.template.Freshness;
+import org.gullsaddle.template.ConfigFreshness;
 import org.gullsaddle.template.TemplateRevision;
 import org.gullsaddle.wire.Frame;
 import org.gullsaddle.wire.PeerDialer;
@@ -534,14 +534,14 @@
 
 	private void checkFreshness() {
 		Map<NodeId, PeerLink> links = this.members.links();
-		List<Freshness.Peer> peers = new ArrayList<>();
+		List<ConfigFreshness.Peer> peers = new ArrayList<>();
 		for (NodeId node : this.members.entries()) {
 			PeerLink link = links.get(node);
 			boolean reachable = link != null;
-			peers.add(new Freshness.Peer(reachable, reachable ? link.storeAge() : Long.MAX_VALUE));
+			peers.add(new ConfigFreshness.Peer(reachable, reachable ? link.storeAge() : Long.MAX_VALUE));
 		}
-		boolean now = Freshness.cutOff(this.templates.storeAge(), this.settings.entry().orElseThrow().cutOffMillis(),
-				peers);
+		boolean now = ConfigFreshness.isCutOff(this.templates.storeAge(),
+				this.settings.entry().orElseThrow().cutOffMillis(), peers);
 		if (now != this.cutOff) {
 			this.cutOff = now;
 			LOG.atWarn().addKeyValue("cutOff", now).log("configuration freshness changed");
--- a/daemon/src/main/java/org/gullsaddle/entry/Filters.java
+++ b/daemon/src/main/java/org/gullsaddle/entry/Filters.java
@@ -198,7 +198,7 @@
 		@Override
 		public void apply(Exchange exchange) throws RefusedException {
 			TemplateRevision revision = this.node.template(exchange.template()).orElse(null);
-			TeamRule team = (revision != null) ? revision.template().team(exchange.team()).orElse(null) : null;
+			TeamRule team = (revision != null) ? revision.template().findTeam(exchange.team()).orElse(null) : null;
 			if (team == null || revision.template().kind() != this.kind) {
 				throw new RefusedException(RefusalReason.NO_TEMPLATE,
 						"there is no template '" + exchange.template() + "' for this key");
@@ -289,7 +289,7 @@
 			long cost = template.versions()
 				.stream()
 				.map(VersionRule::price)
-				.mapToLong((price) -> price.of(most))
+				.mapToLong((price) -> price.costOf(most))
 				.sorted()
 				.skip(Math.max(0, template.versions().size() - 2))
 				.sum();
--- a/daemon/src/main/java/org/gullsaddle/gateway/Decisions.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/Decisions.java
@@ -3,7 +3,7 @@
 import java.util.Optional;
 import java.util.random.RandomGenerator;
 
-import org.gullsaddle.base.Spread;
+import org.gullsaddle.base.KeyHash;
 import org.gullsaddle.base.TeamId;
 import org.gullsaddle.fleet.FleetConfig;
 import org.gullsaddle.fleet.Replica;
@@ -194,7 +194,7 @@
 	 */
 	ServiceName service(Route route, String id) {
 		double total = route.shares().stream().mapToDouble(ServiceShare::weight).sum();
-		double point = Spread.unit(id) * total;
+		double point = KeyHash.toUnitInterval(id) * total;
 		for (ServiceShare share : route.shares()) {
 			point -= share.weight();
 			if (point < 0) {
--- a/daemon/src/main/java/org/gullsaddle/settings/Settings.java
+++ b/daemon/src/main/java/org/gullsaddle/settings/Settings.java
@@ -64,7 +64,7 @@
 	 */
 	public static Settings parse(String yaml) throws YamlException {
 		YamlNode root = YamlNode.read(yaml);
-		root.only("node", "role", "region", "dataCenter", "peers", "store", "vms", "entry", "agent", "stopWithin");
+		root.checkKeys("node", "role", "region", "dataCenter", "peers", "store", "vms", "entry", "agent", "stopWithin");
 		NodeId node = root.convert("node", NodeId::new);
 		Role role = root.choice("role", Role.values(), null);
 		String region = root.convert("region", Function.identity());
@@ -83,7 +83,7 @@
 			refuse(root, "entry", role);
 		}
 		long stop = root.millis("stopWithin", DEFAULT_STOP_MILLIS);
-		root.check();
+		root.throwIfProblems();
 		return new Settings(node, role, region, dataCenter, peers, store, vms, entry, agent, stop);
 	}
 
@@ -99,7 +99,7 @@
 
 	private static void refuse(YamlNode root, String key, Role role) {
 		if (root.has(key)) {
-			root.problem(key, "must not be given for the role " + role);
+			root.addProblem(key, "must not be given for the role " + role);
 		}
 	}
 
@@ -127,7 +127,7 @@
 	public record Peers(Address listen, byte[] key) {
 
 		static Peers read(YamlNode node) {
-			node.only("listen", "key");
+			node.checkKeys("listen", "key");
 			return new Peers(node.convert("listen", Address::of), node.convert("key", Settings::secret));
 		}
 
@@ -145,7 +145,7 @@
 		private static final long DEFAULT_TIMEOUT_MILLIS = 1000;
 
 		static Store read(YamlNode node) {
-			node.only("url", "timeout", "prefix");
+			node.checkKeys("url", "timeout", "prefix");
 			URI url = node.convert("url", Settings::url);
 			long timeout = node.millis("timeout", DEFAULT_TIMEOUT_MILLIS);
 			String prefix = node.has("prefix") ? node.convert("prefix", Function.identity()) : "gullsaddle/";
@@ -165,7 +165,7 @@
 		private static final long DEFAULT_POLL_MILLIS = 1000;
 
 		static Vms read(YamlNode node) {
-			node.only("url", "poll");
+			node.checkKeys("url", "poll");
 			return new Vms(node.convert("url", Settings::url), node.millis("poll", DEFAULT_POLL_MILLIS));
 		}
 
@@ -198,7 +198,7 @@
 		private static final long DEFAULT_CUT_OFF_MILLIS = 10_000;
 
 		static Entry read(YamlNode node) {
-			node.only("listen", "admin", "rating", "sessionKey", "teams", "operators", "shards", "grantFor",
+			node.checkKeys("listen", "admin", "rating", "sessionKey", "teams", "operators", "shards", "grantFor",
 					"cutOffAfter");
 			Address listen = node.convert("listen", Address::of);
 			Address admin = node.convert("admin", Address::of);
@@ -207,12 +207,12 @@
 			byte[] sessionKey = node.convert("sessionKey", Settings::secret);
 			List<AccessKey<TeamId>> teams = new ArrayList<>();
 			for (YamlNode item : node.items("teams")) {
-				item.only("team", "keySha256");
+				item.checkKeys("team", "keySha256");
 				teams.add(AccessKey.read(item, item.convert("team", TeamId::new)));
 			}
 			List<AccessKey<Operator>> operators = new ArrayList<>();
 			for (YamlNode item : node.items("operators")) {
-				item.only("operator", "keySha256", "teams");
+				item.checkKeys("operator", "keySha256", "teams");
 				operators.add(AccessKey.read(item, operator(item)));
 			}
 			return new Entry(listen, admin, rating, sessionKey, teams, operators,
@@ -285,14 +285,14 @@
 		private static final long DEFAULT_PROBE_MILLIS = 500;
 
 		static Agent read(YamlNode node) {
-			node.only("kind", "backend", "versions", "slots", "maxQueued", "probe", "status");
+			node.checkKeys("kind", "backend", "versions", "slots", "maxQueued", "probe", "status");
 			TemplateKind kind = node.choice("kind", TemplateKind.values(), null);
 			List<ModelVersion> versions = new ArrayList<>();
 			for (YamlNode item : node.optionalItems("versions")) {
 				versions.add(item.convertSelf(ModelVersion::of));
 			}
 			if (kind == TemplateKind.SERVICE && versions.isEmpty()) {
-				node.problem("versions", "must list at least one version for a plain service");
+				node.addProblem("versions", "must list at least one version for a plain service");
 			}
 			return new Agent(kind, node.convert("backend", Settings::url), versions,
 					(int) node.number("slots", 1, MAX_COUNT, DEFAULT_SLOTS),
