--- a/core/src/main/java/org/gullsaddle/fleet/ColdStart.java
+++ b/core/src/main/java/org/gullsaddle/fleet/ColdStart.java
@@ -5,10 +5,10 @@
  * if they get more requests than they bear then. How long a replica stays cold it says
  * itself.
  *
- * @param perSecond how many requests a second a cold replica bears from all callers
- * together, 0 if it bears as many as a warm one
+ * @param requestsPerSecond how many requests a second a cold replica bears from all
+ * callers together, 0 if it bears as many as a warm one
  */
-public record ColdStart(double perSecond) {
+public record ColdStart(double requestsPerSecond) {
 
 	/** Replicas that bear as many requests at their start as later. */
 	public static final ColdStart NONE = new ColdStart(0);
@@ -17,8 +17,8 @@
 	 * Says whether cold replicas need care.
 	 * @return true if they bear less than warm ones
 	 */
-	public boolean limited() {
-		return this.perSecond > 0;
+	public boolean isLimited() {
+		return this.requestsPerSecond > 0;
 	}
 
 }
--- a/core/src/main/java/org/gullsaddle/fleet/FleetChange.java
+++ b/core/src/main/java/org/gullsaddle/fleet/FleetChange.java
@@ -36,7 +36,7 @@
 	 * @param order the order
 	 * @param revision the store's revision of the order, another for each order
 	 */
-	record Ordered(RolloutOrder order, long revision) implements FleetChange {
+	record RolloutOrdered(RolloutOrder order, long revision) implements FleetChange {
 	}
 
 	/**
@@ -47,7 +47,8 @@
 	 * @param state the state
 	 * @param revision the store's revision of it
 	 */
-	record Progressed(ServiceName service, String target, RolloutState state, long revision) implements FleetChange {
+	record RolloutProgressed(ServiceName service, String target, RolloutState state,
+			long revision) implements FleetChange {
 	}
 
 	/**
@@ -72,7 +73,7 @@
 	 * @param key where
 	 * @param value what
 	 */
-	record Noted(String key, String value) implements FleetChange {
+	record NoteWritten(String key, String value) implements FleetChange {
 	}
 
 	/**
@@ -90,7 +91,7 @@
 	 * @param key where it stands
 	 * @param reason what is wrong with it
 	 */
-	record Unreadable(String key, String reason) implements FleetChange {
+	record RecordUnreadable(String key, String reason) implements FleetChange {
 	}
 
 }
--- a/core/src/main/java/org/gullsaddle/fleet/FleetConfig.java
+++ b/core/src/main/java/org/gullsaddle/fleet/FleetConfig.java
@@ -22,7 +22,7 @@
 
 	private final Map<ServiceName, ServiceSpec> services = new HashMap<>();
 
-	private final boolean keyed;
+	private final boolean isKeyRequired;
 
 	private final CallerLimits limits;
 
@@ -38,7 +38,7 @@
 			CallerLimits limits) {
 		this.version = version;
 		this.limits = limits;
-		this.keyed = !teams.isEmpty();
+		this.isKeyRequired = !teams.isEmpty();
 		routes.forEach((route) -> this.routesByHost
 			.computeIfAbsent(route.host().toLowerCase(Locale.ROOT), (host) -> new ArrayList<>())
 			.add(route));
@@ -62,7 +62,7 @@
 	 * @param path its path without the query
 	 * @return the route, or empty if none takes it
 	 */
-	public Optional<Route> route(String host, String path) {
+	public Optional<Route> findRoute(String host, String path) {
 		int colon = host.lastIndexOf(':');
 		String name = ((colon < 0) ? host : host.substring(0, colon)).toLowerCase(Locale.ROOT);
 		return this.routesByHost.getOrDefault(name, List.of())
@@ -83,8 +83,8 @@
 	 * Says whether requests need a key unless their route is open.
 	 * @return true if there are teams
 	 */
-	public boolean keyed() {
-		return this.keyed;
+	public boolean isKeyRequired() {
+		return this.isKeyRequired;
 	}
 
 	/**
@@ -92,7 +92,7 @@
 	 * @param key the key
 	 * @return the team, or empty if none holds it
 	 */
-	public Optional<Team> team(String key) {
+	public Optional<Team> findTeam(String key) {
 		return Optional.ofNullable(this.teamsByKey.get(key));
 	}
 
@@ -101,7 +101,7 @@
 	 * @param name its name
 	 * @return the service, or empty if it is not configured
 	 */
-	public Optional<ServiceSpec> service(ServiceName name) {
+	public Optional<ServiceSpec> findService(ServiceName name) {
 		return Optional.ofNullable(this.services.get(name));
 	}
 
--- a/core/src/main/java/org/gullsaddle/fleet/RegionLimit.java
+++ b/core/src/main/java/org/gullsaddle/fleet/RegionLimit.java
@@ -24,7 +24,7 @@
 	 * @param regions the regions; none means that there is no limit
 	 * @return the limit
 	 */
-	public static RegionLimit to(Collection<String> regions) {
+	public static RegionLimit of(Collection<String> regions) {
 		return regions.isEmpty() ? ANYWHERE : new RegionLimit(Optional.of(Set.copyOf(regions)));
 	}
 
@@ -33,7 +33,7 @@
 	 * @param other the other limit
 	 * @return the regions that both allow, which may be none
 	 */
-	public RegionLimit and(RegionLimit other) {
+	public RegionLimit intersect(RegionLimit other) {
 		if (other.regions.isEmpty()) {
 			return this;
 		}
--- a/core/src/main/java/org/gullsaddle/fleet/Replica.java
+++ b/core/src/main/java/org/gullsaddle/fleet/Replica.java
@@ -23,7 +23,7 @@
 	 * @param other the other entry
 	 * @return true if neither the address nor the start has changed
 	 */
-	public boolean sameProcess(Replica other) {
+	public boolean isSameProcess(Replica other) {
 		return this.address.equals(other.address) && this.startedAt == other.startedAt;
 	}
 
--- a/core/src/main/java/org/gullsaddle/fleet/ReplicaDirectory.java
+++ b/core/src/main/java/org/gullsaddle/fleet/ReplicaDirectory.java
@@ -16,8 +16,8 @@
  * While the store is away, leases of replicas that live and serve run out, and at its
  * return their entries are missing until they write again. Taken at its word, an empty
  * registry would turn every caller away. So an entry that goes missing around an outage
- * is kept for {@link #LAPSED_MILLIS} after the store's return, by when a replica that
- * lives has written again, and then is taken as gone.
+ * is kept for {@link #LAPSED_RETENTION_MILLIS} after the store's return, by when a
+ * replica that lives has written again, and then is taken as gone.
  */
 public final class ReplicaDirectory {
 
@@ -25,43 +25,46 @@
 	 * How long a lapsed entry is used after the store's return: replicas are back within
 	 * about two seconds, by the platform's word.
 	 */
-	static final long LAPSED_MILLIS = 2200;
+	static final long LAPSED_RETENTION_MILLIS = 2200;
 
 	/**
 	 * How long a replica that says that it leaves, and is not listed, is remembered, in
 	 * milliseconds: its entry may come back after an outage of the store.
 	 */
-	static final long LEAVING_MILLIS = 600_000;
+	static final long LEAVING_RETENTION_MILLIS = 600_000;
 
 	/** How long a replica is taken as cold by one word of it, in milliseconds. */
-	static final long MOST_COLD_MILLIS = 60_000;
+	static final long MAX_COLD_MILLIS = 60_000;
 
 	private final Map<ReplicaId, Replica> listed = new TreeMap<>();
 
 	private final Map<ReplicaId, Replica> lapsed = new HashMap<>();
 
-	private final Set<String> evacuated = new TreeSet<>();
+	private final Set<String> evacuatedDataCenters = new TreeSet<>();
 
 	private final Map<ReplicaId, Cold> cold = new HashMap<>();
 
 	/** Replicas that have said themselves that they leave. */
 	private final Map<ReplicaId, Leaving> leaving = new HashMap<>();
 
-	private boolean away;
+	private boolean storeUnreachable;
 
 	private boolean told;
 
-	private boolean everAway;
+	private boolean wasUnreachable;
 
-	private long backAt;
+	private long reachableSince;
 
 	/**
 	 * Takes in that the whole registry was read.
 	 * @param now the time
 	 * @param ids all replicas that it lists
 	 */
-	public void retain(long now, Set<ReplicaId> ids) {
-		List.copyOf(this.listed.keySet()).stream().filter((id) -> !ids.contains(id)).forEach((id) -> remove(now, id));
+	public void onRegistryRead(long now, Set<ReplicaId> ids) {
+		List.copyOf(this.listed.keySet())
+			.stream()
+			.filter((id) -> !ids.contains(id))
+			.forEach((id) -> onUnlisted(now, id));
 		this.told = true;
 	}
 
@@ -69,7 +72,7 @@
 	 * Takes in an entry.
 	 * @param replica the entry
 	 */
-	public void put(Replica replica) {
+	public void onListed(Replica replica) {
 		this.lapsed.remove(replica.id());
 		this.listed.put(replica.id(), replica);
 	}
@@ -79,10 +82,10 @@
 	 * @param now the time
 	 * @param id the replica
 	 */
-	public void remove(long now, ReplicaId id) {
+	public void onUnlisted(long now, ReplicaId id) {
 		Replica replica = this.listed.remove(id);
 		if (replica != null) {
-			missing(now, replica);
+			onMissing(now, replica);
 		}
 		if (!this.lapsed.containsKey(id)) {
 			this.cold.remove(id);
@@ -96,10 +99,10 @@
 	 * @param replica the replica
 	 * @param millis how long, in milliseconds
 	 */
-	public void cold(long now, Replica replica, long millis) {
+	public void onColdReport(long now, Replica replica, long millis) {
 		Cold before = this.cold.get(replica.id());
-		if (before == null || before.toldMillis != millis || !before.replica.sameProcess(replica)) {
-			long until = now + Math.clamp(millis, 0, MOST_COLD_MILLIS);
+		if (before == null || before.reportedMillis != millis || !before.replica.isSameProcess(replica)) {
+			long until = now + Math.clamp(millis, 0, MAX_COLD_MILLIS);
 			this.cold.put(replica.id(), new Cold(replica, millis, until));
 		}
 	}
@@ -120,7 +123,7 @@
 	 * @param now the time
 	 * @return their number
 	 */
-	public long countCold(long now) {
+	public long coldCount(long now) {
 		return this.listed.keySet().stream().filter((id) -> coldMillis(now, id) > 0).count();
 	}
 
@@ -131,13 +134,13 @@
 	 * @param replica the replica
 	 * @return whether that is new
 	 */
-	public boolean leave(long now, Replica replica) {
-		if (leaving(replica)) {
+	public boolean onLeaving(long now, Replica replica) {
+		if (isLeaving(replica)) {
 			return false;
 		}
 		this.leaving.entrySet()
-			.removeIf(
-					(entry) -> now - entry.getValue().at > LEAVING_MILLIS && !this.listed.containsKey(entry.getKey()));
+			.removeIf((entry) -> now - entry.getValue().at > LEAVING_RETENTION_MILLIS
+					&& !this.listed.containsKey(entry.getKey()));
 		this.leaving.put(replica.id(), new Leaving(replica, now));
 		return true;
 	}
@@ -147,9 +150,9 @@
 	 * @param replica the replica
 	 * @return true if its process has
 	 */
-	public boolean leaving(Replica replica) {
+	public boolean isLeaving(Replica replica) {
 		Leaving told = this.leaving.get(replica.id());
-		return told != null && told.replica.sameProcess(replica);
+		return told != null && told.replica.isSameProcess(replica);
 	}
 
 	/**
@@ -158,7 +161,7 @@
 	 * @return whether that is new
 	 */
 	public boolean evacuate(String dataCenter) {
-		return this.evacuated.add(dataCenter);
+		return this.evacuatedDataCenters.add(dataCenter);
 	}
 
 	/**
@@ -166,16 +169,16 @@
 	 * @param dataCenter the data center
 	 * @return whether it was to be emptied until now
 	 */
-	public boolean takeBack(String dataCenter) {
-		return this.evacuated.remove(dataCenter);
+	public boolean endEvacuation(String dataCenter) {
+		return this.evacuatedDataCenters.remove(dataCenter);
 	}
 
 	/**
 	 * Returns the data centers whose replicas get nothing new.
 	 * @return their names
 	 */
-	public Set<String> evacuated() {
-		return Set.copyOf(this.evacuated);
+	public Set<String> evacuatedDataCenters() {
+		return Set.copyOf(this.evacuatedDataCenters);
 	}
 
 	/**
@@ -183,27 +186,27 @@
 	 * @param now the time
 	 * @param isAway whether it is away
 	 */
-	public void storeAway(long now, boolean isAway) {
-		if (this.away && !isAway) {
-			this.backAt = now;
+	public void storeUnreachable(long now, boolean isAway) {
+		if (this.storeUnreachable && !isAway) {
+			this.reachableSince = now;
 		}
-		this.everAway = this.everAway || isAway;
-		this.away = isAway;
+		this.wasUnreachable = this.wasUnreachable || isAway;
+		this.storeUnreachable = isAway;
 	}
 
 	/**
 	 * Says whether the store cannot be reached.
 	 * @return true until it answers again
 	 */
-	public boolean storeAway() {
-		return this.away;
+	public boolean storeUnreachable() {
+		return this.storeUnreachable;
 	}
 
 	/**
 	 * Says whether the registry was ever read.
 	 * @return true once it was
 	 */
-	public boolean told() {
+	public boolean isLoaded() {
 		return this.told;
 	}
 
@@ -220,7 +223,7 @@
 	 * Returns the ids of all replicas that are listed or may have lapsed.
 	 * @return the ids
 	 */
-	public Set<ReplicaId> known() {
+	public Set<ReplicaId> knownIds() {
 		Set<ReplicaId> known = new HashSet<>(this.listed.keySet());
 		known.addAll(this.lapsed.keySet());
 		return known;
@@ -234,8 +237,8 @@
 	 * @param allowed says of a data center whether it is allowed
 	 * @return the replicas, in the order of their ids
 	 */
-	public List<Replica> usable(long now, ServiceName service, Predicate<String> allowed) {
-		if (!outage(now)) {
+	public List<Replica> usableReplicas(long now, ServiceName service, Predicate<String> allowed) {
+		if (!isOutage(now)) {
 			this.cold.keySet().removeAll(this.lapsed.keySet());
 			this.lapsed.clear();
 		}
@@ -244,7 +247,7 @@
 		return all.values()
 			.stream()
 			.filter((replica) -> replica.service().equals(service))
-			.filter(this::takesWork)
+			.filter(this::canUse)
 			.filter((replica) -> allowed.test(replica.dataCenter()))
 			.toList();
 	}
@@ -255,32 +258,32 @@
 	 * @param chosen the replica
 	 * @return true if the same process is known and its data center is not to be emptied
 	 */
-	public boolean stillTakes(long now, Replica chosen) {
+	public boolean canStillUse(long now, Replica chosen) {
 		Replica known = this.listed.get(chosen.id());
-		if (known == null && outage(now)) {
+		if (known == null && isOutage(now)) {
 			known = this.lapsed.get(chosen.id());
 		}
-		return known != null && known.sameProcess(chosen) && takesWork(known);
+		return known != null && known.isSameProcess(chosen) && canUse(known);
 	}
 
-	private boolean takesWork(Replica replica) {
-		return !replica.draining() && !leaving(replica) && !this.evacuated.contains(replica.dataCenter());
+	private boolean canUse(Replica replica) {
+		return !replica.draining() && !isLeaving(replica) && !this.evacuatedDataCenters.contains(replica.dataCenter());
 	}
 
-	private void missing(long now, Replica replica) {
-		if (outage(now) && !replica.draining()) {
+	private void onMissing(long now, Replica replica) {
+		if (isOutage(now) && !replica.draining()) {
 			this.lapsed.put(replica.id(), replica);
 		}
 	}
 
-	private boolean outage(long now) {
-		return this.away || (this.everAway && now - this.backAt <= LAPSED_MILLIS);
+	private boolean isOutage(long now) {
+		return this.storeUnreachable || (this.wasUnreachable && now - this.reachableSince <= LAPSED_RETENTION_MILLIS);
 	}
 
 	private record Leaving(Replica replica, long at) {
 	}
 
-	private record Cold(Replica replica, long toldMillis, long until) {
+	private record Cold(Replica replica, long reportedMillis, long until) {
 	}
 
 }
--- a/core/src/main/java/org/gullsaddle/fleet/Route.java
+++ b/core/src/main/java/org/gullsaddle/fleet/Route.java
@@ -150,7 +150,7 @@
 	 * @param teamRank the team's own rank, which goes first
 	 * @return the rank, 0 is the highest
 	 */
-	public int rank(OptionalInt teamRank) {
+	public int rankFor(OptionalInt teamRank) {
 		return teamRank.orElse(this.rank);
 	}
 
@@ -158,7 +158,7 @@
 	 * Says whether requests need no key.
 	 * @return true if anyone may call it
 	 */
-	public boolean open() {
+	public boolean isOpen() {
 		return this.open;
 	}
 
@@ -166,7 +166,7 @@
 	 * Says whether another replica can go on with a stream from its last event.
 	 * @return true if it can
 	 */
-	public boolean resumable() {
+	public boolean isResumable() {
 		return this.resumable;
 	}
 
@@ -182,7 +182,7 @@
 	 * Says whether a request may run again after a run that failed or was lost.
 	 * @return true if it may
 	 */
-	public boolean repeatable() {
+	public boolean isRepeatable() {
 		return this.kind == RouteKind.IDEMPOTENT || this.resumable;
 	}
 
--- a/core/src/main/java/org/gullsaddle/serve/BackpressureBook.java
+++ b/core/src/main/java/org/gullsaddle/serve/BackpressureBook.java
@@ -85,7 +85,7 @@
 	 */
 	private void rest(Replica replica, long until) {
 		Rest known = this.rests.get(replica.id());
-		boolean later = known == null || !known.replica.sameProcess(replica) || known.until < until;
+		boolean later = known == null || !known.replica.isSameProcess(replica) || known.until < until;
 		if (later) {
 			this.rests.put(replica.id(), new Rest(replica, until));
 		}
@@ -93,7 +93,7 @@
 
 	private void limit(long now, Replica replica, double perSecond) {
 		LimitedReplica known = this.limited.get(replica.id());
-		if (known == null || !known.replica().sameProcess(replica)) {
+		if (known == null || !known.replica().isSameProcess(replica)) {
 			known = new LimitedReplica(now, replica, this.self, this.place, this.random);
 			this.limited.put(replica.id(), known);
 		}
@@ -108,7 +108,7 @@
 	 */
 	public OptionalDouble limit(Replica replica) {
 		LimitedReplica known = this.limited.get(replica.id());
-		return (known != null && known.replica().sameProcess(replica)) ? OptionalDouble.of(known.perSecond())
+		return (known != null && known.replica().isSameProcess(replica)) ? OptionalDouble.of(known.perSecond())
 				: OptionalDouble.empty();
 	}
 
@@ -157,7 +157,7 @@
 	 */
 	public long restMillis(long now, Replica replica) {
 		Rest known = this.rests.get(replica.id());
-		return (known != null && known.replica.sameProcess(replica)) ? Math.max(0, known.until - now) : 0;
+		return (known != null && known.replica.isSameProcess(replica)) ? Math.max(0, known.until - now) : 0;
 	}
 
 	/**
@@ -259,7 +259,7 @@
 
 	private Optional<LimitedReplica> limited(long now, Replica replica) {
 		LimitedReplica known = this.limited.get(replica.id());
-		if (known == null || !known.replica().sameProcess(replica)) {
+		if (known == null || !known.replica().isSameProcess(replica)) {
 			return Optional.empty();
 		}
 		known.peers(now, this.peers.get());
--- a/core/src/main/java/org/gullsaddle/serve/LimitNews.java
+++ b/core/src/main/java/org/gullsaddle/serve/LimitNews.java
@@ -141,7 +141,7 @@
 			return OptionalLong.empty();
 		}
 		FirstHand known = this.firstHand.get(replica.id());
-		if (known != null && known.replica.sameProcess(replica) && now - known.at < FRESH_MILLIS) {
+		if (known != null && known.replica.isSameProcess(replica) && now - known.at < FRESH_MILLIS) {
 			return OptionalLong.of(known.at + FRESH_MILLIS - now);
 		}
 		this.firstHand.remove(replica.id());
--- a/core/src/main/java/org/gullsaddle/serve/QueueBounds.java
+++ b/core/src/main/java/org/gullsaddle/serve/QueueBounds.java
@@ -59,7 +59,7 @@
 	}
 
 	private static int rank(Route route) {
-		return route.rank(OptionalInt.empty());
+		return route.rankFor(OptionalInt.empty());
 	}
 
 	/**
--- a/core/src/main/java/org/gullsaddle/serve/ReplicaPicker.java
+++ b/core/src/main/java/org/gullsaddle/serve/ReplicaPicker.java
@@ -412,7 +412,7 @@
 
 	private ReplicaState state(Replica replica) {
 		ReplicaState state = this.states.get(replica.id());
-		if (state == null || !state.replica().sameProcess(replica)) {
+		if (state == null || !state.replica().isSameProcess(replica)) {
 			state = new ReplicaState(replica);
 			this.states.put(replica.id(), state);
 		}
--- a/core/src/main/java/org/gullsaddle/serve/ReplicaRules.java
+++ b/core/src/main/java/org/gullsaddle/serve/ReplicaRules.java
@@ -113,10 +113,12 @@
 		if (!open.isEmpty()) {
 			return whyNoneOf(now, wanted, open);
 		}
-		if (this.directory.evacuated().stream().anyMatch((each) -> wanted.limit().allows(this.place.region(each)))) {
+		if (this.directory.evacuatedDataCenters()
+			.stream()
+			.anyMatch((each) -> wanted.limit().allows(this.place.region(each)))) {
 			return NoReplica.EVACUATED;
 		}
-		boolean elsewhere = !this.directory.usable(now, wanted.service(), (dataCenter) -> true).isEmpty();
+		boolean elsewhere = !this.directory.usableReplicas(now, wanted.service(), (dataCenter) -> true).isEmpty();
 		return elsewhere ? NoReplica.OTHER_REGION : NoReplica.NONE;
 	}
 
@@ -167,7 +169,7 @@
 	 * @return true if it is cold, and bears less than a warm one
 	 */
 	public boolean cold(long now, Wanted wanted, Replica replica) {
-		return wanted.coldStart().limited() && this.directory.coldMillis(now, replica.id()) > 0;
+		return wanted.coldStart().isLimited() && this.directory.coldMillis(now, replica.id()) > 0;
 	}
 
 	/**
@@ -182,14 +184,14 @@
 
 	private boolean room(long now, Wanted wanted, Replica replica) {
 		return wanted.nodes().isPresent()
-				&& this.pace.room(now, replica, wanted.coldStart().perSecond(), wanted.nodes().get());
+				&& this.pace.room(now, replica, wanted.coldStart().requestsPerSecond(), wanted.nodes().get());
 	}
 
 	private List<Replica> open(long now, Wanted wanted) {
 		if (refuses(wanted)) {
 			return List.of();
 		}
-		return this.directory.usable(now, wanted.service(),
+		return this.directory.usableReplicas(now, wanted.service(),
 				(dataCenter) -> wanted.limit().allows(this.place.region(dataCenter)));
 	}
 
--- a/core/src/main/java/org/gullsaddle/serve/RetryRule.java
+++ b/core/src/main/java/org/gullsaddle/serve/RetryRule.java
@@ -66,7 +66,7 @@
 	 * @return true if one more attempt is allowed after it
 	 */
 	public boolean mayDrop(long leftMillis) {
-		return leftMillis >= WORTH_MILLIS && this.runs + 1 < this.route.maxAttempts() && this.route.repeatable();
+		return leftMillis >= WORTH_MILLIS && this.runs + 1 < this.route.maxAttempts() && this.route.isRepeatable();
 	}
 
 	/**
@@ -96,7 +96,7 @@
 		if (leftMillis < WORTH_MILLIS || this.runs >= this.route.maxAttempts() || this.refusals > MAX_REFUSALS) {
 			return false;
 		}
-		return this.verdict == Verdict.NOT_RUN || this.route.repeatable();
+		return this.verdict == Verdict.NOT_RUN || this.route.isRepeatable();
 	}
 
 }
--- a/core/src/main/java/org/gullsaddle/suspect/CrashDetector.java
+++ b/core/src/main/java/org/gullsaddle/suspect/CrashDetector.java
@@ -116,7 +116,7 @@
 	public boolean hasUnconfirmedAnswers(Replica replica) {
 		return this.endedAttempts.getOrDefault(replica.id(), List.of())
 			.stream()
-			.anyMatch((each) -> each.manner == EndKind.CLOSE_DELIMITED && each.replica.sameProcess(replica));
+			.anyMatch((each) -> each.manner == EndKind.CLOSE_DELIMITED && each.replica.isSameProcess(replica));
 	}
 
 	/**
@@ -156,7 +156,7 @@
 		}
 		Set<Trait> whole = new LinkedHashSet<>();
 		list.removeIf((each) -> {
-			boolean over = each.replica.sameProcess(replica) && each.at < since && settled.contains(each.manner);
+			boolean over = each.replica.isSameProcess(replica) && each.at < since && settled.contains(each.manner);
 			if (over && each.manner == EndKind.CLOSE_DELIMITED) {
 				whole.addAll(each.traits);
 			}
@@ -218,7 +218,7 @@
 			this.leavingSince.remove(replica.id());
 		}
 		List<EndedAttempt> list = this.endedAttempts.get(replica.id());
-		boolean another = list != null && !list.get(0).replica.sameProcess(replica);
+		boolean another = list != null && !list.get(0).replica.isSameProcess(replica);
 		return another ? onDead(now, replica.id()) : Optional.empty();
 	}
 
--- a/core/src/test/java/org/gullsaddle/fleet/RegionLimitTests.java
+++ b/core/src/test/java/org/gullsaddle/fleet/RegionLimitTests.java
@@ -8,13 +8,13 @@
 
 class RegionLimitTests {
 
-	private static final RegionLimit NORTH = RegionLimit.to(List.of("north"));
+	private static final RegionLimit NORTH = RegionLimit.of(List.of("north"));
 
-	private static final RegionLimit SOUTH = RegionLimit.to(List.of("south"));
+	private static final RegionLimit SOUTH = RegionLimit.of(List.of("south"));
 
 	@Test
 	void noRegionsAreNoLimit() {
-		assertThat(RegionLimit.to(List.of()).allows("anywhere")).isTrue();
+		assertThat(RegionLimit.of(List.of()).allows("anywhere")).isTrue();
 	}
 
 	@Test
@@ -25,7 +25,7 @@
 
 	@Test
 	void twoLimitsBothBind() {
-		RegionLimit both = RegionLimit.to(List.of("north", "south")).and(NORTH);
+		RegionLimit both = RegionLimit.of(List.of("north", "south")).intersect(NORTH);
 		assertThat(both.allows("north")).isTrue();
 		assertThat(both.allows("south")).isFalse();
 	}
@@ -33,14 +33,14 @@
 	/** Guards against two limits without a common region being taken as no limit. */
 	@Test
 	void limitsWithoutACommonRegionAllowNone() {
-		assertThat(NORTH.and(SOUTH).allows("north")).isFalse();
-		assertThat(NORTH.and(SOUTH).and(RegionLimit.ANYWHERE).allows("south")).isFalse();
+		assertThat(NORTH.intersect(SOUTH).allows("north")).isFalse();
+		assertThat(NORTH.intersect(SOUTH).intersect(RegionLimit.ANYWHERE).allows("south")).isFalse();
 	}
 
 	@Test
 	void noLimitAddsNothing() {
-		assertThat(RegionLimit.ANYWHERE.and(NORTH)).isEqualTo(NORTH);
-		assertThat(NORTH.and(RegionLimit.ANYWHERE)).isEqualTo(NORTH);
+		assertThat(RegionLimit.ANYWHERE.intersect(NORTH)).isEqualTo(NORTH);
+		assertThat(NORTH.intersect(RegionLimit.ANYWHERE)).isEqualTo(NORTH);
 	}
 
 }
--- a/core/src/test/java/org/gullsaddle/fleet/ReplicaDirectoryTests.java
+++ b/core/src/test/java/org/gullsaddle/fleet/ReplicaDirectoryTests.java
@@ -22,7 +22,7 @@
 	}
 
 	private List<String> usable(long now) {
-		return this.directory.usable(now, DESK, (dataCenter) -> true)
+		return this.directory.usableReplicas(now, DESK, (dataCenter) -> true)
 			.stream()
 			.map((replica) -> replica.id().value())
 			.toList();
@@ -30,9 +30,9 @@
 
 	@Test
 	void drainingReplicaGetsNoNewWork() {
-		this.directory.put(replica("one", false));
-		this.directory.put(replica("two", false));
-		this.directory.put(replica("one", true));
+		this.directory.onListed(replica("one", false));
+		this.directory.onListed(replica("two", false));
+		this.directory.onListed(replica("one", true));
 		assertThat(usable(0)).containsExactly("two");
 	}
 
@@ -42,16 +42,16 @@
 	 */
 	@Test
 	void removedReplicaIsGoneAtOnceWhenThereWasNoOutage() {
-		this.directory.put(replica("one", false));
-		this.directory.remove(10_000, new ReplicaId("one"));
+		this.directory.onListed(replica("one", false));
+		this.directory.onUnlisted(10_000, new ReplicaId("one"));
 		assertThat(usable(10_000)).isEmpty();
 	}
 
 	@Test
 	void replicaMissingFromAWholeReadingIsGone() {
-		this.directory.put(replica("one", false));
-		this.directory.put(replica("two", false));
-		this.directory.retain(5, Set.of(new ReplicaId("two")));
+		this.directory.onListed(replica("one", false));
+		this.directory.onListed(replica("two", false));
+		this.directory.onRegistryRead(5, Set.of(new ReplicaId("two")));
 		assertThat(usable(5)).containsExactly("two");
 	}
 
@@ -62,37 +62,37 @@
 
 		@BeforeEach
 		void tell() {
-			ReplicaDirectoryTests.this.directory.put(replica("one", false));
-			ReplicaDirectoryTests.this.directory.leave(0, replica("one", false));
+			ReplicaDirectoryTests.this.directory.onListed(replica("one", false));
+			ReplicaDirectoryTests.this.directory.onLeaving(0, replica("one", false));
 		}
 
 		@Test
 		void itGetsNoNewWorkThoughItsEntrySaysOtherwise() {
 			assertThat(usable(0)).isEmpty();
-			ReplicaDirectoryTests.this.directory.put(replica("one", false));
+			ReplicaDirectoryTests.this.directory.onListed(replica("one", false));
 			assertThat(usable(1)).isEmpty();
-			assertThat(ReplicaDirectoryTests.this.directory.stillTakes(1, replica("one", false))).isFalse();
+			assertThat(ReplicaDirectoryTests.this.directory.canStillUse(1, replica("one", false))).isFalse();
 		}
 
 		/** Guards against an entry that lapses in an outage and brings it back. */
 		@Test
 		void itIsRememberedWhileItsEntryIsAway() {
-			ReplicaDirectoryTests.this.directory.remove(1000, this.id);
-			ReplicaDirectoryTests.this.directory.leave(2000, replica("two", false));
-			ReplicaDirectoryTests.this.directory.put(replica("one", false));
+			ReplicaDirectoryTests.this.directory.onUnlisted(1000, this.id);
+			ReplicaDirectoryTests.this.directory.onLeaving(2000, replica("two", false));
+			ReplicaDirectoryTests.this.directory.onListed(replica("one", false));
 			assertThat(usable(3000)).isEmpty();
 		}
 
 		@Test
 		void anotherProcessUnderItsIdIsUsed() {
 			ReplicaDirectoryTests.this.directory
-				.put(new Replica(this.id, DESK, new Address("10.0.0.1", 80), "a", "v1", 8, false, 2));
+				.onListed(new Replica(this.id, DESK, new Address("10.0.0.1", 80), "a", "v1", 8, false, 2));
 			assertThat(usable(0)).containsExactly("one");
 		}
 
 		@Test
 		void itIsToldOnce() {
-			assertThat(ReplicaDirectoryTests.this.directory.leave(5, replica("one", false))).isFalse();
+			assertThat(ReplicaDirectoryTests.this.directory.onLeaving(5, replica("one", false))).isFalse();
 		}
 
 	}
@@ -106,29 +106,30 @@
 		 */
 		@Test
 		void lapsedReplicaIsUsedUntilItHadTimeToWriteAgain() {
-			ReplicaDirectoryTests.this.directory.put(replica("one", false));
-			ReplicaDirectoryTests.this.directory.storeAway(1000, true);
-			ReplicaDirectoryTests.this.directory.storeAway(9000, false);
-			ReplicaDirectoryTests.this.directory.remove(9100, new ReplicaId("one"));
-			assertThat(usable(9000 + ReplicaDirectory.LAPSED_MILLIS)).containsExactly("one");
-			assertThat(usable(9001 + ReplicaDirectory.LAPSED_MILLIS)).isEmpty();
+			ReplicaDirectoryTests.this.directory.onListed(replica("one", false));
+			ReplicaDirectoryTests.this.directory.storeUnreachable(1000, true);
+			ReplicaDirectoryTests.this.directory.storeUnreachable(9000, false);
+			ReplicaDirectoryTests.this.directory.onUnlisted(9100, new ReplicaId("one"));
+			assertThat(usable(9000 + ReplicaDirectory.LAPSED_RETENTION_MILLIS)).containsExactly("one");
+			assertThat(usable(9001 + ReplicaDirectory.LAPSED_RETENTION_MILLIS)).isEmpty();
 		}
 
 		@Test
 		void replicaThatWasDrainingIsNotKept() {
-			ReplicaDirectoryTests.this.directory.put(replica("one", true));
-			ReplicaDirectoryTests.this.directory.storeAway(1000, true);
-			ReplicaDirectoryTests.this.directory.remove(1100, new ReplicaId("one"));
+			ReplicaDirectoryTests.this.directory.onListed(replica("one", true));
+			ReplicaDirectoryTests.this.directory.storeUnreachable(1000, true);
+			ReplicaDirectoryTests.this.directory.onUnlisted(1100, new ReplicaId("one"));
 			assertThat(usable(1100)).isEmpty();
 		}
 
 		@Test
 		void removalLongAfterTheOutageIsTakenAtItsWord() {
-			ReplicaDirectoryTests.this.directory.put(replica("one", false));
-			ReplicaDirectoryTests.this.directory.storeAway(1000, true);
-			ReplicaDirectoryTests.this.directory.storeAway(2000, false);
-			ReplicaDirectoryTests.this.directory.remove(2001 + ReplicaDirectory.LAPSED_MILLIS, new ReplicaId("one"));
-			assertThat(usable(2001 + ReplicaDirectory.LAPSED_MILLIS)).isEmpty();
+			ReplicaDirectoryTests.this.directory.onListed(replica("one", false));
+			ReplicaDirectoryTests.this.directory.storeUnreachable(1000, true);
+			ReplicaDirectoryTests.this.directory.storeUnreachable(2000, false);
+			ReplicaDirectoryTests.this.directory.onUnlisted(2001 + ReplicaDirectory.LAPSED_RETENTION_MILLIS,
+					new ReplicaId("one"));
+			assertThat(usable(2001 + ReplicaDirectory.LAPSED_RETENTION_MILLIS)).isEmpty();
 		}
 
 	}
@@ -143,8 +144,8 @@
 		}
 
 		private void told(long now, long millis) {
-			ReplicaDirectoryTests.this.directory.put(this.one);
-			ReplicaDirectoryTests.this.directory.cold(now, this.one, millis);
+			ReplicaDirectoryTests.this.directory.onListed(this.one);
+			ReplicaDirectoryTests.this.directory.onColdReport(now, this.one, millis);
 		}
 
 		@Test
@@ -174,8 +175,8 @@
 		void areColdAnewAfterAnotherStart() {
 			told(1000, 3000);
 			Replica again = new Replica(this.one.id(), DESK, this.one.address(), "a", "v1", 8, false, 2);
-			ReplicaDirectoryTests.this.directory.put(again);
-			ReplicaDirectoryTests.this.directory.cold(5000, again, 3000);
+			ReplicaDirectoryTests.this.directory.onListed(again);
+			ReplicaDirectoryTests.this.directory.onColdReport(5000, again, 3000);
 			assertThat(cold(5000)).isEqualTo(3000);
 		}
 
@@ -183,7 +184,7 @@
 		@Test
 		void absurdTimesAreBounded() {
 			told(0, Long.MAX_VALUE);
-			assertThat(cold(0)).isEqualTo(ReplicaDirectory.MOST_COLD_MILLIS);
+			assertThat(cold(0)).isEqualTo(ReplicaDirectory.MAX_COLD_MILLIS);
 			told(0, -5);
 			assertThat(cold(0)).isZero();
 		}
@@ -197,14 +198,14 @@
 
 		@BeforeEach
 		void listOne() {
-			ReplicaDirectoryTests.this.directory.put(this.one);
+			ReplicaDirectoryTests.this.directory.onListed(this.one);
 		}
 
 		@Test
 		void replicasGetNothingNewUntilTheyAreTakenBack() {
 			ReplicaDirectoryTests.this.directory.evacuate("a");
 			assertThat(usable(0)).isEmpty();
-			ReplicaDirectoryTests.this.directory.takeBack("a");
+			ReplicaDirectoryTests.this.directory.endEvacuation("a");
 			assertThat(usable(0)).containsExactly("one");
 		}
 
@@ -219,16 +220,16 @@
 		 */
 		@Test
 		void replicaThatWasChosenBeforeIsNotSentTheRequest() {
-			assertThat(ReplicaDirectoryTests.this.directory.stillTakes(0, this.one)).isTrue();
+			assertThat(ReplicaDirectoryTests.this.directory.canStillUse(0, this.one)).isTrue();
 			ReplicaDirectoryTests.this.directory.evacuate("a");
-			assertThat(ReplicaDirectoryTests.this.directory.stillTakes(0, this.one)).isFalse();
+			assertThat(ReplicaDirectoryTests.this.directory.canStillUse(0, this.one)).isFalse();
 		}
 
 		@Test
 		void replicaThatStartedAnewIsNotTheOneThatWasChosen() {
 			ReplicaDirectoryTests.this.directory
-				.put(new Replica(this.one.id(), DESK, this.one.address(), "a", "v1", 8, false, 2));
-			assertThat(ReplicaDirectoryTests.this.directory.stillTakes(0, this.one)).isFalse();
+				.onListed(new Replica(this.one.id(), DESK, this.one.address(), "a", "v1", 8, false, 2));
+			assertThat(ReplicaDirectoryTests.this.directory.canStillUse(0, this.one)).isFalse();
 		}
 
 	}
--- a/core/src/test/java/org/gullsaddle/serve/ReplicaRulesTests.java
+++ b/core/src/test/java/org/gullsaddle/serve/ReplicaRulesTests.java
@@ -59,7 +59,7 @@
 	}
 
 	private static RegionLimit limit(String regions) {
-		return RegionLimit.to(words(regions));
+		return RegionLimit.of(words(regions));
 	}
 
 	private static List<String> words(String text) {
@@ -75,7 +75,7 @@
 
 	@BeforeEach
 	void listReplicas() {
-		List.of("a", "b", "c").forEach((dataCenter) -> this.directory.put(replica(dataCenter, "v1")));
+		List.of("a", "b", "c").forEach((dataCenter) -> this.directory.onListed(replica(dataCenter, "v1")));
 	}
 
 	/**
@@ -84,7 +84,7 @@
 	 */
 	@Test
 	void onlyColdReplicasThatMayServeTheRequestCount() {
-		this.directory.cold(0, replica("c", "v1"), 1000);
+		this.directory.onColdReport(0, replica("c", "v1"), 1000);
 		assertThat(this.rules.anyCold(0, wanted(RegionLimit.ANYWHERE))).isTrue();
 		assertThat(this.rules.anyCold(0, wanted(limit("north")))).isFalse();
 		assertThat(this.rules.anyCold(2000, wanted(RegionLimit.ANYWHERE))).isFalse();
@@ -99,7 +99,7 @@
 	void regionsEvacuationsAndColdReplicasBindTogether(String regions, String evacuated, String cold, String expected) {
 		words(evacuated.isEmpty() ? null : evacuated).forEach(this.directory::evacuate);
 		words(cold.isEmpty() ? null : cold)
-			.forEach((dataCenter) -> this.directory.cold(0, replica(dataCenter, "v1"), 1000));
+			.forEach((dataCenter) -> this.directory.onColdReport(0, replica(dataCenter, "v1"), 1000));
 		assertThat(usable(wanted(limit(regions.isEmpty() ? null : regions)))).isEqualTo(expected);
 	}
 
@@ -124,13 +124,14 @@
 		@Test
 		void anEmptyRegistryIsTold() {
 			List.of("a", "b", "c")
-				.forEach((dataCenter) -> ReplicaRulesTests.this.directory.remove(0, replica(dataCenter, "v1").id()));
+				.forEach(
+						(dataCenter) -> ReplicaRulesTests.this.directory.onUnlisted(0, replica(dataCenter, "v1").id()));
 			assertThat(why(RegionLimit.ANYWHERE)).isEqualTo(NoReplica.NONE);
 		}
 
 		@Test
 		void coldReplicasAreTold() {
-			ReplicaRulesTests.this.directory.cold(0, replica("c", "v1"), 1000);
+			ReplicaRulesTests.this.directory.onColdReport(0, replica("c", "v1"), 1000);
 			assertThat(why(limit("south"))).isEqualTo(NoReplica.COLD);
 		}
 
@@ -145,7 +146,7 @@
 
 		@BeforeEach
 		void coolDown() {
-			ReplicaRulesTests.this.directory.cold(0, this.cold, 1000);
+			ReplicaRulesTests.this.directory.onColdReport(0, this.cold, 1000);
 		}
 
 		@Test
@@ -217,7 +218,7 @@
 		/** Guards against cold replicas that stand idle while all warm ones rest. */
 		@Test
 		void coldReplicasGetAFewRequestsIfAllWarmOnesDo() {
-			ReplicaRulesTests.this.directory.cold(0, replica("b", "v1"), 1000);
+			ReplicaRulesTests.this.directory.onColdReport(0, replica("b", "v1"), 1000);
 			rest("a", "v1");
 			assertThat(ReplicaRulesTests.this.rules.usable(0, this.north, leftOut(this.north)))
 				.contains(replica("b", "v1"));
@@ -229,7 +230,7 @@
 		@Test
 		void requestsOfTheOldReleaseNeverGoToTheNewOneForIt() {
 			List.of("a", "b", "c").forEach((dataCenter) -> {
-				ReplicaRulesTests.this.directory.put(replica(dataCenter, "v2"));
+				ReplicaRulesTests.this.directory.onListed(replica(dataCenter, "v2"));
 				rest(dataCenter, "v1");
 			});
 			Rollout justBegun = new Rollout(0, new RolloutOrder(ENGINES, "v2", 10_000), 1);
@@ -243,7 +244,7 @@
 
 		@Test
 		void requestsOfTheNewReleaseGoToTheOldOneForIt() {
-			ReplicaRulesTests.this.directory.put(replica("a", "v2"));
+			ReplicaRulesTests.this.directory.onListed(replica("a", "v2"));
 			rest("a", "v2");
 			Rollout done = new Rollout(-9900, new RolloutOrder(ENGINES, "v2", 10_000), 1);
 			Wanted wanted = new Wanted(ENGINES, RegionLimit.ANYWHERE, COLD_START, Optional.of(1), Optional.of(done),
@@ -264,13 +265,13 @@
 		@Test
 		void requestsOfTheNewReleaseGoToTheOldOneWhileTheNewReplicasAreCold() {
 			Replica fresh = replica("a", "v2");
-			ReplicaRulesTests.this.directory.put(fresh);
-			ReplicaRulesTests.this.directory.cold(0, fresh, 1000);
+			ReplicaRulesTests.this.directory.onListed(fresh);
+			ReplicaRulesTests.this.directory.onColdReport(0, fresh, 1000);
 			Rollout rollout = new Rollout(-9000, new RolloutOrder(ENGINES, "v2", 10_000), 1);
 			Wanted wanted = new Wanted(ENGINES, RegionLimit.ANYWHERE, COLD_START, Optional.of(1), Optional.of(rollout),
 					KEY, List.of());
 			assertThat(usable(wanted)).isEqualTo("a-v1 b-v1 c-v1");
-			ReplicaRulesTests.this.directory.cold(0, fresh, 0);
+			ReplicaRulesTests.this.directory.onColdReport(0, fresh, 0);
 			assertThat(usable(wanted)).isEqualTo("a-v2");
 		}
 
--- a/daemon/src/main/java/org/gullsaddle/gateway/BackpressureController.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/BackpressureController.java
@@ -78,7 +78,7 @@
 	 */
 	void heard(Replica replica, ReplicaAnswer answer) {
 		if (answer.status() != Statuses.MISDIRECTED) {
-			if (answer.leaving() && this.fleet.directory().leave(Clock.millis(), replica)) {
+			if (answer.leaving() && this.fleet.directory().onLeaving(Clock.millis(), replica)) {
 				this.log.leaving(replica.id());
 				this.telemetry.count("replica.leavings.told");
 			}
@@ -98,7 +98,7 @@
 		if (change instanceof FleetChange.Listed listed) {
 			listed(listed.replica());
 		}
-		else if (change instanceof FleetChange.Noted noted && noted.key().startsWith(NOTES)) {
+		else if (change instanceof FleetChange.NoteWritten noted && noted.key().startsWith(NOTES)) {
 			learn(noted);
 		}
 	}
@@ -107,7 +107,7 @@
 		applyAndLog(replica, "note", () -> this.news.listed(Clock.millis(), replica));
 	}
 
-	private void learn(FleetChange.Noted noted) {
+	private void learn(FleetChange.NoteWritten noted) {
 		ReplicaId id = new ReplicaId(noted.key().substring(NOTES.length()));
 		Optional<Replica> listed = this.fleet.directory().find(id);
 		try {
@@ -158,7 +158,7 @@
 	 * Says whether a replica may be asked for its load.
 	 */
 	boolean mayAsk(Replica replica) {
-		return this.book.mayAsk(Clock.millis(), replica) && !this.fleet.directory().leaving(replica);
+		return this.book.mayAsk(Clock.millis(), replica) && !this.fleet.directory().isLeaving(replica);
 	}
 
 	/**
--- a/daemon/src/main/java/org/gullsaddle/gateway/ChannelPool.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/ChannelPool.java
@@ -156,7 +156,7 @@
 		}
 
 		boolean usable(Replica now, long time) {
-			return !this.closed && time <= this.idleUntil && this.replica.sameProcess(now);
+			return !this.closed && time <= this.idleUntil && this.replica.isSameProcess(now);
 		}
 
 		void close() {
--- a/daemon/src/main/java/org/gullsaddle/gateway/ConfigCheck.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/ConfigCheck.java
@@ -79,7 +79,7 @@
 		long age = this.state.configAge(now);
 		if (allowed) {
 			// Another call would likely cost the caller time only.
-			boolean away = this.failing || this.state.directory().storeAway();
+			boolean away = this.failing || this.state.directory().storeUnreachable();
 			return !away && age > GRANT_PART * this.newsMillis;
 		}
 		return this.state.configUnreadable() || age > REFUSE_PART * this.newsMillis;
--- a/daemon/src/main/java/org/gullsaddle/gateway/CrashController.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/CrashController.java
@@ -293,7 +293,7 @@
 			}
 			case FleetChange.Listed listed -> this.watch.onListed(Clock.millis(), listed.replica())
 				.ifPresent((crash) -> crashed(crash, "another process has its id"));
-			case FleetChange.Noted noted -> {
+			case FleetChange.NoteWritten noted -> {
 				// What this node told in an earlier life is news to it.
 				boolean own = noted.key().equals(this.key);
 				if (noted.key().startsWith(NOTES) && !(own && this.wrote)) {
@@ -336,7 +336,7 @@
 		return this.book.hasCrashEvidence() ? request.traits(model) : request.partTraits(model);
 	}
 
-	private void learn(FleetChange.Noted noted, boolean own) {
+	private void learn(FleetChange.NoteWritten noted, boolean own) {
 		try {
 			CrashNote told = Json.read(noted.value(), CrashNote.class);
 			long now = Clock.millis();
--- a/daemon/src/main/java/org/gullsaddle/gateway/DecisionLog.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/DecisionLog.java
@@ -118,11 +118,11 @@
 				.log("replica listed");
 			case FleetChange.Unlisted unlisted ->
 				line.addKeyValue("replica", unlisted.id().value()).log("replica unlisted");
-			case FleetChange.Ordered ordered -> line.addKeyValue("service", ordered.order().service().value())
+			case FleetChange.RolloutOrdered ordered -> line.addKeyValue("service", ordered.order().service().value())
 				.addKeyValue("target", ordered.order().target())
 				.addKeyValue("durationMillis", ordered.order().durationMillis())
 				.log("roll-out ordered");
-			case FleetChange.Progressed progressed -> line.addKeyValue("service", progressed.service().value())
+			case FleetChange.RolloutProgressed progressed -> line.addKeyValue("service", progressed.service().value())
 				.addKeyValue("target", progressed.target())
 				.addKeyValue("state", progressed.state().name())
 				.log("roll-out progressed");
@@ -130,9 +130,9 @@
 				line.addKeyValue("dataCenter", began.dataCenter()).log("evacuation began");
 			case FleetChange.EvacuationEnded ended ->
 				line.addKeyValue("dataCenter", ended.dataCenter()).log("evacuation ended");
-			case FleetChange.Noted noted -> line.addKeyValue("key", noted.key()).log("note taken in");
+			case FleetChange.NoteWritten noted -> line.addKeyValue("key", noted.key()).log("note taken in");
 			case FleetChange.ConfigUnreadable unreadable -> unreadable("configuration", unreadable.reason());
-			case FleetChange.Unreadable unreadable -> unreadable(unreadable.key(), unreadable.reason());
+			case FleetChange.RecordUnreadable unreadable -> unreadable(unreadable.key(), unreadable.reason());
 		}
 	}
 
--- a/daemon/src/main/java/org/gullsaddle/gateway/FleetFeed.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/FleetFeed.java
@@ -133,7 +133,7 @@
 			this.log.regained("store", now);
 		}
 		this.failures = 0;
-		this.state.directory().storeAway(now, false);
+		this.state.directory().storeUnreachable(now, false);
 		this.state.heard(this.askedAt);
 		if (whole) {
 			this.readAllAt = now;
@@ -199,7 +199,7 @@
 		if (this.failures == FAILURES_TO_BE_AWAY) {
 			// What changed meanwhile is read anew as a whole: an entry that lapsed in the
 			// outage and came back shows nothing in the changes alone.
-			this.state.directory().storeAway(now, true);
+			this.state.directory().storeUnreachable(now, true);
 			this.log.lost("store", failure.getMessage(), this.state.age(now));
 		}
 		if (failure instanceof HistoryGoneException) {
--- a/daemon/src/main/java/org/gullsaddle/gateway/FleetState.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/FleetState.java
@@ -33,7 +33,7 @@
 
 	private final Map<ServiceName, Rollout> rollouts = new HashMap<>();
 
-	private final Map<ServiceName, FleetChange.Progressed> progress = new HashMap<>();
+	private final Map<ServiceName, FleetChange.RolloutProgressed> progress = new HashMap<>();
 
 	private FleetConfig config;
 
@@ -67,15 +67,15 @@
 			case FleetChange.Listed listed -> list(now, listed);
 			case FleetChange.Unlisted unlisted -> {
 				boolean known = this.directory.find(unlisted.id()).isPresent();
-				this.directory.remove(now, unlisted.id());
+				this.directory.onUnlisted(now, unlisted.id());
 				yield known;
 			}
-			case FleetChange.Ordered ordered -> order(now, ordered);
-			case FleetChange.Progressed progressed -> progress(progressed);
+			case FleetChange.RolloutOrdered ordered -> order(now, ordered);
+			case FleetChange.RolloutProgressed progressed -> progress(progressed);
 			case FleetChange.EvacuationBegan began -> this.directory.evacuate(began.dataCenter());
-			case FleetChange.EvacuationEnded ended -> this.directory.takeBack(ended.dataCenter());
-			case FleetChange.Noted noted -> false;
-			case FleetChange.Unreadable unreadable -> true;
+			case FleetChange.EvacuationEnded ended -> this.directory.endEvacuation(ended.dataCenter());
+			case FleetChange.NoteWritten noted -> false;
+			case FleetChange.RecordUnreadable unreadable -> true;
 		};
 	}
 
@@ -95,13 +95,13 @@
 	private boolean list(long now, FleetChange.Listed listed) {
 		Replica replica = listed.replica();
 		Optional<Replica> before = this.directory.find(replica.id());
-		this.directory.put(replica);
-		this.directory.cold(now, replica, listed.coldMillis());
+		this.directory.onListed(replica);
+		this.directory.onColdReport(now, replica, listed.coldMillis());
 		rollout(replica.service()).ifPresent((rollout) -> rollout.listed(now, System.currentTimeMillis(), replica));
 		return !before.equals(Optional.of(replica));
 	}
 
-	private boolean order(long now, FleetChange.Ordered ordered) {
+	private boolean order(long now, FleetChange.RolloutOrdered ordered) {
 		ServiceName service = ordered.order().service();
 		Rollout known = this.rollouts.get(service);
 		if (known != null && known.revision() >= ordered.revision()) {
@@ -110,20 +110,20 @@
 		Rollout rollout = new Rollout(this.knownBefore, now, ordered.order(), ordered.revision(), this.limits);
 		this.rollouts.put(service, rollout);
 		long timeOfDay = System.currentTimeMillis();
-		this.directory.known()
+		this.directory.knownIds()
 			.stream()
 			.flatMap((id) -> this.directory.find(id).stream())
 			.filter((replica) -> replica.service().equals(service))
 			.forEach((replica) -> rollout.listed(now, timeOfDay, replica));
-		FleetChange.Progressed state = this.progress.get(service);
+		FleetChange.RolloutProgressed state = this.progress.get(service);
 		if (state != null) {
 			rollout.progressed(state.state(), state.target(), state.revision());
 		}
 		return true;
 	}
 
-	private boolean progress(FleetChange.Progressed progressed) {
-		FleetChange.Progressed before = this.progress.get(progressed.service());
+	private boolean progress(FleetChange.RolloutProgressed progressed) {
+		FleetChange.RolloutProgressed before = this.progress.get(progressed.service());
 		if (before != null && before.revision() > progressed.revision()) {
 			return false;
 		}
@@ -149,11 +149,11 @@
 				evacuated.add(began.dataCenter());
 			}
 		}
-		this.directory.retain(now, replicas);
-		this.directory.evacuated()
+		this.directory.onRegistryRead(now, replicas);
+		this.directory.evacuatedDataCenters()
 			.stream()
 			.filter((dataCenter) -> !evacuated.contains(dataCenter))
-			.forEach(this.directory::takeBack);
+			.forEach(this.directory::endEvacuation);
 	}
 
 	/**
--- a/daemon/src/main/java/org/gullsaddle/gateway/Gateway.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/Gateway.java
@@ -108,7 +108,8 @@
 		this.returns = new Returns(this.settings.load().pressure(), this.telemetry);
 		this.coldPace = new ColdPace(this.settings.node());
 		this.pool = new ChannelPool(vertx);
-		this.nodes = new NodeRegister(vertx, builder.store, this.settings, () -> this.fleet.directory().storeAway());
+		this.nodes = new NodeRegister(vertx, builder.store, this.settings,
+				() -> this.fleet.directory().storeUnreachable());
 		BackpressureBook book = new BackpressureBook(new NodeId(this.settings.node()), this.settings.place(),
 				this.nodes::peers, RandomGenerator.getDefault());
 		this.backpressure = new BackpressureController(vertx, builder.store, this.fleet, book, this.log,
@@ -139,10 +140,10 @@
 	private void showGauges() {
 		this.telemetry.gauge("open.requests", this.open::size);
 		this.telemetry.gauge("held.requests", this.dispatcher::held);
-		this.telemetry.gauge("replicas.known", () -> this.fleet.directory().known().size());
-		this.telemetry.gauge("replicas.cold", () -> this.fleet.directory().countCold(Clock.millis()));
+		this.telemetry.gauge("replicas.known", () -> this.fleet.directory().knownIds().size());
+		this.telemetry.gauge("replicas.cold", () -> this.fleet.directory().coldCount(Clock.millis()));
 		this.telemetry.gauge("replicas.telling.pace", this.decisions.picker()::countPaces);
-		this.telemetry.gauge("data.centers.evacuated", () -> this.fleet.directory().evacuated().size());
+		this.telemetry.gauge("data.centers.evacuated", () -> this.fleet.directory().evacuatedDataCenters().size());
 		this.telemetry.gauge("nodes.known", () -> this.nodes.known().orElse(0));
 		this.telemetry.gauge("config.unreadable", () -> this.fleet.configUnreadable() ? 1 : 0);
 		this.telemetry.gauge("config.age.milliseconds", () -> this.fleet.configAge(Clock.millis()));
@@ -228,7 +229,7 @@
 	 * @return true once the configuration and the replicas are known, until a stop
 	 */
 	public boolean ready() {
-		return !stopping() && this.fleet.config().isPresent() && this.fleet.directory().told();
+		return !stopping() && this.fleet.config().isPresent() && this.fleet.directory().isLoaded();
 	}
 
 	/**
@@ -333,11 +334,11 @@
 	}
 
 	private void tidy() {
-		this.pool.tidy(this.fleet.directory().known());
-		this.decisions.picker().retain(this.fleet.directory().known());
-		this.decisions.patience().retain(this.fleet.directory().known());
-		this.coldPace.retain(this.fleet.directory().known());
-		this.backpressure.retain(this.fleet.directory().known());
+		this.pool.tidy(this.fleet.directory().knownIds());
+		this.decisions.picker().retain(this.fleet.directory().knownIds());
+		this.decisions.patience().retain(this.fleet.directory().knownIds());
+		this.coldPace.retain(this.fleet.directory().knownIds());
+		this.backpressure.retain(this.fleet.directory().knownIds());
 	}
 
 	boolean stopping() {
--- a/daemon/src/main/java/org/gullsaddle/gateway/NodeRegister.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/NodeRegister.java
@@ -76,7 +76,7 @@
 	 * Takes in a change of the deployment, or another node's note.
 	 */
 	void learned(FleetChange change) {
-		if (change instanceof FleetChange.Noted noted && noted.key().startsWith(NOTES)) {
+		if (change instanceof FleetChange.NoteWritten noted && noted.key().startsWith(NOTES)) {
 			read(noted).ifPresent(this::seen);
 		}
 		if (change instanceof FleetChange.Configured && !this.started) {
@@ -91,7 +91,7 @@
 	 * Reads a note. One that says nothing of the node's place, or cannot be read, still
 	 * names a node that takes its share.
 	 */
-	private static Optional<Peer> read(FleetChange.Noted noted) {
+	private static Optional<Peer> read(FleetChange.NoteWritten noted) {
 		try {
 			NodeId node = new NodeId(noted.key().substring(NOTES.length()));
 			return Optional.of(new Peer(node, Json.tree(noted.value()).path("dataCenter").asText("")));
--- a/daemon/src/main/java/org/gullsaddle/gateway/ReplicaChooser.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/ReplicaChooser.java
@@ -82,7 +82,7 @@
 	 * Says whether a replica that was given the request may still be sent it.
 	 */
 	boolean stillOpen(Replica chosen, Admission admission, String model) {
-		return !refused(model) && this.gateway.fleet().directory().stillTakes(Clock.millis(), chosen)
+		return !refused(model) && this.gateway.fleet().directory().canStillUse(Clock.millis(), chosen)
 				&& this.gateway.backpressure().book().mayStillSend(Clock.millis(), chosen, admission);
 	}
 
--- a/daemon/src/main/java/org/gullsaddle/gateway/RequestDispatcher.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/RequestDispatcher.java
@@ -92,9 +92,9 @@
 					"no configuration yet");
 			return;
 		}
-		Optional<Route> route = config.get().route(caller.host(), caller.path());
-		boolean keyed = config.get().keyed() && route.isPresent() && !route.get().open();
-		Optional<Team> team = keyed ? caller.key().flatMap(config.get()::team) : Optional.empty();
+		Optional<Route> route = config.get().findRoute(caller.host(), caller.path());
+		boolean keyed = config.get().isKeyRequired() && route.isPresent() && !route.get().isOpen();
+		Optional<Team> team = keyed ? caller.key().flatMap(config.get()::findTeam) : Optional.empty();
 		boolean allowed = route.isPresent() && !(keyed && team.isEmpty());
 		if (!checked && this.gateway.configCheck().due(allowed)) {
 			this.gateway.configCheck().read(() -> serve(request, caller, body, startedAt, true));
--- a/daemon/src/main/java/org/gullsaddle/gateway/RolloutController.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/RolloutController.java
@@ -130,7 +130,7 @@
 	 * Takes in another node's note.
 	 */
 	void learned(FleetChange change) {
-		if (!(change instanceof FleetChange.Noted noted) || !noted.key().startsWith(NOTES)) {
+		if (!(change instanceof FleetChange.NoteWritten noted) || !noted.key().startsWith(NOTES)) {
 			return;
 		}
 		for (Rollout rollout : this.fleet.rollouts()) {
@@ -140,7 +140,7 @@
 		}
 	}
 
-	private void learn(Rollout rollout, FleetChange.Noted noted) {
+	private void learn(Rollout rollout, FleetChange.NoteWritten noted) {
 		try {
 			rollout.learn(Clock.millis(), Json.read(noted.value(), RolloutNote.class));
 		}
--- a/daemon/src/main/java/org/gullsaddle/gateway/ServedRequest.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/ServedRequest.java
@@ -130,7 +130,7 @@
 	 * Returns the engines that run it, empty for a plain service.
 	 */
 	Optional<EngineSpec> engine() {
-		return this.config.service(this.service).flatMap(ServiceSpec::engine);
+		return this.config.findService(this.service).flatMap(ServiceSpec::engine);
 	}
 
 	/**
@@ -145,14 +145,14 @@
 	 * Returns what cold replicas of its service bear.
 	 */
 	ColdStart coldStart() {
-		return this.config.service(this.service).map(ServiceSpec::coldStart).orElse(ColdStart.NONE);
+		return this.config.findService(this.service).map(ServiceSpec::coldStart).orElse(ColdStart.NONE);
 	}
 
 	/**
 	 * Returns where it may be served, by its route and by its team.
 	 */
 	RegionLimit limit() {
-		return this.team.map(Team::limit).orElse(RegionLimit.ANYWHERE).and(this.route.limit());
+		return this.team.map(Team::limit).orElse(RegionLimit.ANYWHERE).intersect(this.route.limit());
 	}
 
 	boolean stream() {
@@ -160,7 +160,7 @@
 	}
 
 	int rank() {
-		return this.route.rank(this.team.map(Team::rank).orElse(OptionalInt.empty()));
+		return this.route.rankFor(this.team.map(Team::rank).orElse(OptionalInt.empty()));
 	}
 
 	/**
--- a/daemon/src/main/java/org/gullsaddle/gateway/Silence.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/Silence.java
@@ -186,7 +186,7 @@
 	 * Says whether another replica could go on with what the caller has.
 	 */
 	boolean mayGoOn() {
-		return !this.relay.begun() || (this.serving.route().resumable() && this.relay.lastEvent().isPresent());
+		return !this.relay.begun() || (this.serving.route().isResumable() && this.relay.lastEvent().isPresent());
 	}
 
 	/**
--- a/daemon/src/test/java/org/gullsaddle/gateway/FleetFeedTests.java
+++ b/daemon/src/test/java/org/gullsaddle/gateway/FleetFeedTests.java
@@ -26,7 +26,8 @@
 
 		private static final ServiceName SERVICE = new ServiceName("engines");
 
-		private static final FleetChange ORDERED = new FleetChange.Ordered(new RolloutOrder(SERVICE, "v2", 60_000), 1);
+		private static final FleetChange ORDERED = new FleetChange.RolloutOrdered(
+				new RolloutOrder(SERVICE, "v2", 60_000), 1);
 
 		private static final FleetSource STORE_THAT_NEVER_ANSWERS = new FleetSource() {
 
@@ -69,9 +70,9 @@
 			FleetFeed feed = feed(5000);
 			this.state.apply(0, ORDERED);
 			assertThat(feed.everyMillis(0)).isEqualTo(1600);
-			this.state.apply(0, new FleetChange.Progressed(SERVICE, "v2", RolloutState.RUNNING, 2));
+			this.state.apply(0, new FleetChange.RolloutProgressed(SERVICE, "v2", RolloutState.RUNNING, 2));
 			assertThat(feed.everyMillis(0)).isEqualTo(1600);
-			this.state.apply(0, new FleetChange.Progressed(SERVICE, "v2", RolloutState.COMPLETED, 3));
+			this.state.apply(0, new FleetChange.RolloutProgressed(SERVICE, "v2", RolloutState.COMPLETED, 3));
 			assertThat(feed.everyMillis(0)).isEqualTo(2500);
 		}
 
@@ -79,9 +80,9 @@
 		@Test
 		void newsIsAskedForMoreOftenInAShortRollout() {
 			FleetFeed feed = feed(3000);
-			this.state.apply(0, new FleetChange.Ordered(new RolloutOrder(SERVICE, "v3", 16_000), 2));
+			this.state.apply(0, new FleetChange.RolloutOrdered(new RolloutOrder(SERVICE, "v3", 16_000), 2));
 			assertThat(feed.everyMillis(0)).isEqualTo(1000);
-			this.state.apply(0, new FleetChange.Ordered(new RolloutOrder(SERVICE, "v4", 4000), 3));
+			this.state.apply(0, new FleetChange.RolloutOrdered(new RolloutOrder(SERVICE, "v4", 4000), 3));
 			assertThat(feed.everyMillis(0)).isEqualTo(500);
 		}
 
--- a/daemon/src/test/java/org/gullsaddle/gateway/NodeRegisterTests.java
+++ b/daemon/src/test/java/org/gullsaddle/gateway/NodeRegisterTests.java
@@ -51,7 +51,7 @@
 	}
 
 	private void note(String node, String value) {
-		this.register.learned(new FleetChange.Noted(NodeRegister.NOTES + node, value));
+		this.register.learned(new FleetChange.NoteWritten(NodeRegister.NOTES + node, value));
 	}
 
 	private void note(String node) {
--- a/measure/src/main/java/org/gullsaddle/measure/CascadeFleet.java
+++ b/measure/src/main/java/org/gullsaddle/measure/CascadeFleet.java
@@ -266,7 +266,7 @@
 			ModelChooser models = this.node.models;
 			Route route = this.kind.route();
 			return models.isBounded()
-					? models.mayQueue(CascadeFleet.this.bounds, route.rank(OptionalInt.empty()), larger, left)
+					? models.mayQueue(CascadeFleet.this.bounds, route.rankFor(OptionalInt.empty()), larger, left)
 					: models.worthAsking(route, confidence, larger.delay(), left);
 		}
 
