--- a/core/src/test/java/org/gullsaddle/fleet/RegionLimitTests.java
+++ b/core/src/test/java/org/gullsaddle/fleet/RegionLimitTests.java
@@ -24,7 +24,7 @@
 	}
 
 	@Test
-	void twoLimitsBothBind() {
+	void intersectionAllowsOnlyCommonRegions() {
 		RegionLimit both = RegionLimit.of(List.of("north", "south")).intersect(NORTH);
 		assertThat(both.allows("north")).isTrue();
 		assertThat(both.allows("south")).isFalse();
@@ -38,7 +38,7 @@
 	}
 
 	@Test
-	void noLimitAddsNothing() {
+	void intersectionWithNoLimitChangesNothing() {
 		assertThat(RegionLimit.ANYWHERE.intersect(NORTH)).isEqualTo(NORTH);
 		assertThat(NORTH.intersect(RegionLimit.ANYWHERE)).isEqualTo(NORTH);
 	}
--- a/core/src/test/java/org/gullsaddle/fleet/ReplicaDirectoryTests.java
+++ b/core/src/test/java/org/gullsaddle/fleet/ReplicaDirectoryTests.java
@@ -48,7 +48,7 @@
 	}
 
 	@Test
-	void replicaMissingFromAWholeReadingIsGone() {
+	void replicaMissingFromTheRegistryIsGone() {
 		this.directory.onListed(replica("one", false));
 		this.directory.onListed(replica("two", false));
 		this.directory.onRegistryRead(5, Set.of(new ReplicaId("two")));
@@ -56,18 +56,18 @@
 	}
 
 	@Nested
-	class WhereAReplicaSaysThatItLeaves {
+	class WithALeavingReplica {
 
 		private final ReplicaId id = new ReplicaId("one");
 
 		@BeforeEach
-		void tell() {
+		void listAndLeave() {
 			ReplicaDirectoryTests.this.directory.onListed(replica("one", false));
 			ReplicaDirectoryTests.this.directory.onLeaving(0, replica("one", false));
 		}
 
 		@Test
-		void itGetsNoNewWorkThoughItsEntrySaysOtherwise() {
+		void getsNoNewWorkWhateverItsEntrySays() {
 			assertThat(usable(0)).isEmpty();
 			ReplicaDirectoryTests.this.directory.onListed(replica("one", false));
 			assertThat(usable(1)).isEmpty();
@@ -76,7 +76,7 @@
 
 		/** Guards against an entry that lapses in an outage and brings it back. */
 		@Test
-		void itIsRememberedWhileItsEntryIsAway() {
+		void isRememberedWhileItsEntryIsMissing() {
 			ReplicaDirectoryTests.this.directory.onUnlisted(1000, this.id);
 			ReplicaDirectoryTests.this.directory.onLeaving(2000, replica("two", false));
 			ReplicaDirectoryTests.this.directory.onListed(replica("one", false));
@@ -84,14 +84,14 @@
 		}
 
 		@Test
-		void anotherProcessUnderItsIdIsUsed() {
+		void newProcessUnderItsIdIsUsed() {
 			ReplicaDirectoryTests.this.directory
 				.onListed(new Replica(this.id, DESK, new Address("10.0.0.1", 80), "a", "v1", 8, false, 2));
 			assertThat(usable(0)).containsExactly("one");
 		}
 
 		@Test
-		void itIsToldOnce() {
+		void isReportedAsNewOnce() {
 			assertThat(ReplicaDirectoryTests.this.directory.onLeaving(5, replica("one", false))).isFalse();
 		}
 
@@ -105,7 +105,7 @@
 		 * registry is empty. Callers were refused until the replicas wrote again.
 		 */
 		@Test
-		void lapsedReplicaIsUsedUntilItHadTimeToWriteAgain() {
+		void lapsedReplicaIsUsedUntilItHadTimeToRenewItsEntry() {
 			ReplicaDirectoryTests.this.directory.onListed(replica("one", false));
 			ReplicaDirectoryTests.this.directory.storeUnreachable(1000, true);
 			ReplicaDirectoryTests.this.directory.storeUnreachable(9000, false);
@@ -123,7 +123,7 @@
 		}
 
 		@Test
-		void removalLongAfterTheOutageIsTakenAtItsWord() {
+		void removalLongAfterTheOutageTakesEffectAtOnce() {
 			ReplicaDirectoryTests.this.directory.onListed(replica("one", false));
 			ReplicaDirectoryTests.this.directory.storeUnreachable(1000, true);
 			ReplicaDirectoryTests.this.directory.storeUnreachable(2000, false);
@@ -139,54 +139,54 @@
 
 		private final Replica one = replica("one", false);
 
-		private long cold(long now) {
+		private long coldMillis(long now) {
 			return ReplicaDirectoryTests.this.directory.coldMillis(now, this.one.id());
 		}
 
-		private void told(long now, long millis) {
+		private void reportCold(long now, long millis) {
 			ReplicaDirectoryTests.this.directory.onListed(this.one);
 			ReplicaDirectoryTests.this.directory.onColdReport(now, this.one, millis);
 		}
 
 		@Test
-		void areColdAsLongAsTheySay() {
-			told(1000, 3000);
-			assertThat(cold(1000)).isEqualTo(3000);
-			assertThat(cold(3999)).isEqualTo(1);
-			assertThat(cold(4000)).isZero();
+		void areColdAsLongAsReported() {
+			reportCold(1000, 3000);
+			assertThat(coldMillis(1000)).isEqualTo(3000);
+			assertThat(coldMillis(3999)).isEqualTo(1);
+			assertThat(coldMillis(4000)).isZero();
 		}
 
 		@Test
-		void areWarmAgainWhenTheySaySo() {
-			told(1000, 3000);
-			told(2000, 0);
-			assertThat(cold(2000)).isZero();
+		void areWarmOnceReportedWarm() {
+			reportCold(1000, 3000);
+			reportCold(2000, 0);
+			assertThat(coldMillis(2000)).isZero();
 		}
 
 		/** Guards against replicas that stay cold as their old entry is read again. */
 		@Test
-		void entryThatIsReadAgainSaysNothingNew() {
-			told(1000, 3000);
-			told(3500, 3000);
-			assertThat(cold(4000)).isZero();
+		void entryReadAgainDoesNotExtendTheColdTime() {
+			reportCold(1000, 3000);
+			reportCold(3500, 3000);
+			assertThat(coldMillis(4000)).isZero();
 		}
 
 		@Test
-		void areColdAnewAfterAnotherStart() {
-			told(1000, 3000);
+		void areColdAgainAfterARestart() {
+			reportCold(1000, 3000);
 			Replica again = new Replica(this.one.id(), DESK, this.one.address(), "a", "v1", 8, false, 2);
 			ReplicaDirectoryTests.this.directory.onListed(again);
 			ReplicaDirectoryTests.this.directory.onColdReport(5000, again, 3000);
-			assertThat(cold(5000)).isEqualTo(3000);
+			assertThat(coldMillis(5000)).isEqualTo(3000);
 		}
 
 		/** Guards against a replica that is out for a day by one absurd entry. */
 		@Test
-		void absurdTimesAreBounded() {
-			told(0, Long.MAX_VALUE);
-			assertThat(cold(0)).isEqualTo(ReplicaDirectory.MAX_COLD_MILLIS);
-			told(0, -5);
-			assertThat(cold(0)).isZero();
+		void excessiveTimesAreBounded() {
+			reportCold(0, Long.MAX_VALUE);
+			assertThat(coldMillis(0)).isEqualTo(ReplicaDirectory.MAX_COLD_MILLIS);
+			reportCold(0, -5);
+			assertThat(coldMillis(0)).isZero();
 		}
 
 	}
@@ -202,7 +202,7 @@
 		}
 
 		@Test
-		void replicasGetNothingNewUntilTheyAreTakenBack() {
+		void replicasGetNoNewWorkUntilTheEvacuationEnds() {
 			ReplicaDirectoryTests.this.directory.evacuate("a");
 			assertThat(usable(0)).isEmpty();
 			ReplicaDirectoryTests.this.directory.endEvacuation("a");
@@ -210,7 +210,7 @@
 		}
 
 		@Test
-		void otherDataCentersGoOn() {
+		void otherDataCentersAreNotAffected() {
 			ReplicaDirectoryTests.this.directory.evacuate("b");
 			assertThat(usable(0)).containsExactly("one");
 		}
@@ -219,14 +219,14 @@
 		 * Guards against requests that are sent late over a connection asked for early.
 		 */
 		@Test
-		void replicaThatWasChosenBeforeIsNotSentTheRequest() {
+		void replicaChosenBeforeTheEvacuationCannotBeUsed() {
 			assertThat(ReplicaDirectoryTests.this.directory.canStillUse(0, this.one)).isTrue();
 			ReplicaDirectoryTests.this.directory.evacuate("a");
 			assertThat(ReplicaDirectoryTests.this.directory.canStillUse(0, this.one)).isFalse();
 		}
 
 		@Test
-		void replicaThatStartedAnewIsNotTheOneThatWasChosen() {
+		void restartedReplicaCannotBeUsedAsTheChosenOne() {
 			ReplicaDirectoryTests.this.directory
 				.onListed(new Replica(this.one.id(), DESK, this.one.address(), "a", "v1", 8, false, 2));
 			assertThat(ReplicaDirectoryTests.this.directory.canStillUse(0, this.one)).isFalse();
--- a/core/src/test/java/org/gullsaddle/rollout/VersionGuardTests.java
+++ b/core/src/test/java/org/gullsaddle/rollout/VersionGuardTests.java
@@ -22,7 +22,7 @@
 	 * few answers, and stays halted though better ones follow.
 	 */
 	@Test
-	void versionThatTurnsBadIsHaltedWithinFewAnswersAndDoesNotFlap() {
+	void versionThatDegradesIsHaltedWithinFewAnswersAndDoesNotFlap() {
 		Random random = new Random(1);
 		for (int i = 0; i < 1000; i++) {
 			assertThat(this.guard.onRating(TEMPLATE, VERSION, 0.9, 0.9 + 0.1 * random.nextGaussian())).isEmpty();
@@ -50,7 +50,7 @@
 	}
 
 	@Test
-	void oneFailureInFiftyIsNoReason() {
+	void oneFailureInFiftyDoesNotHalt() {
 		for (int i = 0; i < 5000; i++) {
 			assertThat(this.guard.onAttemptEnd(TEMPLATE, VERSION, i % 50 == 0)).isEmpty();
 		}
@@ -61,7 +61,7 @@
 	 * is why it is rated, and no reason to halt it.
 	 */
 	@Test
-	void versionThatAlwaysWasWeakHasNotTurnedBad() {
+	void versionThatWasAlwaysWeakIsNotHalted() {
 		Random random = new Random(2);
 		for (int i = 0; i < 20_000; i++) {
 			double score = (random.nextInt(3) == 0) ? 0.35 : 0.95;
@@ -77,7 +77,7 @@
 	}
 
 	@Test
-	void haltOfAnOlderRevisionIsNotTaken() {
+	void haltOfAnOlderRevisionIsIgnored() {
 		this.guard.onTemplateChange(TEMPLATE, 2);
 		this.guard.onHalt(new Halt(TEMPLATE, 1, VERSION, "failures"));
 		assertThat(this.guard.haltedVersions(TEMPLATE)).isEmpty();
--- a/core/src/test/java/org/gullsaddle/template/TemplateTests.java
+++ b/core/src/test/java/org/gullsaddle/template/TemplateTests.java
@@ -76,14 +76,14 @@
 		}
 
 		@Test
-		void retiringVersionKeepsItsSessionsAndTakesNoNewOnes() {
+		void retiringVersionKeepsItsSessionsAndGetsNoNewOnes() {
 			Template changed = this.template.withState(LARGE, VersionState.RETIRING);
 			assertThat(changed.allows(GOLD, LARGE, true)).isTrue();
 			assertThat(changed.allows(GOLD, LARGE, false)).isFalse();
 		}
 
 		@Test
-		void withdrawnVersionTakesNothing() {
+		void withdrawnVersionGetsNoWork() {
 			Template changed = this.template.withState(LARGE, VersionState.WITHDRAWN);
 			assertThat(changed.allows(GOLD, LARGE, true)).isFalse();
 		}
@@ -125,7 +125,7 @@
 				20000  | gone  | gone  | true
 				20000  |       |       | false
 				""")
-		void nodeIsCutOffOnlyIfAnotherEntryCouldBeTakingChanges(long own, String one, String two, boolean cutOff) {
+		void nodeIsCutOffOnlyIfAPeerCouldBeAcceptingChanges(long own, String one, String two, boolean cutOff) {
 			assertThat(ConfigFreshness.isCutOff(own, 10_000,
 					Stream.of(one, two).filter((age) -> age != null).map(InForce::peer).toList()))
 				.isEqualTo(cutOff);
