--- a/core/src/main/java/org/gullsaddle/allowance/Allowance.java
+++ b/core/src/main/java/org/gullsaddle/allowance/Allowance.java
@@ -34,7 +34,7 @@
 
 	private long budgetLeftMicros;
 
-	private boolean isBudgetShort;
+	private boolean budgetShort;
 
 	Allowance(TeamRule rule, long now) {
 		this.rule = rule;
@@ -78,7 +78,7 @@
 			return Shortage.NO_GRANT;
 		}
 		if (today != this.day || this.budgetLeftMicros < costMicros) {
-			this.isBudgetShort = true;
+			this.budgetShort = true;
 			return Shortage.BUDGET;
 		}
 		if (this.running >= concurrencyLimit(held)) {
@@ -131,7 +131,7 @@
 	}
 
 	boolean needsBudget(long today, long chunk) {
-		return today != this.day || this.isBudgetShort || this.budgetLeftMicros < chunk / 2;
+		return today != this.day || this.budgetShort || this.budgetLeftMicros < chunk / 2;
 	}
 
 	void addBudget(long today, long micros) {
@@ -140,7 +140,7 @@
 			this.budgetLeftMicros = 0;
 		}
 		this.budgetLeftMicros += micros;
-		this.isBudgetShort = false;
+		this.budgetShort = false;
 	}
 
 	/**
--- a/core/src/main/java/org/gullsaddle/fleet/ReplicaDirectory.java
+++ b/core/src/main/java/org/gullsaddle/fleet/ReplicaDirectory.java
@@ -49,7 +49,7 @@
 
 	private boolean storeUnreachable;
 
-	private boolean told;
+	private boolean loaded;
 
 	private boolean wasUnreachable;
 
@@ -65,7 +65,7 @@
 			.stream()
 			.filter((id) -> !ids.contains(id))
 			.forEach((id) -> onUnlisted(now, id));
-		this.told = true;
+		this.loaded = true;
 	}
 
 	/**
@@ -207,7 +207,7 @@
 	 * @return true once it was
 	 */
 	public boolean isLoaded() {
-		return this.told;
+		return this.loaded;
 	}
 
 	/**
--- a/core/src/main/java/org/gullsaddle/hold/BufferAccount.java
+++ b/core/src/main/java/org/gullsaddle/hold/BufferAccount.java
@@ -18,14 +18,14 @@
 
 	private long bufferedBytes;
 
-	private boolean waits;
+	private boolean waiting;
 
 	private long waitingSince;
 
 	/** When the window began in which bytes that moved are counted. */
 	private long windowStart;
 
-	private long moved;
+	private long transferred;
 
 	private long transferredBefore;
 
@@ -50,13 +50,13 @@
 			return;
 		}
 		boolean waitsNow = forOther && bytes > 0;
-		if (waitsNow && !this.waits) {
+		if (waitsNow && !this.waiting) {
 			this.waitingSince = now;
 			this.windowStart = now;
-			this.moved = 0;
+			this.transferred = 0;
 			this.transferredBefore = 0;
 		}
-		this.waits = waitsNow;
+		this.waiting = waitsNow;
 		long change = bytes - this.bufferedBytes;
 		this.bufferedBytes = bytes;
 		this.budget.addBytes(change);
@@ -69,7 +69,7 @@
 	 */
 	public void recordTransferred(long bytes, long now) {
 		advanceWindow(now);
-		this.moved += bytes;
+		this.transferred += bytes;
 	}
 
 	/**
@@ -105,11 +105,11 @@
 		advanceWindow(now);
 		double elapsed = now - this.windowStart;
 		double before = this.transferredBefore * Math.max(0, 1 - elapsed / this.windowMillis);
-		return this.bufferedBytes / (this.moved + before) * this.windowMillis / MILLIS_PER_SECOND;
+		return this.bufferedBytes / (this.transferred + before) * this.windowMillis / MILLIS_PER_SECOND;
 	}
 
 	boolean isWaiting() {
-		return this.waits;
+		return this.waiting;
 	}
 
 	boolean isRateKnown(long now) {
@@ -119,8 +119,8 @@
 	private void advanceWindow(long now) {
 		long windows = (now - this.windowStart) / this.windowMillis;
 		if (windows > 0) {
-			this.transferredBefore = (windows == 1) ? this.moved : 0;
-			this.moved = 0;
+			this.transferredBefore = (windows == 1) ? this.transferred : 0;
+			this.transferred = 0;
 			this.windowStart += windows * this.windowMillis;
 		}
 	}
@@ -132,7 +132,7 @@
 	public void close() {
 		if (!this.closed) {
 			this.closed = true;
-			this.waits = false;
+			this.waiting = false;
 			this.budget.removeAccount(this);
 			this.bufferedBytes = 0;
 		}
--- a/core/src/main/java/org/gullsaddle/hold/BufferBudget.java
+++ b/core/src/main/java/org/gullsaddle/hold/BufferBudget.java
@@ -33,7 +33,7 @@
 
 	private long bufferedBytes;
 
-	private boolean spent;
+	private boolean exhausted;
 
 	/**
 	 * Makes a budget.
@@ -87,7 +87,7 @@
 	 * @return true if a holder is to be given up
 	 */
 	public boolean isExhausted() {
-		return this.spent;
+		return this.exhausted;
 	}
 
 	/**
@@ -100,7 +100,7 @@
 	 * waits for another side
 	 */
 	public Optional<BufferAccount> findToAbort(long now) {
-		if (!this.spent) {
+		if (!this.exhausted) {
 			return Optional.empty();
 		}
 		Collection<BufferAccount> large = this.accounts.stream()
@@ -129,12 +129,12 @@
 	}
 
 	boolean canRead(BufferAccount holder) {
-		return this.spent ? isSmall(holder) : holder.bufferedBytes() < this.limitBytes / CONNECTION_DIVISOR;
+		return this.exhausted ? isSmall(holder) : holder.bufferedBytes() < this.limitBytes / CONNECTION_DIVISOR;
 	}
 
 	void addBytes(long bytes) {
 		this.bufferedBytes += bytes;
-		this.spent = this.bufferedBytes >= (this.spent ? this.limitBytes - this.limitBytes / RESUME_DIVISOR
+		this.exhausted = this.bufferedBytes >= (this.exhausted ? this.limitBytes - this.limitBytes / RESUME_DIVISOR
 				: this.limitBytes);
 	}
 
--- a/core/src/main/java/org/gullsaddle/register/RegisterShard.java
+++ b/core/src/main/java/org/gullsaddle/register/RegisterShard.java
@@ -36,7 +36,7 @@
 
 	private List<Pending> batch = List.of();
 
-	private Map<String, Entry> written = Map.of();
+	private Map<String, Entry> batchEntries = Map.of();
 
 	private Map<String, Entry> entries;
 
@@ -113,7 +113,7 @@
 	private void onWritten(long newRevision) {
 		this.storeCallPending = false;
 		this.revision = newRevision;
-		this.entries = this.written;
+		this.entries = this.batchEntries;
 		for (Pending done : this.batch) {
 			answer(done);
 		}
@@ -184,7 +184,7 @@
 		if (changed) {
 			this.storeCallPending = true;
 			this.batch = taken;
-			this.written = next;
+			this.batchEntries = next;
 			this.actions.add(new RegisterAction.Write(this.revision, List.copyOf(next.values())));
 		}
 	}
