--- a/core/src/main/java/org/gullsaddle/agent/Admission.java
+++ b/core/src/main/java/org/gullsaddle/agent/Admission.java
@@ -19,13 +19,13 @@
 import org.gullsaddle.base.Usage;
 import org.gullsaddle.base.Verdict;
 import org.gullsaddle.clock.Moment;
-import org.gullsaddle.ledger.AttemptLine;
-import org.gullsaddle.ledger.HeldLine;
-import org.gullsaddle.suspect.SuspectBook;
-import org.gullsaddle.suspect.Suspicion;
+import org.gullsaddle.ledger.AgentRecord;
+import org.gullsaddle.ledger.AttemptRecord;
+import org.gullsaddle.suspect.SuspectContent;
+import org.gullsaddle.suspect.SuspectTracker;
 import org.gullsaddle.template.Template;
-import org.gullsaddle.template.TemplateBook;
 import org.gullsaddle.template.TemplateRevision;
+import org.gullsaddle.template.TemplateTable;
 
 /**
  * Decides what one backend server is given. Single-threaded: hand it one event at a time,
@@ -52,9 +52,9 @@
 
 	private final AdmissionSettings settings;
 
-	private final TemplateBook templates = new TemplateBook();
+	private final TemplateTable templates = new TemplateTable();
 
-	private final SuspectBook suspects = new SuspectBook();
+	private final SuspectTracker suspects = new SuspectTracker();
 
 	private final FairQueue queue = new FairQueue();
 
@@ -120,7 +120,7 @@
 			case AdmissionEvent.BackendUp backend -> backendUp(now, backend);
 			case AdmissionEvent.BackendDown down -> backendDown();
 			case AdmissionEvent.TemplateChanged changed -> this.templates.apply(changed.revision());
-			case AdmissionEvent.SuspectLearned learned -> this.suspects.learn(learned.suspicion());
+			case AdmissionEvent.SuspectLearned learned -> this.suspects.merge(learned.suspicion());
 			case AdmissionEvent.DrainStarted drain -> drain();
 			case AdmissionEvent.Tick tick -> {
 				closeLate(now);
@@ -154,7 +154,7 @@
 	 * Returns the revisions in force here.
 	 * @return the templates
 	 */
-	public TemplateBook templates() {
+	public TemplateTable templates() {
 		return this.templates;
 	}
 
@@ -162,8 +162,8 @@
 	 * Returns what is remembered of crashes, to tell an entry that has just been linked.
 	 * @return the suspicions
 	 */
-	public List<Suspicion> suspects() {
-		return this.suspects.all();
+	public List<SuspectContent> suspects() {
+		return this.suspects.suspects();
 	}
 
 	/**
@@ -209,7 +209,7 @@
 		if (!permitted(dispatch)) {
 			return Optional.of(Refusal.notRun(RefusalReason.FORBIDDEN, COME_BACK_MILLIS));
 		}
-		if (this.suspects.convicted(dispatch.fingerprint())) {
+		if (this.suspects.isBlocked(dispatch.fingerprint())) {
 			return Optional.of(Refusal.notRun(RefusalReason.POISON, 0));
 		}
 		if (now.millis() >= work.deadline()) {
@@ -227,7 +227,7 @@
 	 * and refuses too; the entry sends the revision ahead of the work.
 	 */
 	private boolean permitted(Dispatch dispatch) {
-		TemplateRevision held = this.templates.get(dispatch.template()).orElse(null);
+		TemplateRevision held = this.templates.find(dispatch.template()).orElse(null);
 		if (held == null || held.revision() < dispatch.revision()) {
 			return false;
 		}
@@ -311,7 +311,7 @@
 	}
 
 	private boolean mustBeAlone(Work work) {
-		return work.dispatch().alone() || this.suspects.suspected(work.dispatch().fingerprint());
+		return work.dispatch().alone() || this.suspects.isSuspect(work.dispatch().fingerprint());
 	}
 
 	private void start(Moment now, Work work) {
@@ -373,7 +373,7 @@
 		if (work.alone()) {
 			this.suspects.clear(work.dispatch().fingerprint());
 		}
-		HeldLine line = hold(now, work, Verdict.RAN, "done", completion.usage());
+		AgentRecord line = hold(now, work, Verdict.RAN, "done", completion.usage());
 		AdmissionAction end = new AdmissionAction.SendDone(work.entry(), event.attempt(), completion, work.length());
 		this.closing.put(event.attempt(), new Closing(end, now.millis() + COPY_MILLIS));
 		Optional<NodeId> holder = this.entries.stream().filter((entry) -> !entry.equals(work.entry())).findAny();
@@ -411,7 +411,7 @@
 			return;
 		}
 		if (event.crashed()) {
-			Suspicion known = this.suspects.crashed(work.dispatch().fingerprint(), work.attempt(), work.alone());
+			SuspectContent known = this.suspects.onCrash(work.dispatch().fingerprint(), work.attempt(), work.alone());
 			this.actions.add(new AdmissionAction.AnnounceSuspect(known));
 		}
 		if (event.verdict() != Verdict.NOT_RUN) {
@@ -422,23 +422,23 @@
 		startNext(now);
 	}
 
-	private HeldLine hold(Moment now, Work work, Verdict verdict, String outcome, Usage usage) {
+	private AgentRecord hold(Moment now, Work work, Verdict verdict, String outcome, Usage usage) {
 		Dispatch dispatch = work.dispatch();
 		// What a caller stopped it pays for as far as it ran; a backend server's fault is
 		// free.
 		boolean billed = verdict == Verdict.RAN || (work.cancelled() && !outcome.equals(CRASHED));
 		long cost = billed ? cost(dispatch, usage) : 0;
-		AttemptLine line = new AttemptLine(work.attempt(), dispatch.version(), this.settings.id(), dispatch.revision(),
-				verdict, outcome, usage, cost, work.startStamp(), now.stamp());
-		HeldLine held = new HeldLine(work.entry(), dispatch.team(), dispatch.template(), line);
+		AttemptRecord line = new AttemptRecord(work.attempt(), dispatch.version(), this.settings.id(),
+				dispatch.revision(), verdict, outcome, usage, cost, work.startStamp(), now.stamp());
+		AgentRecord held = new AgentRecord(work.entry(), dispatch.team(), dispatch.template(), line);
 		this.actions.add(new AdmissionAction.Hold(held));
 		return held;
 	}
 
 	private long cost(Dispatch dispatch, Usage usage) {
-		return this.templates.get(dispatch.template())
-			.flatMap((revision) -> revision.template().rule(dispatch.version()))
-			.map((rule) -> rule.price().of(usage))
+		return this.templates.find(dispatch.template())
+			.flatMap((revision) -> revision.template().findRule(dispatch.version()))
+			.map((rule) -> rule.price().costOf(usage))
 			.orElse(0L);
 	}
 
--- a/core/src/main/java/org/gullsaddle/route/Gate.java
+++ b/core/src/main/java/org/gullsaddle/route/Gate.java
@@ -5,10 +5,10 @@
 import org.gullsaddle.base.Refusal;
 import org.gullsaddle.base.RefusalReason;
 import org.gullsaddle.clock.Moment;
-import org.gullsaddle.suspect.SuspectBook;
+import org.gullsaddle.suspect.SuspectTracker;
 import org.gullsaddle.template.CutOffBehaviour;
 import org.gullsaddle.template.TeamRule;
-import org.gullsaddle.template.TemplateBook;
+import org.gullsaddle.template.TemplateTable;
 
 /**
  * Refuses at once what need not be tried.
@@ -21,15 +21,15 @@
 
 	private final RouterSettings settings;
 
-	private final TemplateBook templates;
+	private final TemplateTable templates;
 
-	private final SuspectBook suspects;
+	private final SuspectTracker suspects;
 
 	private final ComeBack comeBack;
 
 	private boolean cutOff;
 
-	Gate(RouterSettings settings, TemplateBook templates, SuspectBook suspects, ComeBack comeBack) {
+	Gate(RouterSettings settings, TemplateTable templates, SuspectTracker suspects, ComeBack comeBack) {
 		this.settings = settings;
 		this.templates = templates;
 		this.suspects = suspects;
@@ -44,8 +44,8 @@
 	 * Returns the refusal of a request that is not to be let in, or empty.
 	 */
 	Optional<Refusal> check(Moment now, IncomingRequest request, int open) {
-		TeamRule team = this.templates.get(request.template())
-			.flatMap((revision) -> revision.template().team(request.team()))
+		TeamRule team = this.templates.find(request.template())
+			.flatMap((revision) -> revision.template().findTeam(request.team()))
 			.orElse(null);
 		if (team == null) {
 			return Optional.of(Refusal.notRun(RefusalReason.NO_TEMPLATE, 0));
@@ -56,7 +56,7 @@
 		if (this.cutOff && team.cutOff() == CutOffBehaviour.REFUSE) {
 			return Optional.of(this.comeBack.later(RefusalReason.FORBIDDEN, CUT_OFF_COME_BACK_MILLIS));
 		}
-		if (this.suspects.convicted(request.fingerprint())) {
+		if (this.suspects.isBlocked(request.fingerprint())) {
 			return Optional.of(Refusal.notRun(RefusalReason.POISON, 0));
 		}
 		if (request.deadline() <= now.millis()) {
--- a/core/src/main/java/org/gullsaddle/route/RequestState.java
+++ b/core/src/main/java/org/gullsaddle/route/RequestState.java
@@ -14,7 +14,7 @@
 import org.gullsaddle.base.TeamId;
 import org.gullsaddle.base.Usage;
 import org.gullsaddle.base.Verdict;
-import org.gullsaddle.ledger.AttemptLine;
+import org.gullsaddle.ledger.AttemptRecord;
 import org.gullsaddle.ledger.RequestRecord;
 import org.gullsaddle.template.Template;
 import org.gullsaddle.template.TemplateRevision;
@@ -31,7 +31,7 @@
 
 	private final long admitted;
 
-	private final List<AttemptLine> lines = new ArrayList<>();
+	private final List<AttemptRecord> lines = new ArrayList<>();
 
 	private final Set<NodeId> tried = new HashSet<>();
 
@@ -153,7 +153,7 @@
 	 * Returns the mean rating that the operator expects of a version.
 	 */
 	double expectedQuality(ModelVersion version) {
-		return template().rule(version).map(VersionRule::quality).orElse(UNKNOWN_QUALITY);
+		return template().findRule(version).map(VersionRule::quality).orElse(UNKNOWN_QUALITY);
 	}
 
 	boolean lastStage() {
@@ -205,11 +205,11 @@
 	Outstanding close(Verdict attemptVerdict, String attemptOutcome, Usage usage, long costMicros, long stamp) {
 		Outstanding closed = this.outstanding;
 		this.outstanding = null;
-		this.verdict = this.verdict.and(attemptVerdict);
+		this.verdict = this.verdict.combine(attemptVerdict);
 		if (attemptVerdict != Verdict.NOT_RUN) {
 			this.failed.add(closed.agent());
 		}
-		this.lines.add(new AttemptLine(closed.attempt(), closed.version(), closed.agent(), closed.revision(),
+		this.lines.add(new AttemptRecord(closed.attempt(), closed.version(), closed.agent(), closed.revision(),
 				attemptVerdict, attemptOutcome, usage, costMicros, closed.stamp(), stamp));
 		return closed;
 	}
@@ -284,7 +284,7 @@
 	 * Returns the verdict for the caller: what is outstanding may have run.
 	 */
 	Verdict verdict() {
-		return (this.outstanding != null) ? this.verdict.and(Verdict.MAY_HAVE_RUN) : this.verdict;
+		return (this.outstanding != null) ? this.verdict.combine(Verdict.MAY_HAVE_RUN) : this.verdict;
 	}
 
 	boolean answered() {
@@ -313,7 +313,7 @@
 	}
 
 	long cost() {
-		return this.lines.stream().mapToLong(AttemptLine::costMicros).sum();
+		return this.lines.stream().mapToLong(AttemptRecord::costMicros).sum();
 	}
 
 	RequestRecord record() {
--- a/core/src/main/java/org/gullsaddle/route/Router.java
+++ b/core/src/main/java/org/gullsaddle/route/Router.java
@@ -7,23 +7,23 @@
 
 import org.gullsaddle.base.AttemptId;
 import org.gullsaddle.base.Completion;
+import org.gullsaddle.base.KeyHash;
 import org.gullsaddle.base.ModelVersion;
 import org.gullsaddle.base.NodeId;
 import org.gullsaddle.base.Refusal;
 import org.gullsaddle.base.RefusalReason;
 import org.gullsaddle.base.RequestId;
-import org.gullsaddle.base.Spread;
 import org.gullsaddle.base.Usage;
 import org.gullsaddle.base.Verdict;
 import org.gullsaddle.clock.Moment;
 import org.gullsaddle.rollout.Halt;
 import org.gullsaddle.rollout.VersionGuard;
 import org.gullsaddle.serve.RetryBudget;
-import org.gullsaddle.suspect.SuspectBook;
-import org.gullsaddle.suspect.Suspicion;
+import org.gullsaddle.suspect.SuspectContent;
+import org.gullsaddle.suspect.SuspectTracker;
 import org.gullsaddle.template.Template;
-import org.gullsaddle.template.TemplateBook;
 import org.gullsaddle.template.TemplateRevision;
+import org.gullsaddle.template.TemplateTable;
 
 /**
  * Decides what happens to the requests of an entry. Single-threaded: hand it one event at
@@ -48,7 +48,7 @@
 
 	private final RandomGenerator random;
 
-	private final TemplateBook templates = new TemplateBook();
+	private final TemplateTable templates = new TemplateTable();
 
 	private final QualityBook quality = new QualityBook();
 
@@ -56,7 +56,7 @@
 
 	private final Planner planner = new Planner(this.quality, this.guard);
 
-	private final SuspectBook suspects = new SuspectBook();
+	private final SuspectTracker suspects = new SuspectTracker();
 
 	private final ComeBack comeBack;
 
@@ -114,7 +114,7 @@
 			case RouterEvent.AnswerRated rated -> rated(now, rated);
 			case RouterEvent.CallerGone gone -> callerGone(now, gone.request());
 			case RouterEvent.TemplateChanged changed -> templateChanged(changed.revision());
-			case RouterEvent.HaltLearned learned -> this.guard.learn(learned.halt());
+			case RouterEvent.HaltLearned learned -> this.guard.onHalt(learned.halt());
 			case RouterEvent.FreshnessChanged freshness -> this.gate.cutOff(freshness.cutOff());
 			case RouterEvent.SuspectLearned learned -> learn(learned.suspicion());
 			case RouterEvent.AttemptAccepted accepted -> this.open.accepted(accepted.attempt());
@@ -136,13 +136,13 @@
 	 * Returns what is remembered of crashes, to tell an entry that has just been linked.
 	 * @return the suspicions
 	 */
-	public List<Suspicion> suspects() {
-		return this.suspects.all();
+	public List<SuspectContent> suspects() {
+		return this.suspects.suspects();
 	}
 
 	private void arrived(Moment now, IncomingRequest request) {
 		Optional<Refusal> refusal = this.gate.check(now, request, this.open.size());
-		TemplateRevision revision = this.templates.get(request.template()).orElse(null);
+		TemplateRevision revision = this.templates.find(request.template()).orElse(null);
 		RequestState state = new RequestState(request, revision, unit(request), now.stamp());
 		this.open.add(state);
 		if (refusal.isPresent()) {
@@ -269,11 +269,11 @@
 			return;
 		}
 		IncomingRequest request = state.request();
-		if (this.suspects.convicted(request.fingerprint())) {
+		if (this.suspects.isBlocked(request.fingerprint())) {
 			this.answers.giveUp(now, state, Refusal.notRun(RefusalReason.POISON, 0));
 			return;
 		}
-		if (this.suspects.suspected(request.fingerprint()) && this.open.underWay(request.fingerprint())) {
+		if (this.suspects.isSuspect(request.fingerprint()) && this.open.underWay(request.fingerprint())) {
 			// Two copies, each alone on its backend server, would kill two at once.
 			this.answers.giveUp(now, state, this.comeBack.later(RefusalReason.POISON, COME_BACK_MILLIS));
 			return;
@@ -284,7 +284,7 @@
 					state.tried().isEmpty() ? RefusalReason.NO_VERSION : RefusalReason.OVERLOADED, COME_BACK_MILLIS));
 			return;
 		}
-		boolean alone = this.suspects.suspected(request.fingerprint());
+		boolean alone = this.suspects.isSuspect(request.fingerprint());
 		AttemptId attempt = state.sent(agent.get(), alone, now.stamp());
 		this.balancer.sent(agent.get(), attempt);
 		this.outbox.send(state, agent.get(), attempt, alone);
@@ -364,7 +364,7 @@
 		long cost = cost(state, completion.usage());
 		RequestState.Outstanding closed = state.close(Verdict.RAN, "done", completion.usage(), cost, now.stamp());
 		this.balancer.succeeded(closed.agent());
-		announce(this.guard.ended(state.request().template(), closed.version(), false));
+		announce(this.guard.onAttemptEnd(state.request().template(), closed.version(), false));
 		if (closed.alone()) {
 			this.suspects.clear(state.request().fingerprint());
 		}
@@ -404,7 +404,7 @@
 		if (score.isPresent()) {
 			double expected = state.expectedQuality(version);
 			this.quality.rated(state.subject(), expected, score.getAsDouble(), bar);
-			announce(this.guard.rated(state.request().template(), version, expected, score.getAsDouble()));
+			announce(this.guard.onRating(state.request().template(), version, expected, score.getAsDouble()));
 		}
 		else {
 			this.noCascadesUntil = now.millis() + RATER_PAUSE_MILLIS;
@@ -463,11 +463,11 @@
 				event.crashed() ? "backend-crashed" : "backend-failed", event.usage(), cost, now.stamp());
 		if (!state.answered() && event.verdict() != Verdict.NOT_RUN
 				&& this.balancer.failed(now.millis(), closed.agent(), closed.version())) {
-			announce(this.guard.ended(state.request().template(), closed.version(), true));
+			announce(this.guard.onAttemptEnd(state.request().template(), closed.version(), true));
 		}
 		if (event.crashed()) {
 			this.outbox.add(new RouterAction.Suspect(
-					this.suspects.crashed(state.request().fingerprint(), event.attempt(), closed.alone())));
+					this.suspects.onCrash(state.request().fingerprint(), event.attempt(), closed.alone())));
 		}
 		if (state.answered()) {
 			if (event.verdict() == Verdict.NOT_RUN) {
@@ -476,7 +476,7 @@
 			this.answers.record(state);
 			return;
 		}
-		if (this.suspects.convicted(state.request().fingerprint())) {
+		if (this.suspects.isBlocked(state.request().fingerprint())) {
 			this.answers.giveUp(now, state, Refusal.notRun(RefusalReason.POISON, 0));
 		}
 		else if ((state.request().repeatable() || event.verdict() == Verdict.NOT_RUN)
@@ -513,7 +513,7 @@
 
 	private void templateChanged(TemplateRevision revision) {
 		if (this.templates.apply(revision)) {
-			this.guard.changed(revision.template().name(), revision.revision());
+			this.guard.onTemplateChange(revision.template().name(), revision.revision());
 		}
 	}
 
@@ -521,8 +521,8 @@
 		halt.ifPresent((found) -> this.outbox.add(new RouterAction.Announce(found)));
 	}
 
-	private void learn(Suspicion suspicion) {
-		if (this.suspects.learn(suspicion)) {
+	private void learn(SuspectContent suspicion) {
+		if (this.suspects.merge(suspicion)) {
 			// The node that told may have told no other, and may be dying.
 			this.outbox.add(new RouterAction.Suspect(suspicion));
 		}
@@ -575,14 +575,14 @@
 	}
 
 	private void refresh(RequestState state) {
-		this.templates.get(state.request().template())
-			.filter((newest) -> newest.template().team(state.team()).isPresent())
+		this.templates.find(state.request().template())
+			.filter((newest) -> newest.template().findTeam(state.team()).isPresent())
 			.ifPresent(state::refresh);
 	}
 
 	private long cost(RequestState state, Usage usage) {
 		Template template = state.template();
-		return template.rule(state.outstanding().version()).map((rule) -> rule.price().of(usage)).orElse(0L);
+		return template.findRule(state.outstanding().version()).map((rule) -> rule.price().costOf(usage)).orElse(0L);
 	}
 
 	/**
@@ -591,7 +591,7 @@
 	 */
 	private static double unit(IncomingRequest request) {
 		String key = request.session().map((session) -> request.team() + "/" + session).orElse(request.id().value());
-		return Spread.unit(key);
+		return KeyHash.toUnitInterval(key);
 	}
 
 }
--- a/core/src/main/java/org/gullsaddle/serve/BackpressureTable.java
+++ b/core/src/main/java/org/gullsaddle/serve/BackpressureTable.java
@@ -91,7 +91,7 @@
 	 */
 	private void startBackOff(Replica replica, long until) {
 		BackOff known = this.backOffs.get(replica.id());
-		boolean later = known == null || !known.replica.sameProcess(replica) || known.until < until;
+		boolean later = known == null || !known.replica.isSameProcess(replica) || known.until < until;
 		if (later) {
 			this.backOffs.put(replica.id(), new BackOff(replica, until));
 		}
@@ -99,7 +99,7 @@
 
 	private void limit(long now, Replica replica, double perSecond) {
 		LimitedReplica known = this.limitedReplicas.get(replica.id());
-		if (known == null || !known.replica().sameProcess(replica)) {
+		if (known == null || !known.replica().isSameProcess(replica)) {
 			known = new LimitedReplica(now, replica, this.self, this.place, this.random);
 			this.limitedReplicas.put(replica.id(), known);
 		}
@@ -115,7 +115,7 @@
 	 */
 	public OptionalDouble limit(Replica replica) {
 		LimitedReplica known = this.limitedReplicas.get(replica.id());
-		return (known != null && known.replica().sameProcess(replica)) ? OptionalDouble.of(known.perSecond())
+		return (known != null && known.replica().isSameProcess(replica)) ? OptionalDouble.of(known.perSecond())
 				: OptionalDouble.empty();
 	}
 
@@ -164,7 +164,7 @@
 	 */
 	public long backOffMillis(long now, Replica replica) {
 		BackOff known = this.backOffs.get(replica.id());
-		return (known != null && known.replica.sameProcess(replica)) ? Math.max(0, known.until - now) : 0;
+		return (known != null && known.replica.isSameProcess(replica)) ? Math.max(0, known.until - now) : 0;
 	}
 
 	/**
@@ -267,7 +267,7 @@
 
 	private Optional<LimitedReplica> findLimited(long now, Replica replica) {
 		LimitedReplica known = this.limitedReplicas.get(replica.id());
-		if (known == null || !known.replica().sameProcess(replica)) {
+		if (known == null || !known.replica().isSameProcess(replica)) {
 			return Optional.empty();
 		}
 		known.updatePeers(now, this.peers.get());
--- a/core/src/main/java/org/gullsaddle/serve/ColdReplicaLimiter.java
+++ b/core/src/main/java/org/gullsaddle/serve/ColdReplicaLimiter.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 import java.util.Set;
 
-import org.gullsaddle.base.Spread;
+import org.gullsaddle.base.KeyHash;
 import org.gullsaddle.fleet.Replica;
 import org.gullsaddle.fleet.ReplicaId;
 
@@ -86,7 +86,7 @@
 
 	private long maxRequests(long second, ReplicaId replica, double share) {
 		double wholeRequests = Math.floor(share);
-		boolean oneMore = Spread.unit(this.node + '/' + replica + '/' + second) < share - wholeRequests;
+		boolean oneMore = KeyHash.toUnitInterval(this.node + '/' + replica + '/' + second) < share - wholeRequests;
 		return (long) wholeRequests + (oneMore ? 1 : 0);
 	}
 
--- a/core/src/main/java/org/gullsaddle/serve/Loss.java
+++ b/core/src/main/java/org/gullsaddle/serve/Loss.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-import org.gullsaddle.base.Spread;
+import org.gullsaddle.base.KeyHash;
 
 /**
  * An expected loss of sending a request to a replica, as a share of the request's value.
@@ -135,7 +135,7 @@
 		@Override
 		public double estimate(ReplicaCandidate candidate) {
 			List<PromptPart> parts = candidate.task().prompt().parts();
-			return parts.isEmpty() ? 0 : MAX_LOSS * Spread.unit(parts.get(0).id() + '/' + candidate.replica().id());
+			return parts.isEmpty() ? 0 : MAX_LOSS * KeyHash.toUnitInterval(parts.get(0).id() + '/' + candidate.replica().id());
 		}
 
 	}
--- a/core/src/main/java/org/gullsaddle/serve/ModelSizePartition.java
+++ b/core/src/main/java/org/gullsaddle/serve/ModelSizePartition.java
@@ -8,7 +8,7 @@
 import java.util.Set;
 import java.util.stream.Collectors;
 
-import org.gullsaddle.base.Spread;
+import org.gullsaddle.base.KeyHash;
 import org.gullsaddle.fleet.Replica;
 import org.gullsaddle.fleet.ReplicaId;
 
@@ -107,7 +107,7 @@
 		Set<ReplicaId> nonDedicated = new HashSet<>();
 		for (List<Replica> inRegion : byRegion.values()) {
 			List<Replica> ordered = new ArrayList<>(inRegion);
-			ordered.sort(Comparator.comparingDouble((replica) -> Spread.unit(replica.id().value())));
+			ordered.sort(Comparator.comparingDouble((replica) -> KeyHash.toUnitInterval(replica.id().value())));
 			long smallCount = smallReplicaCount(inRegion.size());
 			for (int i = 0; i < ordered.size() && smallCount > 0; i++) {
 				if ((i < smallCount) == (task.sizeClass() == ModelSizeClass.LARGE)) {
--- a/core/src/main/java/org/gullsaddle/serve/ReplicaEligibility.java
+++ b/core/src/main/java/org/gullsaddle/serve/ReplicaEligibility.java
@@ -12,7 +12,7 @@
 import org.gullsaddle.fleet.ReplicaDirectory;
 import org.gullsaddle.fleet.ReplicaId;
 import org.gullsaddle.fleet.ServiceName;
-import org.gullsaddle.suspect.CrashBook;
+import org.gullsaddle.suspect.CrashTracker;
 import org.gullsaddle.suspect.Trait;
 
 /**
@@ -32,7 +32,7 @@
 
 	private final BackpressureTable backpressure;
 
-	private final CrashBook crashes;
+	private final CrashTracker crashes;
 
 	/**
 	 * Creates the rules of a node.
@@ -42,7 +42,8 @@
 	 * @param backpressure limits what it sends to replicas that ask for fewer requests
 	 * @param crashes the traits that are blocked because they crash replicas
 	 */
-	public ReplicaEligibility(ReplicaDirectory directory, NodeLocation location, ColdReplicaLimiter coldLimiter, BackpressureTable backpressure, CrashBook crashes) {
+	public ReplicaEligibility(ReplicaDirectory directory, NodeLocation location, ColdReplicaLimiter coldLimiter, BackpressureTable backpressure,
+			CrashTracker crashes) {
 		this.directory = directory;
 		this.location = location;
 		this.coldLimiter = coldLimiter;
@@ -56,7 +57,7 @@
 	 * @return true if one of its traits is blocked
 	 */
 	public boolean isBlocked(Requirements required) {
-		return this.crashes.refuses(required.traits());
+		return this.crashes.isBlocked(required.traits());
 	}
 
 	/**
@@ -113,12 +114,12 @@
 		if (!open.isEmpty()) {
 			return noReplicaReasonAmong(now, required, open);
 		}
-		if (this.directory.evacuated()
+		if (this.directory.evacuatedDataCenters()
 			.stream()
 			.anyMatch((each) -> required.regionLimit().allows(this.location.regionOf(each)))) {
 			return NoReplica.EVACUATED;
 		}
-		boolean inOtherRegion = !this.directory.usable(now, required.service(), (dataCenter) -> true).isEmpty();
+		boolean inOtherRegion = !this.directory.usableReplicas(now, required.service(), (dataCenter) -> true).isEmpty();
 		return inOtherRegion ? NoReplica.OTHER_REGION : NoReplica.NONE;
 	}
 
@@ -144,7 +145,7 @@
 	 */
 	public long retryAfterMillis(long now, Requirements required) {
 		if (isBlocked(required)) {
-			return this.crashes.backMillis(now, required.traits());
+			return this.crashes.retryAfterMillis(now, required.traits());
 		}
 		return this.backpressure.nextRetryAfterMillis(now, required.service(), openReplicas(now, required));
 	}
@@ -169,7 +170,7 @@
 	 * @return true if it is cold, and its service limits requests to cold replicas
 	 */
 	public boolean isCold(long now, Requirements required, Replica replica) {
-		return required.coldStart().limited() && this.directory.coldMillis(now, replica.id()) > 0;
+		return required.coldStart().isLimited() && this.directory.coldMillis(now, replica.id()) > 0;
 	}
 
 	/**
@@ -184,14 +185,14 @@
 
 	private boolean hasColdCapacity(long now, Requirements required, Replica replica) {
 		return required.nodeCount().isPresent()
-				&& this.coldLimiter.canSend(now, replica, required.coldStart().perSecond(), required.nodeCount().get());
+				&& this.coldLimiter.canSend(now, replica, required.coldStart().requestsPerSecond(), required.nodeCount().get());
 	}
 
 	private List<Replica> openReplicas(long now, Requirements required) {
 		if (isBlocked(required)) {
 			return List.of();
 		}
-		return this.directory.usable(now, required.service(),
+		return this.directory.usableReplicas(now, required.service(),
 				(dataCenter) -> required.regionLimit().allows(this.location.regionOf(dataCenter)));
 	}
 
--- a/core/src/main/java/org/gullsaddle/serve/ReplicaSelector.java
+++ b/core/src/main/java/org/gullsaddle/serve/ReplicaSelector.java
@@ -422,7 +422,7 @@
 
 	private ReplicaState stateOf(Replica replica) {
 		ReplicaState state = this.states.get(replica.id());
-		if (state == null || !state.replica().sameProcess(replica)) {
+		if (state == null || !state.replica().isSameProcess(replica)) {
 			state = new ReplicaState(replica);
 			this.states.put(replica.id(), state);
 		}
--- a/core/src/main/java/org/gullsaddle/serve/RetryPolicy.java
+++ b/core/src/main/java/org/gullsaddle/serve/RetryPolicy.java
@@ -53,7 +53,7 @@
 
 	private void recordRun(Verdict attempt) {
 		this.runs++;
-		this.verdict = this.verdict.and(attempt);
+		this.verdict = this.verdict.combine(attempt);
 	}
 
 	/**
@@ -71,7 +71,7 @@
 	 */
 	public boolean canDropAnswer(long remainingMillis) {
 		return remainingMillis >= MIN_ATTEMPT_MILLIS && this.runs + 1 < this.route.maxAttempts()
-				&& this.route.repeatable();
+				&& this.route.isRepeatable();
 	}
 
 	/**
@@ -104,7 +104,7 @@
 				|| this.refusals > MAX_REFUSALS) {
 			return false;
 		}
-		return this.verdict == Verdict.NOT_RUN || this.route.repeatable();
+		return this.verdict == Verdict.NOT_RUN || this.route.isRepeatable();
 	}
 
 }
--- a/core/src/test/java/org/gullsaddle/fleet/ReplicaDirectoryTests.java
+++ b/core/src/test/java/org/gullsaddle/fleet/ReplicaDirectoryTests.java
@@ -22,7 +22,7 @@
 	}
 
 	private List<String> usable(long now) {
-		return this.directory.usable(now, DESK, (dataCenter) -> true)
+		return this.directory.usableReplicas(now, DESK, (dataCenter) -> true)
 			.stream()
 			.map((replica) -> replica.id().value())
 			.toList();
@@ -30,9 +30,9 @@
 
 	@Test
 	void drainingReplicaGetsNoNewWork() {
-		this.directory.put(replica("one", false));
-		this.directory.put(replica("two", false));
-		this.directory.put(replica("one", true));
+		this.directory.onListed(replica("one", false));
+		this.directory.onListed(replica("two", false));
+		this.directory.onListed(replica("one", true));
 		assertThat(usable(0)).containsExactly("two");
 	}
 
@@ -42,57 +42,57 @@
 	 */
 	@Test
 	void removedReplicaIsGoneAtOnceWhenThereWasNoOutage() {
-		this.directory.put(replica("one", false));
-		this.directory.remove(10_000, new ReplicaId("one"));
+		this.directory.onListed(replica("one", false));
+		this.directory.onUnlisted(10_000, new ReplicaId("one"));
 		assertThat(usable(10_000)).isEmpty();
 	}
 
 	@Test
-	void replicaMissingFromAWholeReadingIsGone() {
-		this.directory.put(replica("one", false));
-		this.directory.put(replica("two", false));
-		this.directory.retain(5, Set.of(new ReplicaId("two")));
+	void replicaMissingFromTheRegistryIsGone() {
+		this.directory.onListed(replica("one", false));
+		this.directory.onListed(replica("two", false));
+		this.directory.onRegistryRead(5, Set.of(new ReplicaId("two")));
 		assertThat(usable(5)).containsExactly("two");
 	}
 
 	@Nested
-	class WhereAReplicaSaysThatItLeaves {
+	class WithALeavingReplica {
 
 		private final ReplicaId id = new ReplicaId("one");
 
 		@BeforeEach
-		void tell() {
-			ReplicaDirectoryTests.this.directory.put(replica("one", false));
-			ReplicaDirectoryTests.this.directory.leave(0, replica("one", false));
+		void listAndLeave() {
+			ReplicaDirectoryTests.this.directory.onListed(replica("one", false));
+			ReplicaDirectoryTests.this.directory.onLeaving(0, replica("one", false));
 		}
 
 		@Test
-		void itGetsNoNewWorkThoughItsEntrySaysOtherwise() {
+		void getsNoNewWorkWhateverItsEntrySays() {
 			assertThat(usable(0)).isEmpty();
-			ReplicaDirectoryTests.this.directory.put(replica("one", false));
+			ReplicaDirectoryTests.this.directory.onListed(replica("one", false));
 			assertThat(usable(1)).isEmpty();
-			assertThat(ReplicaDirectoryTests.this.directory.stillTakes(1, replica("one", false))).isFalse();
+			assertThat(ReplicaDirectoryTests.this.directory.canStillUse(1, replica("one", false))).isFalse();
 		}
 
 		/** Guards against an entry that lapses in an outage and brings it back. */
 		@Test
-		void itIsRememberedWhileItsEntryIsAway() {
-			ReplicaDirectoryTests.this.directory.remove(1000, this.id);
-			ReplicaDirectoryTests.this.directory.leave(2000, replica("two", false));
-			ReplicaDirectoryTests.this.directory.put(replica("one", false));
+		void isRememberedWhileItsEntryIsMissing() {
+			ReplicaDirectoryTests.this.directory.onUnlisted(1000, this.id);
+			ReplicaDirectoryTests.this.directory.onLeaving(2000, replica("two", false));
+			ReplicaDirectoryTests.this.directory.onListed(replica("one", false));
 			assertThat(usable(3000)).isEmpty();
 		}
 
 		@Test
-		void anotherProcessUnderItsIdIsUsed() {
+		void newProcessUnderItsIdIsUsed() {
 			ReplicaDirectoryTests.this.directory
-				.put(new Replica(this.id, DESK, new Address("10.0.0.1", 80), "a", "v1", 8, false, 2));
+				.onListed(new Replica(this.id, DESK, new Address("10.0.0.1", 80), "a", "v1", 8, false, 2));
 			assertThat(usable(0)).containsExactly("one");
 		}
 
 		@Test
-		void itIsToldOnce() {
-			assertThat(ReplicaDirectoryTests.this.directory.leave(5, replica("one", false))).isFalse();
+		void isReportedAsNewOnce() {
+			assertThat(ReplicaDirectoryTests.this.directory.onLeaving(5, replica("one", false))).isFalse();
 		}
 
 	}
@@ -105,30 +105,31 @@
 		 * registry is empty. Callers were refused until the replicas wrote again.
 		 */
 		@Test
-		void lapsedReplicaIsUsedUntilItHadTimeToWriteAgain() {
-			ReplicaDirectoryTests.this.directory.put(replica("one", false));
-			ReplicaDirectoryTests.this.directory.storeAway(1000, true);
-			ReplicaDirectoryTests.this.directory.storeAway(9000, false);
-			ReplicaDirectoryTests.this.directory.remove(9100, new ReplicaId("one"));
-			assertThat(usable(9000 + ReplicaDirectory.LAPSED_MILLIS)).containsExactly("one");
-			assertThat(usable(9001 + ReplicaDirectory.LAPSED_MILLIS)).isEmpty();
+		void lapsedReplicaIsUsedUntilItHadTimeToRenewItsEntry() {
+			ReplicaDirectoryTests.this.directory.onListed(replica("one", false));
+			ReplicaDirectoryTests.this.directory.storeUnreachable(1000, true);
+			ReplicaDirectoryTests.this.directory.storeUnreachable(9000, false);
+			ReplicaDirectoryTests.this.directory.onUnlisted(9100, new ReplicaId("one"));
+			assertThat(usable(9000 + ReplicaDirectory.LAPSED_RETENTION_MILLIS)).containsExactly("one");
+			assertThat(usable(9001 + ReplicaDirectory.LAPSED_RETENTION_MILLIS)).isEmpty();
 		}
 
 		@Test
 		void replicaThatWasDrainingIsNotKept() {
-			ReplicaDirectoryTests.this.directory.put(replica("one", true));
-			ReplicaDirectoryTests.this.directory.storeAway(1000, true);
-			ReplicaDirectoryTests.this.directory.remove(1100, new ReplicaId("one"));
+			ReplicaDirectoryTests.this.directory.onListed(replica("one", true));
+			ReplicaDirectoryTests.this.directory.storeUnreachable(1000, true);
+			ReplicaDirectoryTests.this.directory.onUnlisted(1100, new ReplicaId("one"));
 			assertThat(usable(1100)).isEmpty();
 		}
 
 		@Test
-		void removalLongAfterTheOutageIsTakenAtItsWord() {
-			ReplicaDirectoryTests.this.directory.put(replica("one", false));
-			ReplicaDirectoryTests.this.directory.storeAway(1000, true);
-			ReplicaDirectoryTests.this.directory.storeAway(2000, false);
-			ReplicaDirectoryTests.this.directory.remove(2001 + ReplicaDirectory.LAPSED_MILLIS, new ReplicaId("one"));
-			assertThat(usable(2001 + ReplicaDirectory.LAPSED_MILLIS)).isEmpty();
+		void removalLongAfterTheOutageTakesEffectAtOnce() {
+			ReplicaDirectoryTests.this.directory.onListed(replica("one", false));
+			ReplicaDirectoryTests.this.directory.storeUnreachable(1000, true);
+			ReplicaDirectoryTests.this.directory.storeUnreachable(2000, false);
+			ReplicaDirectoryTests.this.directory.onUnlisted(2001 + ReplicaDirectory.LAPSED_RETENTION_MILLIS,
+					new ReplicaId("one"));
+			assertThat(usable(2001 + ReplicaDirectory.LAPSED_RETENTION_MILLIS)).isEmpty();
 		}
 
 	}
@@ -138,54 +139,54 @@
 
 		private final Replica one = replica("one", false);
 
-		private long cold(long now) {
+		private long coldMillis(long now) {
 			return ReplicaDirectoryTests.this.directory.coldMillis(now, this.one.id());
 		}
 
-		private void told(long now, long millis) {
-			ReplicaDirectoryTests.this.directory.put(this.one);
-			ReplicaDirectoryTests.this.directory.cold(now, this.one, millis);
+		private void reportCold(long now, long millis) {
+			ReplicaDirectoryTests.this.directory.onListed(this.one);
+			ReplicaDirectoryTests.this.directory.onColdReport(now, this.one, millis);
 		}
 
 		@Test
-		void areColdAsLongAsTheySay() {
-			told(1000, 3000);
-			assertThat(cold(1000)).isEqualTo(3000);
-			assertThat(cold(3999)).isEqualTo(1);
-			assertThat(cold(4000)).isZero();
+		void areColdAsLongAsReported() {
+			reportCold(1000, 3000);
+			assertThat(coldMillis(1000)).isEqualTo(3000);
+			assertThat(coldMillis(3999)).isEqualTo(1);
+			assertThat(coldMillis(4000)).isZero();
 		}
 
 		@Test
-		void areWarmAgainWhenTheySaySo() {
-			told(1000, 3000);
-			told(2000, 0);
-			assertThat(cold(2000)).isZero();
+		void areWarmOnceReportedWarm() {
+			reportCold(1000, 3000);
+			reportCold(2000, 0);
+			assertThat(coldMillis(2000)).isZero();
 		}
 
 		/** Guards against replicas that stay cold as their old entry is read again. */
 		@Test
-		void entryThatIsReadAgainSaysNothingNew() {
-			told(1000, 3000);
-			told(3500, 3000);
-			assertThat(cold(4000)).isZero();
+		void entryReadAgainDoesNotExtendTheColdTime() {
+			reportCold(1000, 3000);
+			reportCold(3500, 3000);
+			assertThat(coldMillis(4000)).isZero();
 		}
 
 		@Test
-		void areColdAnewAfterAnotherStart() {
-			told(1000, 3000);
+		void areColdAgainAfterARestart() {
+			reportCold(1000, 3000);
 			Replica again = new Replica(this.one.id(), DESK, this.one.address(), "a", "v1", 8, false, 2);
-			ReplicaDirectoryTests.this.directory.put(again);
-			ReplicaDirectoryTests.this.directory.cold(5000, again, 3000);
-			assertThat(cold(5000)).isEqualTo(3000);
+			ReplicaDirectoryTests.this.directory.onListed(again);
+			ReplicaDirectoryTests.this.directory.onColdReport(5000, again, 3000);
+			assertThat(coldMillis(5000)).isEqualTo(3000);
 		}
 
 		/** Guards against a replica that is out for a day by one absurd entry. */
 		@Test
-		void absurdTimesAreBounded() {
-			told(0, Long.MAX_VALUE);
-			assertThat(cold(0)).isEqualTo(ReplicaDirectory.MOST_COLD_MILLIS);
-			told(0, -5);
-			assertThat(cold(0)).isZero();
+		void excessiveTimesAreBounded() {
+			reportCold(0, Long.MAX_VALUE);
+			assertThat(coldMillis(0)).isEqualTo(ReplicaDirectory.MAX_COLD_MILLIS);
+			reportCold(0, -5);
+			assertThat(coldMillis(0)).isZero();
 		}
 
 	}
@@ -197,19 +198,19 @@
 
 		@BeforeEach
 		void listOne() {
-			ReplicaDirectoryTests.this.directory.put(this.one);
+			ReplicaDirectoryTests.this.directory.onListed(this.one);
 		}
 
 		@Test
-		void replicasGetNothingNewUntilTheyAreTakenBack() {
+		void replicasGetNoNewWorkUntilTheEvacuationEnds() {
 			ReplicaDirectoryTests.this.directory.evacuate("a");
 			assertThat(usable(0)).isEmpty();
-			ReplicaDirectoryTests.this.directory.takeBack("a");
+			ReplicaDirectoryTests.this.directory.endEvacuation("a");
 			assertThat(usable(0)).containsExactly("one");
 		}
 
 		@Test
-		void otherDataCentersGoOn() {
+		void otherDataCentersAreNotAffected() {
 			ReplicaDirectoryTests.this.directory.evacuate("b");
 			assertThat(usable(0)).containsExactly("one");
 		}
@@ -218,17 +219,17 @@
 		 * Guards against requests that are sent late over a connection asked for early.
 		 */
 		@Test
-		void replicaThatWasChosenBeforeIsNotSentTheRequest() {
-			assertThat(ReplicaDirectoryTests.this.directory.stillTakes(0, this.one)).isTrue();
+		void replicaChosenBeforeTheEvacuationCannotBeUsed() {
+			assertThat(ReplicaDirectoryTests.this.directory.canStillUse(0, this.one)).isTrue();
 			ReplicaDirectoryTests.this.directory.evacuate("a");
-			assertThat(ReplicaDirectoryTests.this.directory.stillTakes(0, this.one)).isFalse();
+			assertThat(ReplicaDirectoryTests.this.directory.canStillUse(0, this.one)).isFalse();
 		}
 
 		@Test
-		void replicaThatStartedAnewIsNotTheOneThatWasChosen() {
+		void restartedReplicaCannotBeUsedAsTheChosenOne() {
 			ReplicaDirectoryTests.this.directory
-				.put(new Replica(this.one.id(), DESK, this.one.address(), "a", "v1", 8, false, 2));
-			assertThat(ReplicaDirectoryTests.this.directory.stillTakes(0, this.one)).isFalse();
+				.onListed(new Replica(this.one.id(), DESK, this.one.address(), "a", "v1", 8, false, 2));
+			assertThat(ReplicaDirectoryTests.this.directory.canStillUse(0, this.one)).isFalse();
 		}
 
 	}
--- /dev/null
+++ b/core/src/test/java/org/gullsaddle/hold/BufferBudgetTests.java
@@ -0,0 +1,216 @@
+package org.gullsaddle.hold;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Optional;
+
+import org.junit.jupiter.api.Nested;
+import org.junit.jupiter.api.Test;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+class BufferBudgetTests {
+
+	private static final long LIMIT = 1_000_000;
+
+	private static final long WINDOW_MILLIS = 1000;
+
+	private static final long STEP_MILLIS = 100;
+
+	private final BufferBudget budget = new BufferBudget(LIMIT);
+
+	private BufferAccount accountWith(String id, long bytes, long now) {
+		BufferAccount holder = this.budget.openAccount(id, WINDOW_MILLIS);
+		holder.recordBuffered(bytes, true, now);
+		return holder;
+	}
+
+	private Optional<String> aborted(long now) {
+		return this.budget.findToAbort(now).map(BufferAccount::id);
+	}
+
+	@Nested
+	class WithManySlowAndFastReaders {
+
+		private static final int CALLERS = 40;
+
+		private static final long ANSWER_PART = 10_000;
+
+		private static final long SLOW_PART = 1000 * STEP_MILLIS / 1000;
+
+		private final List<String> abortedIds = new ArrayList<>();
+
+		private long maxBytes;
+
+		private void step(List<BufferAccount> holders, long now) {
+			for (BufferAccount each : List.copyOf(holders)) {
+				long held = each.bufferedBytes() + (each.canRead() ? ANSWER_PART : 0);
+				long taken = each.id().startsWith("slow") ? Math.min(SLOW_PART, held) : held;
+				each.recordBuffered(held, true, now);
+				this.maxBytes = Math.max(this.maxBytes, BufferBudgetTests.this.budget.bufferedBytes());
+				each.recordBuffered(held - taken, true, now);
+				each.recordTransferred(taken, now);
+			}
+			BufferBudgetTests.this.budget.findToAbort(now).ifPresent((each) -> {
+				this.abortedIds.add(each.id());
+				holders.remove(each);
+				each.close();
+			});
+		}
+
+		/**
+		 * Guards against a node that ends for its memory, or gives up quick callers for
+		 * slow ones.
+		 */
+		@Test
+		void onlySlowReadersAreAbortedAndMemoryStaysBounded() {
+			List<BufferAccount> holders = new ArrayList<>();
+			for (int i = 0; i < CALLERS; i++) {
+				holders.add(BufferBudgetTests.this.budget.openAccount("slow-" + i, WINDOW_MILLIS));
+				holders.add(BufferBudgetTests.this.budget.openAccount("quick-" + i, WINDOW_MILLIS));
+			}
+			for (long now = 0; now < 60_000; now += STEP_MILLIS) {
+				step(holders, now);
+			}
+			assertThat(this.abortedIds).isNotEmpty().allMatch((id) -> id.startsWith("slow"));
+			assertThat(this.maxBytes).isLessThan(LIMIT + LIMIT / 4);
+			assertThat(holders).filteredOn((each) -> each.id().startsWith("quick")).hasSize(CALLERS);
+			assertThat(holders).filteredOn((each) -> each.id().startsWith("slow")).isNotEmpty();
+		}
+
+	}
+
+	@Nested
+	class WithAnEndlessBody {
+
+		/**
+		 * Guards against a caller that sends on for ever, a little at a time, and in the
+		 * end takes the place of bodies that are sent as fast as their callers can.
+		 */
+		@Test
+		void isAbortedBeforeFastBodies() {
+			BufferAccount endless = accountWith("endless", 300_000, 0);
+			BufferAccount quick = null;
+			for (long now = 0; now <= 4000; now += STEP_MILLIS) {
+				endless.recordBuffered(endless.bufferedBytes() + 100, true, now);
+				endless.recordTransferred(100, now);
+				if (now == 2000) {
+					quick = accountWith("quick", 500_000, now);
+				}
+				if (quick != null) {
+					quick.recordBuffered(quick.bufferedBytes() + 30_000, true, now);
+					quick.recordTransferred(30_000, now);
+				}
+			}
+			assertThat(BufferBudgetTests.this.budget.isExhausted()).isTrue();
+			assertThat(aborted(4000)).contains("endless");
+		}
+
+		@Test
+		void completeBodyIsNotAborted() {
+			BufferAccount whole = accountWith("whole", LIMIT, 0);
+			assertThat(aborted(5000)).contains("whole");
+			whole.recordBuffered(LIMIT, false, 5000);
+			assertThat(aborted(5000)).isEmpty();
+		}
+
+	}
+
+	@Nested
+	class WithAnExhaustedBudget {
+
+		private void transfer(BufferAccount holder, long bytes) {
+			holder.recordTransferred(bytes, 2000);
+		}
+
+		@Test
+		void slowestLargeAccountIsAbortedFirst() {
+			transfer(accountWith("large and quick", 500_000, 0), 400_000);
+			transfer(accountWith("large and slow", 400_000, 0), 1000);
+			transfer(accountWith("little and slow", 100_000, 0), 10);
+			assertThat(aborted(2000)).contains("large and slow");
+		}
+
+		@Test
+		void largestStalledAccountIsAbortedFirst() {
+			accountWith("a", 300_000, 0);
+			accountWith("b", 400_000, 0);
+			accountWith("c", 300_000, 0);
+			assertThat(aborted(2000)).contains("b");
+		}
+
+		/**
+		 * Guards against many quick callers that pay for one slow one: what came last is
+		 * what makes the budget run out, and has shown no pace yet.
+		 */
+		@Test
+		void newestArrivalIsNotAborted() {
+			accountWith("slow", 450_000, 0);
+			accountWith("next", 600_000, 1900);
+			assertThat(aborted(2000)).contains("slow");
+		}
+
+		@Test
+		void arrivalsAloneAreAbortedOnlyIfTheBudgetIsOverdrawn() {
+			accountWith("first", 600_000, 1900);
+			BufferAccount second = accountWith("second", 500_000, 1900);
+			assertThat(aborted(2000)).isEmpty();
+			second.recordBuffered(800_000, true, 2000);
+			assertThat(aborted(2000)).contains("second");
+		}
+
+		@Test
+		void smallAccountsCanStillRead() {
+			BufferAccount large = accountWith("large", 900_000, 0);
+			BufferAccount little = accountWith("little", 100_000, 0);
+			assertThat(large.canRead()).isFalse();
+			assertThat(little.canRead()).isTrue();
+			assertThat(BufferBudgetTests.this.budget.openAccount("new", WINDOW_MILLIS).canRead()).isTrue();
+		}
+
+		@Test
+		void readingResumesOnlyOnceThereIsCapacityAgain() {
+			accountWith("other", 860_000, 0);
+			BufferAccount holder = accountWith("one", 240_000, 0);
+			holder.recordBuffered(100_000, true, 0);
+			assertThat(BufferBudgetTests.this.budget.isExhausted()).isTrue();
+			holder.recordBuffered(10_000, true, 0);
+			assertThat(BufferBudgetTests.this.budget.isExhausted()).isFalse();
+			holder.recordBuffered(100_000, true, 0);
+			assertThat(BufferBudgetTests.this.budget.isExhausted()).isFalse();
+		}
+
+	}
+
+	@Nested
+	class WithCapacity {
+
+		@Test
+		void noAccountIsAborted() {
+			accountWith("slow", LIMIT - 1, 0);
+			assertThat(aborted(100_000)).isEmpty();
+		}
+
+		@Test
+		void oneConnectionGetsOnlyItsShare() {
+			assertThat(accountWith("one", LIMIT / 4, 0).canRead()).isFalse();
+			assertThat(accountWith("other", LIMIT / 4 - 1, 0).canRead()).isTrue();
+		}
+
+		@Test
+		void closingReleasesBytesOnce() {
+			BufferAccount holder = accountWith("one", 300, 0);
+			holder.close();
+			holder.close();
+			holder.recordBuffered(500, true, 0);
+			assertThat(BufferBudgetTests.this.budget.bufferedBytes()).isZero();
+		}
+
+		@Test
+		void budgetIsAQuarterOfTheProcessMemory() {
+			assertThat(BufferBudget.ofMemory(4000).limitBytes()).isEqualTo(1000);
+		}
+
+	}
+
+}
--- a/core/src/test/java/org/gullsaddle/serve/ReplicaEligibilityTests.java
+++ b/core/src/test/java/org/gullsaddle/serve/ReplicaEligibilityTests.java
@@ -25,7 +25,7 @@
 import org.gullsaddle.fleet.ServiceName;
 import org.gullsaddle.serve.ReplicaEligibility.NoReplica;
 import org.gullsaddle.serve.ReplicaEligibility.Requirements;
-import org.gullsaddle.suspect.CrashBook;
+import org.gullsaddle.suspect.CrashTracker;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -47,7 +47,7 @@
 			() -> Optional.of(List.of(new Peer(NODE, "a"))), new Random(1));
 
 	private final ReplicaEligibility eligibility = new ReplicaEligibility(this.directory, this.location,
-			new ColdReplicaLimiter("node"), this.backpressure, new CrashBook());
+			new ColdReplicaLimiter("node"), this.backpressure, new CrashTracker());
 
 	private static Replica replica(String dataCenter, String release) {
 		return new Replica(new ReplicaId(dataCenter + '-' + release), ENGINES, new Address("10.0.0.1", 80), dataCenter,
@@ -59,7 +59,7 @@
 	}
 
 	private static RegionLimit regionLimit(String regions) {
-		return RegionLimit.to(words(regions));
+		return RegionLimit.of(words(regions));
 	}
 
 	private static List<String> words(String text) {
@@ -75,7 +75,7 @@
 
 	@BeforeEach
 	void listReplicas() {
-		List.of("a", "b", "c").forEach((dataCenter) -> this.directory.put(replica(dataCenter, "v1")));
+		List.of("a", "b", "c").forEach((dataCenter) -> this.directory.onListed(replica(dataCenter, "v1")));
 	}
 
 	/**
@@ -84,7 +84,7 @@
 	 */
 	@Test
 	void onlyColdReplicasOfAllowedRegionsCount() {
-		this.directory.cold(0, replica("c", "v1"), 1000);
+		this.directory.onColdReport(0, replica("c", "v1"), 1000);
 		assertThat(this.eligibility.hasColdReplica(0, requirements(RegionLimit.ANYWHERE))).isTrue();
 		assertThat(this.eligibility.hasColdReplica(0, requirements(regionLimit("north")))).isFalse();
 		assertThat(this.eligibility.hasColdReplica(2000, requirements(RegionLimit.ANYWHERE))).isFalse();
@@ -100,7 +100,7 @@
 			String expected) {
 		words(evacuated.isEmpty() ? null : evacuated).forEach(this.directory::evacuate);
 		words(cold.isEmpty() ? null : cold)
-			.forEach((dataCenter) -> this.directory.cold(0, replica(dataCenter, "v1"), 1000));
+			.forEach((dataCenter) -> this.directory.onColdReport(0, replica(dataCenter, "v1"), 1000));
 		assertThat(eligible(requirements(regionLimit(regions.isEmpty() ? null : regions)))).isEqualTo(expected);
 	}
 
@@ -125,14 +125,15 @@
 		@Test
 		void emptyDirectoryIsTheReason() {
 			List.of("a", "b", "c")
-				.forEach((dataCenter) -> ReplicaEligibilityTests.this.directory.remove(0,
+				.forEach(
+						(dataCenter) -> ReplicaEligibilityTests.this.directory.onUnlisted(0,
 						replica(dataCenter, "v1").id()));
 			assertThat(reasonFor(RegionLimit.ANYWHERE)).isEqualTo(NoReplica.NONE);
 		}
 
 		@Test
 		void coldReplicasAreTheReason() {
-			ReplicaEligibilityTests.this.directory.cold(0, replica("c", "v1"), 1000);
+			ReplicaEligibilityTests.this.directory.onColdReport(0, replica("c", "v1"), 1000);
 			assertThat(reasonFor(regionLimit("south"))).isEqualTo(NoReplica.COLD);
 		}
 
@@ -147,7 +148,7 @@
 
 		@BeforeEach
 		void makeReplicaCold() {
-			ReplicaEligibilityTests.this.directory.cold(0, this.cold, 1000);
+			ReplicaEligibilityTests.this.directory.onColdReport(0, this.cold, 1000);
 		}
 
 		@Test
@@ -224,7 +225,7 @@
 		/** Guards against cold replicas that stay idle while all warm ones back off. */
 		@Test
 		void coldReplicasGetAFewRequestsIfAllWarmOnesBackOff() {
-			ReplicaEligibilityTests.this.directory.cold(0, replica("b", "v1"), 1000);
+			ReplicaEligibilityTests.this.directory.onColdReport(0, replica("b", "v1"), 1000);
 			askForBackOff("a", "v1");
 			assertThat(ReplicaEligibilityTests.this.eligibility.eligibleReplicas(0, this.north, excluded(this.north)))
 				.contains(replica("b", "v1"));
@@ -237,7 +238,7 @@
 		@Test
 		void requestsOfTheOldReleaseDoNotMoveToTheNewOneOnBackOff() {
 			List.of("a", "b", "c").forEach((dataCenter) -> {
-				ReplicaEligibilityTests.this.directory.put(replica(dataCenter, "v2"));
+				ReplicaEligibilityTests.this.directory.onListed(replica(dataCenter, "v2"));
 				askForBackOff(dataCenter, "v1");
 			});
 			Rollout justBegun = new Rollout(0, new RolloutOrder(ENGINES, "v2", 10_000), 1);
@@ -251,7 +252,7 @@
 
 		@Test
 		void requestsOfTheNewReleaseMoveToTheOldOneOnBackOff() {
-			ReplicaEligibilityTests.this.directory.put(replica("a", "v2"));
+			ReplicaEligibilityTests.this.directory.onListed(replica("a", "v2"));
 			askForBackOff("a", "v2");
 			Rollout done = new Rollout(-9900, new RolloutOrder(ENGINES, "v2", 10_000), 1);
 			Requirements required = new Requirements(ENGINES, RegionLimit.ANYWHERE, COLD_START, Optional.of(1),
@@ -273,13 +274,13 @@
 		@Test
 		void requestsOfTheNewReleaseGoToTheOldOneWhileTheNewReplicasAreCold() {
 			Replica fresh = replica("a", "v2");
-			ReplicaEligibilityTests.this.directory.put(fresh);
-			ReplicaEligibilityTests.this.directory.cold(0, fresh, 1000);
+			ReplicaEligibilityTests.this.directory.onListed(fresh);
+			ReplicaEligibilityTests.this.directory.onColdReport(0, fresh, 1000);
 			Rollout rollout = new Rollout(-9000, new RolloutOrder(ENGINES, "v2", 10_000), 1);
 			Requirements required = new Requirements(ENGINES, RegionLimit.ANYWHERE, COLD_START, Optional.of(1),
 					Optional.of(rollout), KEY, List.of());
 			assertThat(eligible(required)).isEqualTo("a-v1 b-v1 c-v1");
-			ReplicaEligibilityTests.this.directory.cold(0, fresh, 0);
+			ReplicaEligibilityTests.this.directory.onColdReport(0, fresh, 0);
 			assertThat(eligible(required)).isEqualTo("a-v2");
 		}
 
--- /dev/null
+++ b/core/src/test/java/org/gullsaddle/suspect/CrashDetectorTests.java
@@ -0,0 +1,167 @@
+package org.gullsaddle.suspect;
+
+import java.util.List;
+import java.util.Optional;
+
+import org.junit.jupiter.api.Nested;
+import org.junit.jupiter.api.Test;
+
+import org.gullsaddle.base.Address;
+import org.gullsaddle.fleet.Replica;
+import org.gullsaddle.fleet.ReplicaId;
+import org.gullsaddle.fleet.ServiceName;
+import org.gullsaddle.suspect.CrashDetector.EndKind;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+class CrashDetectorTests {
+
+	private static final Trait DEADLY = Trait.part("deadly");
+
+	private static final Trait OTHER = Trait.part("other");
+
+	private final CrashDetector detector = new CrashDetector();
+
+	private static Replica replica(String id) {
+		return replica(id, 1);
+	}
+
+	private static Replica replica(String id, long born) {
+		return new Replica(new ReplicaId(id), new ServiceName("engines"), new Address("10.0.0.1", 80), "a", "v1", 8,
+				false, born);
+	}
+
+	private Optional<Crash> onAttemptEnd(long now, long startedAt, EndKind manner, Trait trait) {
+		return this.detector.onAttemptEnd(now, replica("r1"), startedAt, manner, List.of(trait));
+	}
+
+	private Optional<Crash> onDead(long now) {
+		return this.detector.onDead(now, new ReplicaId("r1"));
+	}
+
+	@Test
+	void crashIncludesAttemptsWhoseConnectionsBroke() {
+		onAttemptEnd(700, 100, EndKind.BROKEN, DEADLY);
+		onAttemptEnd(710, 600, EndKind.BROKEN, OTHER);
+		Crash crash = onDead(760).orElseThrow();
+		assertThat(crash.at()).isEqualTo(710);
+		assertThat(crash.traits()).containsExactlyInAnyOrder(DEADLY, OTHER);
+		assertThat(crash.lastRequestAt(DEADLY)).isEqualTo(110);
+	}
+
+	/**
+	 * Guards against crashes of replicas that are about to stop, which are not counted.
+	 */
+	@Test
+	void deathSoonAfterALeavingNoticeIsACrash() {
+		this.detector.onLeaving(0, new ReplicaId("r1"));
+		onAttemptEnd(700, 100, EndKind.BROKEN, DEADLY);
+		assertThat(onDead(760)).isPresent();
+	}
+
+	/** Guards against requests blamed for the planned ends of their replicas. */
+	@Test
+	void laterDeathOfALeavingReplicaIsNoCrash() {
+		this.detector.onLeaving(0, new ReplicaId("r1"));
+		onAttemptEnd(1700, 100, EndKind.BROKEN, DEADLY);
+		assertThat(onDead(1760)).isEmpty();
+		this.detector.onListed(2000, replica("r1", 2));
+		this.detector.onAttemptEnd(4000, replica("r1", 2), 3900, EndKind.BROKEN, List.of(DEADLY));
+		assertThat(onDead(4060)).isPresent();
+	}
+
+	/** Guards against answers without a length that are never asked after. */
+	@Test
+	void repeatedCloseDelimitedContentIsDetected() {
+		assertThat(this.detector.isRepeatedCloseDelimited(OTHER)).isFalse();
+		assertThat(this.detector.isRepeatedCloseDelimited(DEADLY)).isFalse();
+		assertThat(this.detector.isRepeatedCloseDelimited(DEADLY)).isTrue();
+	}
+
+	@Test
+	void brokenConnectionAloneIsNoCrash() {
+		onAttemptEnd(0, 0, EndKind.BROKEN, OTHER);
+		assertThat(onDead(7000)).isEmpty();
+	}
+
+	/**
+	 * Guards against a crash that is not noticed as the replica starts again under its id
+	 * before its entry lapses.
+	 */
+	@Test
+	void newProcessUnderTheSameIdRevealsACrash() {
+		onAttemptEnd(0, 0, EndKind.BROKEN, DEADLY);
+		assertThat(this.detector.onListed(100, replica("r1"))).isEmpty();
+		assertThat(this.detector.onListed(2000, replica("r1", 2))).isPresent();
+	}
+
+	/** Guards against a request that is cleared as its engine dies within its answer. */
+	@Test
+	void closeDelimitedAnswerThatEndsAsItsReplicaDiesIsPartOfTheCrash() {
+		onAttemptEnd(500, 400, EndKind.CLOSE_DELIMITED, DEADLY);
+		assertThat(onDead(600).orElseThrow().traits()).containsExactly(DEADLY);
+	}
+
+	@Test
+	void closeDelimitedAnswerIsCompleteIfItsReplicaAnswersALaterRequest() {
+		onAttemptEnd(500, 400, EndKind.CLOSE_DELIMITED, OTHER);
+		assertThat(this.detector.onAnswer(replica("r1"), 450)).isEmpty();
+		assertThat(this.detector.onAnswer(replica("r1"), 501)).containsExactly(OTHER);
+		assertThat(onDead(600)).isEmpty();
+	}
+
+	@Test
+	void acceptedConnectionDoesNotExplainBrokenOnes() {
+		onAttemptEnd(500, 400, EndKind.CLOSE_DELIMITED, OTHER);
+		onAttemptEnd(500, 400, EndKind.BROKEN, DEADLY);
+		assertThat(this.detector.onConnectionAccepted(replica("r1"), 550)).containsExactly(OTHER);
+		assertThat(onDead(900).orElseThrow().traits()).containsExactly(DEADLY);
+	}
+
+	/** Guards against sound requests blamed for a replica that is taken away later. */
+	@Test
+	void closeDelimitedAnswerIsNoPartOfALaterCrash() {
+		onAttemptEnd(500, 400, EndKind.CLOSE_DELIMITED, OTHER);
+		assertThat(onDead(3000)).isEmpty();
+	}
+
+	/** Guards against evidence that is lost as a caller leaves while a replica dies. */
+	@Test
+	void attemptCancelledWhileAReplicaDiesIsPartOfTheCrash() {
+		onAttemptEnd(100, 0, EndKind.CANCELLED, DEADLY);
+		assertThat(onDead(200)).isEmpty();
+		onAttemptEnd(300, 0, EndKind.CANCELLED, DEADLY);
+		onAttemptEnd(400, 0, EndKind.BROKEN, OTHER);
+		assertThat(onDead(450).orElseThrow().traits()).containsExactlyInAnyOrder(DEADLY, OTHER);
+	}
+
+	@Test
+	void attemptThatBreaksAfterTheReplicaWasFoundDeadIsPartOfTheSameCrash() {
+		onAttemptEnd(100, 0, EndKind.BROKEN, OTHER);
+		Crash crash = onDead(150).orElseThrow();
+		Crash more = onAttemptEnd(160, 50, EndKind.BROKEN, DEADLY).orElseThrow();
+		assertThat(more.processName()).isEqualTo(crash.processName());
+		assertThat(crash.merge(more).traits()).containsExactlyInAnyOrder(DEADLY, OTHER);
+		assertThat(onAttemptEnd(5000, 4900, EndKind.BROKEN, DEADLY)).isEmpty();
+	}
+
+	@Nested
+	class Excludes {
+
+		@Test
+		void attemptThatBrokeBeforeTheReplicaAnsweredAnother() {
+			onAttemptEnd(100, 0, EndKind.BROKEN, OTHER);
+			CrashDetectorTests.this.detector.onAnswer(replica("r1"), 200);
+			assertThat(onDead(300)).isEmpty();
+		}
+
+		@Test
+		void attemptThatBrokeLongBeforeTheOthers() {
+			onAttemptEnd(100, 0, EndKind.BROKEN, OTHER);
+			onAttemptEnd(2000, 1900, EndKind.BROKEN, DEADLY);
+			assertThat(onDead(2100).orElseThrow().traits()).containsExactly(DEADLY);
+		}
+
+	}
+
+}
--- a/daemon/src/main/java/org/gullsaddle/backend/AgentNode.java
+++ b/daemon/src/main/java/org/gullsaddle/backend/AgentNode.java
@@ -32,11 +32,11 @@
 import org.gullsaddle.base.Verdict;
 import org.gullsaddle.controller.LedgerController;
 import org.gullsaddle.controller.TemplateController;
-import org.gullsaddle.ledger.HeldLine;
+import org.gullsaddle.ledger.AgentRecord;
 import org.gullsaddle.ledger.LedgerEntry;
 import org.gullsaddle.settings.Role;
 import org.gullsaddle.settings.Settings;
-import org.gullsaddle.suspect.Suspicion;
+import org.gullsaddle.suspect.SuspectContent;
 import org.gullsaddle.telemetry.NodeClock;
 import org.gullsaddle.telemetry.Telemetry;
 import org.gullsaddle.template.TemplateKind;
@@ -371,8 +371,8 @@
 	private void tick() {
 		handle(new AdmissionEvent.Tick());
 		synchronized (this) {
-			for (HeldLine line : this.held.due(this.clock.millis(), this.entries.keySet())) {
-				this.ledger.append(new LedgerEntry.Part(line));
+			for (AgentRecord line : this.held.due(this.clock.millis(), this.entries.keySet())) {
+				this.ledger.append(new LedgerEntry.AttemptEntry(line));
 			}
 		}
 	}
@@ -386,10 +386,10 @@
 	}
 
 	private synchronized void writeAllHeld() {
-		this.held.all().forEach((line) -> this.ledger.append(new LedgerEntry.Part(line)));
+		this.held.all().forEach((line) -> this.ledger.append(new LedgerEntry.AttemptEntry(line)));
 	}
 
-	private synchronized List<Suspicion> suspects() {
+	private synchronized List<SuspectContent> suspects() {
 		return this.admission.suspects();
 	}
 
--- a/daemon/src/main/java/org/gullsaddle/entry/EntryNode.java
+++ b/daemon/src/main/java/org/gullsaddle/entry/EntryNode.java
@@ -21,8 +21,8 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-import org.gullsaddle.allowance.AllowanceBook;
-import org.gullsaddle.allowance.GrantKeeper;
+import org.gullsaddle.allowance.AllowanceTable;
+import org.gullsaddle.allowance.GrantCoordinator;
 import org.gullsaddle.allowance.Permit;
 import org.gullsaddle.base.AttemptId;
 import org.gullsaddle.base.Dispatch;
@@ -37,7 +37,7 @@
 import org.gullsaddle.controller.MemberController;
 import org.gullsaddle.controller.RegisterController;
 import org.gullsaddle.controller.TemplateController;
-import org.gullsaddle.ledger.AttemptLine;
+import org.gullsaddle.ledger.AttemptRecord;
 import org.gullsaddle.ledger.LedgerEntry;
 import org.gullsaddle.ledger.RequestRecord;
 import org.gullsaddle.rollout.Halt;
@@ -47,10 +47,10 @@
 import org.gullsaddle.settings.Role;
 import org.gullsaddle.settings.Settings;
 import org.gullsaddle.store.Store;
-import org.gullsaddle.suspect.Suspicion;
+import org.gullsaddle.suspect.SuspectContent;
 import org.gullsaddle.telemetry.NodeClock;
 import org.gullsaddle.telemetry.Telemetry;
-import org.gullsaddle.template.Freshness;
+import org.gullsaddle.template.ConfigFreshness;
 import org.gullsaddle.template.TemplateRevision;
 import org.gullsaddle.wire.Frame;
 import org.gullsaddle.wire.PeerDialer;
@@ -100,7 +100,7 @@
 
 	private final LedgerReader reader;
 
-	private final AllowanceBook allowances = new AllowanceBook();
+	private final AllowanceTable allowances = new AllowanceTable();
 
 	private final GrantController grants;
 
@@ -160,7 +160,7 @@
 		this.copies = new HeldCopies(this.ledger, clock);
 		this.reader = new LedgerReader(store, prefix);
 		this.grants = new GrantController(store, prefix, clock,
-				new GrantKeeper(new NodeId(run), entry.grantMillis(), this.allowances));
+				new GrantCoordinator(new NodeId(run), entry.grantMillis(), this.allowances));
 		this.claimRegister = new RegisterController(store, prefix + "claims/", clock, CLAIM_SHARDS,
 				CLAIM_RETENTION_MILLIS);
 		this.sessionRegister = new RegisterController(store, prefix + "sessions/", clock, SESSION_SHARDS,
@@ -328,7 +328,7 @@
 	}
 
 	@Override
-	public void suspect(Suspicion suspicion) {
+	public void suspect(SuspectContent suspicion) {
 		tellOthers(new RouterEvent.SuspectLearned(suspicion), new Frame.Suspect(suspicion));
 	}
 
@@ -346,20 +346,20 @@
 
 	@Override
 	public void keepRecord(RequestRecord record) {
-		this.ledger.append(new LedgerEntry.Whole(record));
+		this.ledger.append(new LedgerEntry.RequestEntry(record));
 	}
 
 	@Override
 	public void record(RequestRecord record) {
 		Set<NodeId> agents = new HashSet<>();
-		record.attempts().stream().map(AttemptLine::agent).forEach(agents::add);
+		record.attempts().stream().map(AttemptRecord::agent).forEach(agents::add);
 		if (!agents.isEmpty()) {
 			this.holders.put(record.request(), agents);
 		}
-		this.ledger.append(new LedgerEntry.Whole(record));
+		this.ledger.append(new LedgerEntry.RequestEntry(record));
 		Permit permit = this.permits.remove(record.request());
 		if (permit != null) {
-			this.allowances.giveBack(permit, record.costMicros());
+			this.allowances.release(permit, record.costMicros());
 		}
 		LOG.atInfo()
 			.addKeyValue("request", record.request())
@@ -387,7 +387,7 @@
 	 */
 	void refusedAtOnce(Exchange exchange, Refusal refusal) {
 		if (exchange.permit() != null) {
-			this.allowances.giveBack(exchange.permit(), 0);
+			this.allowances.release(exchange.permit(), 0);
 		}
 		if (exchange.team() == null || exchange.template() == null || exchange.deadline() == 0) {
 			this.telemetry.count("unrouted." + refusal.reason());
@@ -396,7 +396,7 @@
 		this.telemetry.outcome(exchange.template(), exchange.team(), refusal.reason().toString());
 		if (this.ledger.hasRoom()) {
 			String session = (exchange.session() != null) ? exchange.session().value() : null;
-			this.ledger.append(new LedgerEntry.Whole(new RequestRecord(exchange.id(), exchange.team(),
+			this.ledger.append(new LedgerEntry.RequestEntry(new RequestRecord(exchange.id(), exchange.team(),
 					exchange.template(), session, exchange.arrival().stamp(), "none", List.of(), Verdict.NOT_RUN,
 					refusal.reason().toString(), 0, this.clock.stamp())));
 		}
@@ -438,7 +438,7 @@
 		return this.templates;
 	}
 
-	AllowanceBook allowances() {
+	AllowanceTable allowances() {
 		return this.allowances;
 	}
 
@@ -502,7 +502,7 @@
 	}
 
 	private void templateChanged(TemplateRevision revision) {
-		this.allowances.apply(revision.template(), this.clock.millis());
+		this.allowances.applyTemplate(revision.template(), this.clock.millis());
 		// The agents hear of it first: a dispatch under a revision that its agent does
 		// not know
 		// would be refused.
@@ -534,14 +534,14 @@
 
 	private void checkFreshness() {
 		Map<NodeId, PeerLink> links = this.members.links();
-		List<Freshness.Peer> peers = new ArrayList<>();
+		List<ConfigFreshness.Peer> peers = new ArrayList<>();
 		for (NodeId node : this.members.entries()) {
 			PeerLink link = links.get(node);
 			boolean reachable = link != null;
-			peers.add(new Freshness.Peer(reachable, reachable ? link.storeAge() : Long.MAX_VALUE));
+			peers.add(new ConfigFreshness.Peer(reachable, reachable ? link.storeAge() : Long.MAX_VALUE));
 		}
-		boolean now = Freshness.cutOff(this.templates.storeAge(), this.settings.entry().orElseThrow().cutOffMillis(),
-				peers);
+		boolean now = ConfigFreshness.isCutOff(this.templates.storeAge(),
+				this.settings.entry().orElseThrow().cutOffMillis(), peers);
 		if (now != this.cutOff) {
 			this.cutOff = now;
 			LOG.atWarn().addKeyValue("cutOff", now).log("configuration freshness changed");
--- a/daemon/src/main/java/org/gullsaddle/gateway/DecisionLog.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/DecisionLog.java
@@ -11,12 +11,12 @@
 import org.gullsaddle.base.LoadReport;
 import org.gullsaddle.fleet.FleetChange;
 import org.gullsaddle.fleet.ReplicaId;
-import org.gullsaddle.hold.Holder;
+import org.gullsaddle.hold.BufferAccount;
 import org.gullsaddle.serve.ReplicaChoice;
 import org.gullsaddle.serve.Rollout;
 import org.gullsaddle.serve.RolloutProgress;
 import org.gullsaddle.suspect.Crash;
-import org.gullsaddle.suspect.CrashBook;
+import org.gullsaddle.suspect.CrashTracker;
 import org.gullsaddle.suspect.Trait;
 
 /**
@@ -118,11 +118,11 @@
 				.log("replica listed");
 			case FleetChange.Unlisted unlisted ->
 				line.addKeyValue("replica", unlisted.id().value()).log("replica unlisted");
-			case FleetChange.Ordered ordered -> line.addKeyValue("service", ordered.order().service().value())
+			case FleetChange.RolloutOrdered ordered -> line.addKeyValue("service", ordered.order().service().value())
 				.addKeyValue("target", ordered.order().target())
 				.addKeyValue("durationMillis", ordered.order().durationMillis())
 				.log("roll-out ordered");
-			case FleetChange.Progressed progressed -> line.addKeyValue("service", progressed.service().value())
+			case FleetChange.RolloutProgressed progressed -> line.addKeyValue("service", progressed.service().value())
 				.addKeyValue("target", progressed.target())
 				.addKeyValue("state", progressed.state().name())
 				.log("roll-out progressed");
@@ -130,9 +130,9 @@
 				line.addKeyValue("dataCenter", began.dataCenter()).log("evacuation began");
 			case FleetChange.EvacuationEnded ended ->
 				line.addKeyValue("dataCenter", ended.dataCenter()).log("evacuation ended");
-			case FleetChange.Noted noted -> line.addKeyValue("key", noted.key()).log("note taken in");
+			case FleetChange.NoteWritten noted -> line.addKeyValue("key", noted.key()).log("note taken in");
 			case FleetChange.ConfigUnreadable unreadable -> unreadable("configuration", unreadable.reason());
-			case FleetChange.Unreadable unreadable -> unreadable(unreadable.key(), unreadable.reason());
+			case FleetChange.RecordUnreadable unreadable -> unreadable(unreadable.key(), unreadable.reason());
 		}
 	}
 
@@ -142,7 +142,7 @@
 		}
 	}
 
-	void trialNotDecided(CrashBook.Trial trial, String reason) {
+	void trialNotDecided(CrashTracker.Trial trial, String reason) {
 		if (allowed(true)) {
 			LOG.atInfo()
 				.addKeyValue("trait", trial.trait().value())
@@ -270,22 +270,22 @@
 		}
 	}
 
-	void readOn(Holder holder, long pausedMillis) {
+	void readOn(BufferAccount holder, long pausedMillis) {
 		if (allowed(false)) {
 			LOG.atInfo()
 				.addKeyValue("id", holder.id())
-				.addKeyValue("heldBytes", holder.held())
+				.addKeyValue("heldBytes", holder.bufferedBytes())
 				.addKeyValue("pausedMillis", pausedMillis)
 				.log("slow caller's answer read on");
 		}
 	}
 
-	void givenUp(Holder holder, String what, double secondsToEmpty, long held) {
+	void givenUp(BufferAccount holder, String what, double secondsToEmpty, long held) {
 		if (allowed(true)) {
 			LOG.atInfo()
 				.addKeyValue("id", holder.id())
 				.addKeyValue("what", what)
-				.addKeyValue("heldBytes", holder.held())
+				.addKeyValue("heldBytes", holder.bufferedBytes())
 				.addKeyValue("secondsToEmpty", Double.isFinite(secondsToEmpty) ? Math.round(secondsToEmpty) : -1)
 				.addKeyValue("heldInAll", held)
 				.log("given up for memory");
@@ -307,7 +307,7 @@
 	void replicaEnded(Crash crash, long now, String how) {
 		if (allowed(true)) {
 			LOG.atInfo()
-				.addKeyValue("process", crash.process())
+				.addKeyValue("process", crash.processName())
 				.addKeyValue("how", how)
 				.addKeyValue("ageMillis", now - crash.at())
 				.addKeyValue("parts", crash.parts())
@@ -316,13 +316,13 @@
 		}
 	}
 
-	void convicted(Trait trait, CrashBook book, String source) {
+	void convicted(Trait trait, CrashTracker book, String source) {
 		if (allowed(true)) {
 			LOG.atInfo()
 				.addKeyValue("trait", trait.value())
 				.addKeyValue("source", source)
-				.addKeyValue("crashes", book.crashesWith(trait))
-				.addKeyValue("soundBefore", book.everSound(List.of(trait)))
+				.addKeyValue("crashes", book.crashCount(trait))
+				.addKeyValue("soundBefore", book.hasSuccessWithEach(List.of(trait)))
 				.log("refused for crashes");
 		}
 	}
@@ -336,7 +336,7 @@
 		}
 	}
 
-	void trial(CrashBook.Trial trial, String id) {
+	void trial(CrashTracker.Trial trial, String id) {
 		if (allowed(true)) {
 			LOG.atInfo()
 				.addKeyValue("trait", trial.trait().value())
--- a/daemon/src/main/java/org/gullsaddle/gateway/ReplicaChooser.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/ReplicaChooser.java
@@ -18,7 +18,7 @@
 import org.gullsaddle.serve.ReplicaSelector;
 import org.gullsaddle.serve.ReplicaTask;
 import org.gullsaddle.serve.SendPermission;
-import org.gullsaddle.suspect.CrashBook;
+import org.gullsaddle.suspect.CrashTracker;
 import org.gullsaddle.suspect.Trait;
 
 /**
@@ -83,7 +83,7 @@
 	 * Says whether a replica that was given the request may still be sent it.
 	 */
 	boolean stillOpen(Replica chosen, SendPermission admission, String model) {
-		return !refused(model) && this.gateway.fleet().directory().stillTakes(Clock.millis(), chosen)
+		return !refused(model) && this.gateway.fleet().directory().canStillUse(Clock.millis(), chosen)
 				&& this.gateway.backpressure().book().canStillSend(Clock.millis(), chosen, admission);
 	}
 
@@ -110,8 +110,8 @@
 	}
 
 	private ReplicaEligibility.Requirements wanted(String model) {
-		CrashBook crashes = this.gateway.crashes().book();
-		List<Trait> traits = (crashes.countRefused() == 0 || this.request.isTrial()) ? List.of()
+		CrashTracker crashes = this.gateway.crashes().book();
+		List<Trait> traits = (crashes.blockedCount() == 0 || this.request.isTrial()) ? List.of()
 				: this.request.traits(model);
 		return new ReplicaEligibility.Requirements(this.request.service(), this.request.limit(),
 				this.request.coldStart(), this.gateway.nodes().known(),
--- a/daemon/src/main/java/org/gullsaddle/wire/Frame.java
+++ b/daemon/src/main/java/org/gullsaddle/wire/Frame.java
@@ -17,10 +17,10 @@
 import org.gullsaddle.base.TemplateName;
 import org.gullsaddle.base.Usage;
 import org.gullsaddle.base.Verdict;
-import org.gullsaddle.ledger.HeldLine;
+import org.gullsaddle.ledger.AgentRecord;
 import org.gullsaddle.rollout.Halt;
 import org.gullsaddle.settings.Role;
-import org.gullsaddle.suspect.Suspicion;
+import org.gullsaddle.suspect.SuspectContent;
 import org.gullsaddle.template.TemplateRevision;
 
 /**
@@ -206,7 +206,7 @@
 	 *
 	 * @param line the line
 	 */
-	record Copy(HeldLine line) implements Frame {
+	record Copy(AgentRecord line) implements Frame {
 	}
 
 	/**
@@ -246,7 +246,7 @@
 	 *
 	 * @param suspicion what is known against its content
 	 */
-	record Suspect(Suspicion suspicion) implements Frame {
+	record Suspect(SuspectContent suspicion) implements Frame {
 	}
 
 	/**
--- a/daemon/src/test/java/org/gullsaddle/wire/FrameCodecTests.java
+++ b/daemon/src/test/java/org/gullsaddle/wire/FrameCodecTests.java
@@ -32,11 +32,11 @@
 import org.gullsaddle.base.TemplateName;
 import org.gullsaddle.base.Usage;
 import org.gullsaddle.base.Verdict;
-import org.gullsaddle.ledger.AttemptLine;
-import org.gullsaddle.ledger.HeldLine;
+import org.gullsaddle.ledger.AgentRecord;
+import org.gullsaddle.ledger.AttemptRecord;
 import org.gullsaddle.rollout.Halt;
 import org.gullsaddle.settings.Role;
-import org.gullsaddle.suspect.Suspicion;
+import org.gullsaddle.suspect.SuspectContent;
 import org.gullsaddle.template.Template;
 import org.gullsaddle.template.TemplateRevision;
 import org.gullsaddle.yaml.YamlException;
@@ -57,7 +57,7 @@
 	private static final ObjectMapper PLAIN = new ObjectMapper(new MessagePackFactory());
 
 	static Stream<Frame> frames() throws YamlException {
-		AttemptLine line = new AttemptLine(ATTEMPT, VERSION, NODE, 1, Verdict.RAN, "done", USAGE, 5, 6, 7);
+		AttemptRecord line = new AttemptRecord(ATTEMPT, VERSION, NODE, 1, Verdict.RAN, "done", USAGE, 5, 6, 7);
 		String yaml = """
 				template: t
 				versions: [{version: small@v1}]
@@ -75,12 +75,12 @@
 				new Frame.Chunk(ATTEMPT, 5, "text ü"),
 				new Frame.Done(ATTEMPT, new Completion(200, "text/plain", "stop", USAGE), 12),
 				new Frame.Failed(ATTEMPT, Verdict.MAY_HAVE_RUN, true, USAGE),
-				new Frame.Copy(new HeldLine(NODE, new TeamId("gold"), new TemplateName("t"), line)),
+				new Frame.Copy(new AgentRecord(NODE, new TeamId("gold"), new TemplateName("t"), line)),
 				new Frame.CopyHeld(ATTEMPT), new Frame.Recorded(List.of(new RequestId("r1"))),
 				new Frame.Templates(List.of(new TemplateRevision(4, "c", "ann", 8, yaml, Template.parse(yaml)))),
 				new Frame.InForce(Map.of(new TemplateName("t"), 4L)),
 				new Frame.Halted(new Halt(new TemplateName("t"), 3, VERSION, "failures")),
-				new Frame.Suspect(new Suspicion(new Fingerprint("f"), Set.of(ATTEMPT), true)));
+				new Frame.Suspect(new SuspectContent(new Fingerprint("f"), Set.of(ATTEMPT), true)));
 	}
 
 	@ParameterizedTest
--- a/measure/src/main/java/org/gullsaddle/measure/CascadeFleet.java
+++ b/measure/src/main/java/org/gullsaddle/measure/CascadeFleet.java
@@ -268,7 +268,7 @@
 			ModelSelector models = this.node.models;
 			Route route = this.kind.route();
 			return models.hasQueueBounds()
-					? models.canJoinQueue(CascadeFleet.this.bounds, route.rank(OptionalInt.empty()), larger, left)
+					? models.canJoinQueue(CascadeFleet.this.bounds, route.rankFor(OptionalInt.empty()), larger, left)
 					: models.isWorthAsking(route, confidence, larger.delay(), left);
 		}
 
