--- a/core/src/main/java/org/gullsaddle/route/ClaimAnswer.java
+++ b/core/src/main/java/org/gullsaddle/route/ClaimResult.java
@@ -3,18 +3,18 @@
 /**
  * What the claim on an idempotency key came to.
  */
-public sealed interface ClaimAnswer {
+public sealed interface ClaimResult {
 
 	/**
 	 * The key is this request's; it may be dispatched.
 	 */
-	record Granted() implements ClaimAnswer {
+	record Granted() implements ClaimResult {
 	}
 
 	/**
 	 * An earlier request has the key, and its end is not known.
 	 */
-	record InUse() implements ClaimAnswer {
+	record InUse() implements ClaimResult {
 	}
 
 	/**
@@ -22,19 +22,19 @@
 	 *
 	 * @param outcome the answer
 	 */
-	record Finished(CallOutcome outcome) implements ClaimAnswer {
+	record Finished(CallOutcome outcome) implements ClaimResult {
 	}
 
 	/**
 	 * An earlier request used the key for another content.
 	 */
-	record ContentDiffers() implements ClaimAnswer {
+	record ContentDiffers() implements ClaimResult {
 	}
 
 	/**
 	 * The store could not be asked, or did not answer in time.
 	 */
-	record Unavailable() implements ClaimAnswer {
+	record Unavailable() implements ClaimResult {
 	}
 
 }
--- a/core/src/main/java/org/gullsaddle/route/FinalAnswers.java
+++ b/core/src/main/java/org/gullsaddle/route/FinalAnswers.java
@@ -33,7 +33,7 @@
 		this.outbox.add(new RouterAction.Complete(state.id(), version.toString(), completion, state.cost()));
 		this.outbox.settleClaim(state, version, completion);
 		state.answer(outcome, now.stamp(), now.millis());
-		if (state.request().repeatable() && !state.wasRated()) {
+		if (state.request().isRepeatable() && !state.wasRated()) {
 			this.spotChecks.consider(state, version, state.received().toString()).ifPresent(this.outbox::add);
 		}
 		record(state);
@@ -58,7 +58,7 @@
 	}
 
 	void end(Moment now, RequestState state, String outcome) {
-		long recordBy = now.millis() + this.settings.lateEndMillis();
+		long recordBy = now.millis() + this.settings.attemptEndTimeoutMillis();
 		state.answer(outcome, now.stamp(), recordBy);
 		if (state.outstanding() == null) {
 			if (state.verdict() == Verdict.NOT_RUN) {
@@ -73,7 +73,7 @@
 
 	void record(RequestState state) {
 		this.open.remove(state.id());
-		this.outbox.add(new RouterAction.Record(state.record()));
+		this.outbox.add(new RouterAction.WriteRecord(state.record()));
 	}
 
 	/**
@@ -87,7 +87,7 @@
 	void repeat(Moment now, RequestState state, CallOutcome outcome) {
 		state.awaitRecord(outcome);
 		state.answer("repeated from " + outcome.request(), now.stamp(), state.request().deadline());
-		this.outbox.add(new RouterAction.KeepRecord(state.record()));
+		this.outbox.add(new RouterAction.WriteRecordBeforeAnswer(state.record()));
 	}
 
 	/**
--- a/core/src/main/java/org/gullsaddle/route/IncomingRequest.java
+++ b/core/src/main/java/org/gullsaddle/route/IncomingRequest.java
@@ -23,7 +23,7 @@
 
 	private final SessionId session;
 
-	private final ModelVersion pinned;
+	private final ModelVersion pinnedVersion;
 
 	private final String idempotencyKey;
 
@@ -44,7 +44,7 @@
 		this.fingerprint = Check.notNull(builder.fingerprint, "fingerprint");
 		this.body = Check.notNull(builder.body, "body");
 		this.session = builder.session;
-		this.pinned = builder.pinned;
+		this.pinnedVersion = builder.pinnedVersion;
 		this.idempotencyKey = builder.idempotencyKey;
 		this.repeatable = builder.repeatable;
 		this.deadline = builder.deadline;
@@ -60,7 +60,7 @@
 	 * @param template the template it names
 	 * @return a builder; the request is repeatable until told otherwise
 	 */
-	public static Builder of(RequestId id, TeamId team, TemplateName template) {
+	public static Builder builder(RequestId id, TeamId team, TemplateName template) {
 		return new Builder(id, team, template);
 	}
 
@@ -100,8 +100,8 @@
 	 * Returns the version that a signed token says its session has.
 	 * @return the version, or empty if no valid token came
 	 */
-	public Optional<ModelVersion> pinned() {
-		return Optional.ofNullable(this.pinned);
+	public Optional<ModelVersion> pinnedVersion() {
+		return Optional.ofNullable(this.pinnedVersion);
 	}
 
 	/**
@@ -116,7 +116,7 @@
 	 * Says whether it may run more than once.
 	 * @return true if it may
 	 */
-	public boolean repeatable() {
+	public boolean isRepeatable() {
 		return this.repeatable;
 	}
 
@@ -166,7 +166,7 @@
 
 		private SessionId session;
 
-		private ModelVersion pinned;
+		private ModelVersion pinnedVersion;
 
 		private String idempotencyKey;
 
@@ -202,8 +202,8 @@
 		 * @param version the version, or null for none
 		 * @return this builder
 		 */
-		public Builder pinned(ModelVersion version) {
-			this.pinned = version;
+		public Builder pinnedVersion(ModelVersion version) {
+			this.pinnedVersion = version;
 			return this;
 		}
 
@@ -212,7 +212,7 @@
 		 * @param key its idempotency key
 		 * @return this builder
 		 */
-		public Builder onceOnly(String key) {
+		public Builder atMostOnce(String key) {
 			this.idempotencyKey = key;
 			this.repeatable = false;
 			return this;
--- a/core/src/main/java/org/gullsaddle/route/Outbox.java
+++ b/core/src/main/java/org/gullsaddle/route/Outbox.java
@@ -34,7 +34,7 @@
 		String resume = state.lastStage() ? state.received().toString() : "";
 		add(new RouterAction.Send(agent,
 				new Dispatch(attempt, state.team(), request.template(), state.revision().revision(), state.version(),
-						state.pinned(), rule.rank(), rule.weight(), request.deadline(), request.repeatable(), alone,
+						state.pinned(), rule.rank(), rule.weight(), request.deadline(), request.isRepeatable(), alone,
 						request.fingerprint(), resume, request.body())));
 	}
 
@@ -43,7 +43,7 @@
 	 * off half-way.
 	 */
 	void cancel(RequestState state) {
-		if (state.outstanding() != null && state.request().repeatable()) {
+		if (state.outstanding() != null && state.request().isRepeatable()) {
 			add(new RouterAction.Cancel(state.outstanding().agent(), state.outstanding().attempt()));
 		}
 	}
@@ -59,7 +59,7 @@
 		if (state.claimed()) {
 			CallOutcome outcome = new CallOutcome(state.id(), version.toString(), completion,
 					state.received().toString());
-			add(new RouterAction.SettleClaim(state.id(), state.team(), state.request().idempotencyKey().orElseThrow(),
+			add(new RouterAction.CompleteClaim(state.id(), state.team(), state.request().idempotencyKey().orElseThrow(),
 					outcome));
 		}
 	}
--- a/core/src/main/java/org/gullsaddle/route/Router.java
+++ b/core/src/main/java/org/gullsaddle/route/Router.java
@@ -84,11 +84,11 @@
 	public Router(RouterSettings settings, RandomGenerator random) {
 		this.settings = settings;
 		this.random = random;
-		this.retries = new RetryBudget(settings.retryShare());
+		this.retries = new RetryBudget(settings.retryBudgetRatio());
 		this.balancer = new Balancer(settings.region(), settings.dataCenter(), random);
 		this.comeBack = new ComeBack(random);
 		this.gate = new Gate(settings, this.templates, this.suspects, this.comeBack);
-		this.spotChecks = new SpotChecks(this.quality, this.guard, settings.ratedShare(), random);
+		this.spotChecks = new SpotChecks(this.quality, this.guard, settings.spotCheckRatio(), random);
 		this.answers = new FinalAnswers(settings, this.open, this.outbox, this.spotChecks);
 	}
 
@@ -100,11 +100,11 @@
 	 */
 	public List<RouterAction> handle(Moment now, RouterEvent event) {
 		switch (event) {
-			case RouterEvent.Arrived arrived -> arrived(now, arrived.request());
-			case RouterEvent.ClaimAnswered claim -> claimAnswered(now, claim);
-			case RouterEvent.PinAnswered pin -> pinAnswered(now, pin);
+			case RouterEvent.RequestArrived arrived -> arrived(now, arrived.request());
+			case RouterEvent.ClaimCompleted claim -> claimAnswered(now, claim);
+			case RouterEvent.PinCompleted pin -> pinAnswered(now, pin);
 			case RouterEvent.AgentUp up -> this.balancer.up(up.agent());
-			case RouterEvent.AgentLoad load -> this.balancer.load(load.agent(), load.load());
+			case RouterEvent.AgentLoadReported load -> this.balancer.load(load.agent(), load.load());
 			case RouterEvent.AgentLeaving leaving -> this.balancer.leaving(leaving.agent());
 			case RouterEvent.AgentDown down -> agentDown(now, down.agent());
 			case RouterEvent.AttemptChunk chunk -> chunk(now, chunk);
@@ -112,13 +112,13 @@
 			case RouterEvent.AttemptRefused refused -> refused(now, refused);
 			case RouterEvent.AttemptFailed failed -> failed(now, failed);
 			case RouterEvent.AnswerRated rated -> rated(now, rated);
-			case RouterEvent.CallerGone gone -> callerGone(now, gone.request());
+			case RouterEvent.CallerDisconnected gone -> callerGone(now, gone.request());
 			case RouterEvent.TemplateChanged changed -> templateChanged(changed.revision());
-			case RouterEvent.HaltLearned learned -> this.guard.learn(learned.halt());
+			case RouterEvent.HaltAnnounced learned -> this.guard.learn(learned.halt());
 			case RouterEvent.FreshnessChanged freshness -> this.gate.cutOff(freshness.cutOff());
-			case RouterEvent.SuspectLearned learned -> learn(learned.suspicion());
+			case RouterEvent.SuspectAnnounced learned -> learn(learned.suspicion());
 			case RouterEvent.AttemptAccepted accepted -> this.open.accepted(accepted.attempt());
-			case RouterEvent.RecordKept kept -> recordKept(kept.request());
+			case RouterEvent.RecordStored kept -> recordKept(kept.request());
 			case RouterEvent.Tick tick -> tick(now);
 		}
 		return this.outbox.take();
@@ -128,7 +128,7 @@
 	 * Returns how many requests are not at their end yet, late ends included.
 	 * @return the number
 	 */
-	public int openRequests() {
+	public int openRequestCount() {
 		return this.open.size();
 	}
 
@@ -151,7 +151,7 @@
 		}
 		this.retries.earn();
 		this.open.wake(request.deadline(), request.id());
-		if (request.repeatable()) {
+		if (request.isRepeatable()) {
 			choose(now, state);
 			return;
 		}
@@ -163,27 +163,27 @@
 				request.fingerprint()));
 	}
 
-	private void claimAnswered(Moment now, RouterEvent.ClaimAnswered event) {
+	private void claimAnswered(Moment now, RouterEvent.ClaimCompleted event) {
 		RequestState state = this.open.get(event.request());
 		if (state == null || state.answered()) {
 			// The caller was told "not run" already; the claim must not stay behind.
-			if (state != null && event.answer() instanceof ClaimAnswer.Granted) {
+			if (state != null && event.result() instanceof ClaimResult.Granted) {
 				state.claim();
 				this.outbox.releaseClaim(state);
 			}
 			return;
 		}
-		switch (event.answer()) {
-			case ClaimAnswer.Granted granted -> {
+		switch (event.result()) {
+			case ClaimResult.Granted granted -> {
 				state.claim();
 				choose(now, state);
 			}
-			case ClaimAnswer.InUse inUse -> this.answers.giveUp(now, state,
+			case ClaimResult.InUse inUse -> this.answers.giveUp(now, state,
 					new Refusal(RefusalReason.KEY_IN_USE, Verdict.MAY_HAVE_RUN, this.comeBack.after(COME_BACK_MILLIS)));
-			case ClaimAnswer.Finished finished -> this.answers.repeat(now, state, finished.outcome());
-			case ClaimAnswer.ContentDiffers differs ->
+			case ClaimResult.Finished finished -> this.answers.repeat(now, state, finished.outcome());
+			case ClaimResult.ContentDiffers differs ->
 				this.answers.giveUp(now, state, Refusal.notRun(RefusalReason.KEY_REUSED, 0));
-			case ClaimAnswer.Unavailable unavailable -> this.answers.giveUp(now, state,
+			case ClaimResult.Unavailable unavailable -> this.answers.giveUp(now, state,
 					this.comeBack.later(RefusalReason.STORE_UNAVAILABLE, STORE_COME_BACK_MILLIS));
 		}
 	}
@@ -199,7 +199,7 @@
 			send(now, state);
 			return;
 		}
-		ModelVersion pinned = state.request().pinned().orElse(null);
+		ModelVersion pinned = state.request().pinnedVersion().orElse(null);
 		if (pinned != null && state.template().allows(state.team(), pinned, true)) {
 			runPinned(now, state, pinned);
 			return;
@@ -214,11 +214,11 @@
 			this.answers.giveUp(now, state, this.comeBack.later(RefusalReason.NO_VERSION, COME_BACK_MILLIS));
 			return;
 		}
-		this.outbox.add(new RouterAction.Pin(state.id(), state.team(), state.request().template(),
+		this.outbox.add(new RouterAction.PinSession(state.id(), state.team(), state.request().template(),
 				state.request().session().orElseThrow(), plan.get().stages().get(0), replacing));
 	}
 
-	private void pinAnswered(Moment now, RouterEvent.PinAnswered event) {
+	private void pinAnswered(Moment now, RouterEvent.PinCompleted event) {
 		RequestState state = this.open.get(event.request());
 		if (state == null || state.answered() || state.outstanding() != null) {
 			return;
@@ -324,7 +324,7 @@
 
 	private void chunk(Moment now, RouterEvent.AttemptChunk event) {
 		RequestState state = this.open.current(event.attempt());
-		if (state == null || (state.answered() && state.request().repeatable())) {
+		if (state == null || (state.answered() && state.request().isRepeatable())) {
 			return;
 		}
 		if (event.offset() < state.received().length()) {
@@ -384,8 +384,9 @@
 
 	private void rate(Moment now, RequestState state, AttemptId attempt, ModelVersion version, Completion completion) {
 		state.awaitRating(attempt, completion);
-		this.open.wake(now.millis() + this.settings.ratingMillis(), state.id());
-		this.outbox.add(new RouterAction.Rate(attempt, version, state.request().body(), state.received().toString()));
+		this.open.wake(now.millis() + this.settings.ratingTimeoutMillis(), state.id());
+		this.outbox
+			.add(new RouterAction.RateAnswer(attempt, version, state.request().body(), state.received().toString()));
 	}
 
 	private void rated(Moment now, RouterEvent.AnswerRated event) {
@@ -466,7 +467,7 @@
 			announce(this.guard.ended(state.request().template(), closed.version(), true));
 		}
 		if (event.crashed()) {
-			this.outbox.add(new RouterAction.Suspect(
+			this.outbox.add(new RouterAction.AnnounceSuspect(
 					this.suspects.crashed(state.request().fingerprint(), event.attempt(), closed.alone())));
 		}
 		if (state.answered()) {
@@ -479,7 +480,7 @@
 		if (this.suspects.convicted(state.request().fingerprint())) {
 			this.answers.giveUp(now, state, Refusal.notRun(RefusalReason.POISON, 0));
 		}
-		else if ((state.request().repeatable() || event.verdict() == Verdict.NOT_RUN)
+		else if ((state.request().isRepeatable() || event.verdict() == Verdict.NOT_RUN)
 				&& mayRetry(state, RefusalReason.BACKEND_FAILED)) {
 			if (!state.delivering()) {
 				state.received().setLength(0);
@@ -518,13 +519,13 @@
 	}
 
 	private void announce(Optional<Halt> halt) {
-		halt.ifPresent((found) -> this.outbox.add(new RouterAction.Announce(found)));
+		halt.ifPresent((found) -> this.outbox.add(new RouterAction.AnnounceHalt(found)));
 	}
 
 	private void learn(Suspicion suspicion) {
 		if (this.suspects.learn(suspicion)) {
 			// The node that told may have told no other, and may be dying.
-			this.outbox.add(new RouterAction.Suspect(suspicion));
+			this.outbox.add(new RouterAction.AnnounceSuspect(suspicion));
 		}
 	}
 
--- a/core/src/main/java/org/gullsaddle/route/RouterAction.java
+++ b/core/src/main/java/org/gullsaddle/route/RouterAction.java
@@ -40,7 +40,7 @@
 	 * @param key its idempotency key
 	 * @param outcome the answer
 	 */
-	record SettleClaim(RequestId request, TeamId team, String key, CallOutcome outcome) implements RouterAction {
+	record CompleteClaim(RequestId request, TeamId team, String key, CallOutcome outcome) implements RouterAction {
 	}
 
 	/**
@@ -64,8 +64,8 @@
 	 * @param proposed the version to take if the session has none
 	 * @param replacing the version that the session can no longer have, or null
 	 */
-	record Pin(RequestId request, TeamId team, TemplateName template, SessionId session, ModelVersion proposed,
-			ModelVersion replacing) implements RouterAction {
+	record PinSession(RequestId request, TeamId team, TemplateName template, SessionId session, ModelVersion proposed,
+			ModelVersion replaced) implements RouterAction {
 	}
 
 	/**
@@ -126,7 +126,7 @@
 	 * @param prompt the request's body
 	 * @param answer the answer
 	 */
-	record Rate(AttemptId attempt, ModelVersion version, String prompt, String answer) implements RouterAction {
+	record RateAnswer(AttemptId attempt, ModelVersion version, String prompt, String answer) implements RouterAction {
 	}
 
 	/**
@@ -134,7 +134,7 @@
 	 *
 	 * @param suspicion what is known against its content
 	 */
-	record Suspect(Suspicion suspicion) implements RouterAction {
+	record AnnounceSuspect(Suspicion suspicion) implements RouterAction {
 	}
 
 	/**
@@ -142,7 +142,7 @@
 	 *
 	 * @param halt the halt
 	 */
-	record Announce(Halt halt) implements RouterAction {
+	record AnnounceHalt(Halt halt) implements RouterAction {
 	}
 
 	/**
@@ -151,7 +151,7 @@
 	 *
 	 * @param record the record
 	 */
-	record KeepRecord(RequestRecord record) implements RouterAction {
+	record WriteRecordBeforeAnswer(RequestRecord record) implements RouterAction {
 	}
 
 	/**
@@ -159,7 +159,7 @@
 	 *
 	 * @param record the record
 	 */
-	record Record(RequestRecord record) implements RouterAction {
+	record WriteRecord(RequestRecord record) implements RouterAction {
 	}
 
 }
--- a/core/src/main/java/org/gullsaddle/route/RouterEvent.java
+++ b/core/src/main/java/org/gullsaddle/route/RouterEvent.java
@@ -27,7 +27,7 @@
 	 *
 	 * @param request the request
 	 */
-	record Arrived(IncomingRequest request) implements RouterEvent {
+	record RequestArrived(IncomingRequest request) implements RouterEvent {
 	}
 
 	/**
@@ -36,7 +36,7 @@
 	 * @param request the request
 	 * @param answer what it came to
 	 */
-	record ClaimAnswered(RequestId request, ClaimAnswer answer) implements RouterEvent {
+	record ClaimCompleted(RequestId request, ClaimResult result) implements RouterEvent {
 	}
 
 	/**
@@ -46,7 +46,7 @@
 	 * @param version the version that the session has, or empty if the store could not
 	 * say
 	 */
-	record PinAnswered(RequestId request, Optional<ModelVersion> version) implements RouterEvent {
+	record PinCompleted(RequestId request, Optional<ModelVersion> version) implements RouterEvent {
 	}
 
 	/**
@@ -63,7 +63,7 @@
 	 * @param agent the agent
 	 * @param load the load
 	 */
-	record AgentLoad(NodeId agent, LoadReport load) implements RouterEvent {
+	record AgentLoadReported(NodeId agent, LoadReport load) implements RouterEvent {
 	}
 
 	/**
@@ -144,7 +144,7 @@
 	 *
 	 * @param request its request
 	 */
-	record CallerGone(RequestId request) implements RouterEvent {
+	record CallerDisconnected(RequestId request) implements RouterEvent {
 	}
 
 	/**
@@ -168,7 +168,7 @@
 	 *
 	 * @param suspicion what it knows
 	 */
-	record SuspectLearned(Suspicion suspicion) implements RouterEvent {
+	record SuspectAnnounced(Suspicion suspicion) implements RouterEvent {
 	}
 
 	/**
@@ -176,7 +176,7 @@
 	 *
 	 * @param halt the halt
 	 */
-	record HaltLearned(Halt halt) implements RouterEvent {
+	record HaltAnnounced(Halt halt) implements RouterEvent {
 	}
 
 	/**
@@ -184,7 +184,7 @@
 	 *
 	 * @param request the request
 	 */
-	record RecordKept(RequestId request) implements RouterEvent {
+	record RecordStored(RequestId request) implements RouterEvent {
 	}
 
 	/**
--- a/core/src/main/java/org/gullsaddle/route/RouterSettings.java
+++ b/core/src/main/java/org/gullsaddle/route/RouterSettings.java
@@ -13,28 +13,28 @@
 
 	private final int maxAttempts;
 
-	private final double retryShare;
+	private final double retryBudgetRatio;
 
 	private final int maxAnswerLength;
 
 	private final int maxOpenRequests;
 
-	private final long lateEndMillis;
+	private final long attemptEndTimeoutMillis;
 
-	private final long ratingMillis;
+	private final long ratingTimeoutMillis;
 
-	private final double ratedShare;
+	private final double spotCheckRatio;
 
 	private RouterSettings(Builder builder) {
 		this.region = Check.notNull(builder.region, "region");
 		this.dataCenter = Check.notNull(builder.dataCenter, "dataCenter");
 		this.maxAttempts = builder.maxAttempts;
-		this.retryShare = builder.retryShare;
+		this.retryBudgetRatio = builder.retryBudgetRatio;
 		this.maxAnswerLength = builder.maxAnswerLength;
 		this.maxOpenRequests = builder.maxOpenRequests;
-		this.lateEndMillis = builder.lateEndMillis;
-		this.ratingMillis = builder.ratingMillis;
-		this.ratedShare = builder.ratedShare;
+		this.attemptEndTimeoutMillis = builder.attemptEndTimeoutMillis;
+		this.ratingTimeoutMillis = builder.ratingTimeoutMillis;
+		this.spotCheckRatio = builder.spotCheckRatio;
 	}
 
 	/**
@@ -43,7 +43,7 @@
 	 * @param dataCenter the node's data center
 	 * @return a builder with the defaults
 	 */
-	public static Builder in(String region, String dataCenter) {
+	public static Builder builder(String region, String dataCenter) {
 		return new Builder(region, dataCenter);
 	}
 
@@ -75,8 +75,8 @@
 	 * Returns how many retries are earned by each request.
 	 * @return the share, 0 to 1
 	 */
-	public double retryShare() {
-		return this.retryShare;
+	public double retryBudgetRatio() {
+		return this.retryBudgetRatio;
 	}
 
 	/**
@@ -100,24 +100,24 @@
 	 * before the record is written without it.
 	 * @return the time in milliseconds
 	 */
-	public long lateEndMillis() {
-		return this.lateEndMillis;
+	public long attemptEndTimeoutMillis() {
+		return this.attemptEndTimeoutMillis;
 	}
 
 	/**
 	 * Returns how long a caller waits for a rating.
 	 * @return the time in milliseconds
 	 */
-	public long ratingMillis() {
-		return this.ratingMillis;
+	public long ratingTimeoutMillis() {
+		return this.ratingTimeoutMillis;
 	}
 
 	/**
 	 * Returns the share of direct answers that are rated after the caller has them.
 	 * @return the share, 0 to 1
 	 */
-	public double ratedShare() {
-		return this.ratedShare;
+	public double spotCheckRatio() {
+		return this.spotCheckRatio;
 	}
 
 	/**
@@ -131,17 +131,17 @@
 
 		private int maxAttempts = 4;
 
-		private double retryShare = 0.09;
+		private double retryBudgetRatio = 0.09;
 
 		private int maxAnswerLength = 1 << 20;
 
 		private int maxOpenRequests = 10_000;
 
-		private long lateEndMillis = 30_000;
+		private long attemptEndTimeoutMillis = 30_000;
 
-		private long ratingMillis = 2_000;
+		private long ratingTimeoutMillis = 2_000;
 
-		private double ratedShare = 0.1;
+		private double spotCheckRatio = 0.1;
 
 		private Builder(String region, String dataCenter) {
 			this.region = region;
@@ -163,8 +163,8 @@
 		 * @param share the share, 0 to 1
 		 * @return this builder
 		 */
-		public Builder retryShare(double share) {
-			this.retryShare = share;
+		public Builder retryBudgetRatio(double share) {
+			this.retryBudgetRatio = share;
 			return this;
 		}
 
@@ -193,8 +193,8 @@
 		 * @param millis the time in milliseconds
 		 * @return this builder
 		 */
-		public Builder lateEndMillis(long millis) {
-			this.lateEndMillis = millis;
+		public Builder attemptEndTimeoutMillis(long millis) {
+			this.attemptEndTimeoutMillis = millis;
 			return this;
 		}
 
@@ -203,8 +203,8 @@
 		 * @param millis the time in milliseconds
 		 * @return this builder
 		 */
-		public Builder ratingMillis(long millis) {
-			this.ratingMillis = millis;
+		public Builder ratingTimeoutMillis(long millis) {
+			this.ratingTimeoutMillis = millis;
 			return this;
 		}
 
@@ -213,8 +213,8 @@
 		 * @param share the share, 0 to 1
 		 * @return this builder
 		 */
-		public Builder ratedShare(double share) {
-			this.ratedShare = share;
+		public Builder spotCheckRatio(double share) {
+			this.spotCheckRatio = share;
 			return this;
 		}
 
--- a/core/src/main/java/org/gullsaddle/route/SpotChecks.java
+++ b/core/src/main/java/org/gullsaddle/route/SpotChecks.java
@@ -50,7 +50,7 @@
 		double expected = state.expectedQuality(version);
 		double bar = state.template().team(state.team()).map(Planner::bar).orElse(0.0);
 		this.waiting.put(attempt, new Check(state.subject(), expected, bar));
-		return Optional.of(new RouterAction.Rate(attempt, version, state.request().body(), answer));
+		return Optional.of(new RouterAction.RateAnswer(attempt, version, state.request().body(), answer));
 	}
 
 	Optional<Halt> rated(AttemptId attempt, OptionalDouble score) {
--- a/core/src/test/java/org/gullsaddle/fuzz/FuzzEntry.java
+++ b/core/src/test/java/org/gullsaddle/fuzz/FuzzEntry.java
@@ -34,7 +34,7 @@
 import org.gullsaddle.register.RegisterEvent;
 import org.gullsaddle.register.RegisterShard;
 import org.gullsaddle.route.CallOutcome;
-import org.gullsaddle.route.ClaimAnswer;
+import org.gullsaddle.route.ClaimResult;
 import org.gullsaddle.route.IncomingRequest;
 import org.gullsaddle.route.Router;
 import org.gullsaddle.route.RouterAction;
@@ -90,7 +90,8 @@
 		this.id = id;
 		this.run = run;
 		this.ledger = new LedgerWriter(run, 1000);
-		this.router = new Router(RouterSettings.in("west", "west-1").ratedShare(0.2).lateEndMillis(5000).build(),
+		this.router = new Router(
+				RouterSettings.builder("west", "west-1").spotCheckRatio(0.2).attemptEndTimeoutMillis(5000).build(),
 				new Random(seed));
 	}
 
@@ -108,7 +109,7 @@
 	}
 
 	int open() {
-		return this.router.openRequests();
+		return this.router.openRequestCount();
 	}
 
 	/**
@@ -119,14 +120,14 @@
 	}
 
 	void submit(IncomingRequest request) {
-		handle(new RouterEvent.Arrived(request));
+		handle(new RouterEvent.RequestArrived(request));
 	}
 
 	void handle(RouterEvent event) {
 		if (this.dead) {
 			return;
 		}
-		if (event instanceof RouterEvent.SuspectLearned learned) {
+		if (event instanceof RouterEvent.SuspectAnnounced learned) {
 			this.heard.add(learned.suspicion().fingerprint().value().replace('_', ' '));
 		}
 		this.events.add(event);
@@ -190,14 +191,14 @@
 				this.world.toAgent(this.id, agent, new Message.Recorded(request));
 			}
 			this.holders.remove(request);
-			handle(new RouterEvent.RecordKept(request));
+			handle(new RouterEvent.RecordStored(request));
 		}
 	}
 
 	private void carryOut(RouterAction action) {
 		switch (action) {
 			case RouterAction.Claim claim -> claim(claim);
-			case RouterAction.SettleClaim settle -> {
+			case RouterAction.CompleteClaim settle -> {
 				Mine claimed = this.mine.remove(settle.request());
 				submit(new Operation.Update(key(settle), claimed.nonce(),
 						Kept.write(claimed.content(), settle.outcome())), Long.MAX_VALUE, (answer) -> {
@@ -211,7 +212,7 @@
 							});
 				}
 			}
-			case RouterAction.Pin pin -> pin(pin);
+			case RouterAction.PinSession pin -> pin(pin);
 			case RouterAction.Send send -> {
 				if (!this.world.toAgent(this.id, send.agent(), new Message.Dispatched(send.dispatch()))) {
 					handle(new RouterEvent.AttemptFailed(send.dispatch().attempt(), Verdict.NOT_RUN, false,
@@ -224,11 +225,11 @@
 			case RouterAction.Complete complete ->
 				this.world.oracle.completed(complete.request().value(), complete.servedBy());
 			case RouterAction.Refuse refuse -> refuse(refuse);
-			case RouterAction.Rate rate -> this.world.rate(this, rate);
-			case RouterAction.Suspect suspect -> this.world.suspect(this.id, suspect.suspicion());
-			case RouterAction.Announce announce -> this.world.halted(this.id, announce.halt());
-			case RouterAction.KeepRecord keep -> keep(keep.record());
-			case RouterAction.Record record -> {
+			case RouterAction.RateAnswer rate -> this.world.rate(this, rate);
+			case RouterAction.AnnounceSuspect suspect -> this.world.suspect(this.id, suspect.suspicion());
+			case RouterAction.AnnounceHalt announce -> this.world.halted(this.id, announce.halt());
+			case RouterAction.WriteRecordBeforeAnswer keep -> keep(keep.record());
+			case RouterAction.WriteRecord record -> {
 				Set<NodeId> agents = new HashSet<>();
 				record.record().attempts().stream().map(AttemptLine::agent).forEach(agents::add);
 				this.holders.put(record.record().request(), agents);
@@ -245,7 +246,7 @@
 	 */
 	private void keep(RequestRecord record) {
 		if (this.world.plant == Plant.RECORDS_ARE_LOST) {
-			handle(new RouterEvent.RecordKept(record.request()));
+			handle(new RouterEvent.RecordStored(record.request()));
 		}
 		else {
 			this.ledger.append(new LedgerEntry.Whole(record));
@@ -271,33 +272,33 @@
 		this.mine.put(claim.request(), new Mine(nonce, claim.content()));
 		submit(new Operation.Put(claim.team() + "/" + claim.key(), nonce, Kept.write(claim.content(), null)),
 				OPERATION_MILLIS, (answer) -> {
-					ClaimAnswer result = (answer instanceof RegisterAction.Answer found && found.entry() != null)
-							? Kept.read(found.entry(), nonce, claim.content()) : new ClaimAnswer.Unavailable();
+					ClaimResult result = (answer instanceof RegisterAction.Answer found && found.entry() != null)
+							? Kept.read(found.entry(), nonce, claim.content()) : new ClaimResult.Unavailable();
 					if (this.world.plant == Plant.CLAIMS_ALWAYS_GRANTED) {
-						result = new ClaimAnswer.Granted();
+						result = new ClaimResult.Granted();
 					}
-					if (!(result instanceof ClaimAnswer.Granted)) {
+					if (!(result instanceof ClaimResult.Granted)) {
 						this.mine.remove(claim.request());
 					}
-					handle(new RouterEvent.ClaimAnswered(claim.request(), result));
+					handle(new RouterEvent.ClaimCompleted(claim.request(), result));
 				});
 	}
 
-	private void pin(RouterAction.Pin pin) {
+	private void pin(RouterAction.PinSession pin) {
 		String name = pin.team() + "/" + pin.session();
 		String nonce = this.run + "-" + this.operations;
 		String value = pin.proposed().toString();
-		Operation operation = (pin.replacing() != null)
-				? new Operation.Replace(name, nonce, value, pin.replacing().toString())
+		Operation operation = (pin.replaced() != null)
+				? new Operation.Replace(name, nonce, value, pin.replaced().toString())
 				: new Operation.Put(name, nonce, value);
 		submit(operation, OPERATION_MILLIS, (answer) -> {
 			if (this.world.plant == Plant.PINS_ARE_NOT_KEPT) {
-				handle(new RouterEvent.PinAnswered(pin.request(), Optional.of(pin.proposed())));
+				handle(new RouterEvent.PinCompleted(pin.request(), Optional.of(pin.proposed())));
 				return;
 			}
 			Optional<ModelVersion> version = (answer instanceof RegisterAction.Answer found && found.entry() != null)
 					? Optional.of(ModelVersion.of(found.entry().value())) : Optional.empty();
-			handle(new RouterEvent.PinAnswered(pin.request(), version));
+			handle(new RouterEvent.PinCompleted(pin.request(), version));
 		});
 	}
 
@@ -339,7 +340,7 @@
 		};
 	}
 
-	private static String key(RouterAction.SettleClaim settle) {
+	private static String key(RouterAction.CompleteClaim settle) {
 		return settle.team() + "/" + settle.key();
 	}
 
@@ -362,16 +363,16 @@
 					+ SETTLED + outcome.text() : content.value();
 		}
 
-		static ClaimAnswer read(Entry entry, String nonce, Fingerprint content) {
+		static ClaimResult read(Entry entry, String nonce, Fingerprint content) {
 			if (entry.nonce().equals(nonce)) {
-				return new ClaimAnswer.Granted();
+				return new ClaimResult.Granted();
 			}
 			String[] parts = entry.value().split(SETTLED);
 			if (!parts[0].equals(content.value())) {
-				return new ClaimAnswer.ContentDiffers();
+				return new ClaimResult.ContentDiffers();
 			}
-			return (parts.length == 1) ? new ClaimAnswer.InUse()
-					: new ClaimAnswer.Finished(new CallOutcome(new RequestId(parts[1]), parts[2],
+			return (parts.length == 1) ? new ClaimResult.InUse()
+					: new ClaimResult.Finished(new CallOutcome(new RequestId(parts[1]), parts[2],
 							new Completion(200, "text/plain", "", Usage.NONE), parts[3]));
 		}
 
--- a/core/src/test/java/org/gullsaddle/fuzz/World.java
+++ b/core/src/test/java/org/gullsaddle/fuzz/World.java
@@ -159,14 +159,14 @@
 	}
 
 	private void request(FuzzEntry entry, String id, String team, String session, String key, String body) {
-		IncomingRequest.Builder builder = IncomingRequest.of(new RequestId(id), new TeamId(team), TEMPLATE)
+		IncomingRequest.Builder builder = IncomingRequest.builder(new RequestId(id), new TeamId(team), TEMPLATE)
 			.deadline(this.time + 3000)
 			.fingerprint(new Fingerprint((team + "/" + body).replace(' ', '_')))
 			.session((session != null) ? new SessionId(session) : null)
 			.body(body);
 		this.oracle.sent(id, team, session, key, body, entry.heard(team + "/" + body));
 		this.callers.put(id, entry.id);
-		entry.submit((key != null) ? builder.onceOnly(key).build() : builder.build());
+		entry.submit((key != null) ? builder.atMostOnce(key).build() : builder.build());
 	}
 
 	void callerLeaves(int pick) {
@@ -175,7 +175,7 @@
 			String id = open.get(pick % open.size());
 			FuzzEntry entry = this.entries.get(this.callers.remove(id));
 			this.oracle.callerLost(id);
-			entry.handle(new RouterEvent.CallerGone(new RequestId(id)));
+			entry.handle(new RouterEvent.CallerDisconnected(new RequestId(id)));
 		}
 	}
 
@@ -340,10 +340,10 @@
 		this.entries.values()
 			.stream()
 			.filter((entry) -> !entry.id.equals(from))
-			.forEach((entry) -> entry.handle(new RouterEvent.SuspectLearned(suspicion)));
+			.forEach((entry) -> entry.handle(new RouterEvent.SuspectAnnounced(suspicion)));
 	}
 
-	void rate(FuzzEntry entry, RouterAction.Rate rate) {
+	void rate(FuzzEntry entry, RouterAction.RateAnswer rate) {
 		this.pending.add(() -> entry.rated(rate.attempt(), (rate.prompt().length() % 3 == 0) ? OptionalDouble.empty()
 				: OptionalDouble.of(0.5 + rate.prompt().length() % 2 * 0.4)));
 	}
@@ -356,7 +356,7 @@
 		this.entries.values()
 			.stream()
 			.filter((entry) -> !entry.id.equals(from))
-			.forEach((entry) -> entry.handle(new RouterEvent.HaltLearned(halt)));
+			.forEach((entry) -> entry.handle(new RouterEvent.HaltAnnounced(halt)));
 	}
 
 	void announce(NodeId agent, AdmissionAction.AnnounceSuspect suspect) {
@@ -416,7 +416,7 @@
 		FuzzEntry entry = new FuzzEntry(this, id, id + "." + this.runs, this.runs);
 		this.entries.values()
 			.forEach((other) -> other.suspects()
-				.forEach((suspicion) -> entry.handle(new RouterEvent.SuspectLearned(suspicion))));
+				.forEach((suspicion) -> entry.handle(new RouterEvent.SuspectAnnounced(suspicion))));
 		this.entries.put(id, entry);
 		this.agents.keySet().forEach((agent) -> connect(id, agent));
 		hear(entry, this.revisions.get(this.revisions.size() - 1));
@@ -440,7 +440,7 @@
 		at.handle(new AdmissionEvent.EntryUp(entry));
 		at.admission()
 			.suspects()
-			.forEach((suspicion) -> this.entries.get(entry).handle(new RouterEvent.SuspectLearned(suspicion)));
+			.forEach((suspicion) -> this.entries.get(entry).handle(new RouterEvent.SuspectAnnounced(suspicion)));
 		this.entries.get(entry)
 			.handle(new RouterEvent.AgentUp(
 					new AgentInfo(agent, "west", "west-1", at.versions, new LoadReport(0, 0, 2))));
@@ -564,7 +564,7 @@
 				}
 				case Message.Release release -> this.entryRun.release(release.request());
 				case AdmissionAction.AnnounceSuspect suspect ->
-					this.entryRun.handle(new RouterEvent.SuspectLearned(suspect.suspicion()));
+					this.entryRun.handle(new RouterEvent.SuspectAnnounced(suspect.suspicion()));
 				default -> throw new IllegalStateException("not sent to entries: " + message);
 			}
 		}
--- a/core/src/test/java/org/gullsaddle/route/RouterTests.java
+++ b/core/src/test/java/org/gullsaddle/route/RouterTests.java
@@ -45,7 +45,8 @@
 
 	private static final Completion STOP = new Completion(200, "application/json", "stop", new Usage(10, 20));
 
-	private final Router router = new Router(RouterSettings.in("west", "west-1").ratedShare(0).build(), new Random(1));
+	private final Router router = new Router(RouterSettings.builder("west", "west-1").spotCheckRatio(0).build(),
+			new Random(1));
 
 	private final List<RouterAction> actions = new ArrayList<>();
 
@@ -70,11 +71,11 @@
 	}
 
 	private void arrives(IncomingRequest.Builder request) {
-		happens(new RouterEvent.Arrived(request.deadline(this.now + 1000).build()));
+		happens(new RouterEvent.RequestArrived(request.deadline(this.now + 1000).build()));
 	}
 
 	private static IncomingRequest.Builder chat(String team) {
-		return IncomingRequest.of(REQUEST, new TeamId(team), Templates.ASSISTANT_NAME).body("prompt");
+		return IncomingRequest.builder(REQUEST, new TeamId(team), Templates.ASSISTANT_NAME).body("prompt");
 	}
 
 	private <T extends RouterAction> List<T> all(Class<T> type) {
@@ -103,8 +104,8 @@
 			answers(sent().attempt(), "hello");
 			assertThat(last(RouterAction.Deliver.class).text()).isEqualTo("hello");
 			assertThat(last(RouterAction.Complete.class).costMicros()).isEqualTo(20);
-			assertThat(all(RouterAction.Record.class)).hasSize(1);
-			assertThat(RouterTests.this.router.openRequests()).isZero();
+			assertThat(all(RouterAction.WriteRecord.class)).hasSize(1);
+			assertThat(RouterTests.this.router.openRequestCount()).isZero();
 		}
 
 		@Test
@@ -140,7 +141,7 @@
 			happens(new RouterEvent.AnswerRated(sent().attempt(), OptionalDouble.of(0.2)));
 			happens(new RouterEvent.AttemptRefused(sent().attempt(), Refusal.notRun(RefusalReason.DEADLINE, 0)));
 			assertThat(last(RouterAction.Deliver.class).text()).isEqualTo("cheap");
-			assertThat(last(RouterAction.Record.class).record().outcome()).isEqualTo("served-below-target");
+			assertThat(last(RouterAction.WriteRecord.class).record().outcome()).isEqualTo("served-below-target");
 			assertThat(all(RouterAction.Refuse.class)).isEmpty();
 		}
 
@@ -153,10 +154,11 @@
 		void attemptThatEndsAfterItsRequestFreesItsServer() {
 			for (int i = 0; i < 8; i++) {
 				RequestId id = new RequestId("late-" + i);
-				happens(new RouterEvent.Arrived(IncomingRequest.of(id, new TeamId("gold"), Templates.ASSISTANT_NAME)
-					.prefixHash(7)
-					.deadline(RouterTests.this.now + 1000)
-					.build()));
+				happens(new RouterEvent.RequestArrived(
+						IncomingRequest.builder(id, new TeamId("gold"), Templates.ASSISTANT_NAME)
+							.prefixHash(7)
+							.deadline(RouterTests.this.now + 1000)
+							.build()));
 				answers(sent().attempt(), "cheap");
 				happens(new RouterEvent.AnswerRated(sent().attempt(), OptionalDouble.of(0.2)));
 				RouterTests.this.now += 1000;
@@ -221,10 +223,10 @@
 		@Test
 		void callerThatLeavesStopsItsAttempt() {
 			arrives(chat("basic"));
-			happens(new RouterEvent.CallerGone(REQUEST));
+			happens(new RouterEvent.CallerDisconnected(REQUEST));
 			assertThat(last(RouterAction.Cancel.class).attempt()).isEqualTo(sent().attempt());
 			happens(new RouterEvent.AttemptFailed(sent().attempt(), Verdict.MAY_HAVE_RUN, false, new Usage(5, 7)));
-			assertThat(last(RouterAction.Record.class).record().costMicros()).isEqualTo(7);
+			assertThat(last(RouterAction.WriteRecord.class).record().costMicros()).isEqualTo(7);
 		}
 
 	}
@@ -277,9 +279,11 @@
 		void retriesStayASmallShareWhenEverythingFails() {
 			for (int i = 0; i < 500; i++) {
 				RequestId id = new RequestId("many-" + i);
-				happens(new RouterEvent.Arrived(
-						IncomingRequest.of(id, new TeamId("basic"), Templates.ASSISTANT_NAME).deadline(5000).build()));
-				while (sent().attempt().request().equals(id) && RouterTests.this.router.openRequests() > 0) {
+				happens(new RouterEvent.RequestArrived(
+						IncomingRequest.builder(id, new TeamId("basic"), Templates.ASSISTANT_NAME)
+							.deadline(5000)
+							.build()));
+				while (sent().attempt().request().equals(id) && RouterTests.this.router.openRequestCount() > 0) {
 					happens(new RouterEvent.AttemptFailed(sent().attempt(), Verdict.MAY_HAVE_RUN, false, Usage.NONE));
 				}
 			}
@@ -293,17 +297,17 @@
 
 		@BeforeEach
 		void order() {
-			arrives(chat("basic").onceOnly("key-1"));
+			arrives(chat("basic").atMostOnce("key-1"));
 		}
 
-		private void claimed(ClaimAnswer answer) {
-			happens(new RouterEvent.ClaimAnswered(REQUEST, answer));
+		private void claimed(ClaimResult answer) {
+			happens(new RouterEvent.ClaimCompleted(REQUEST, answer));
 		}
 
 		@Test
 		void nothingIsSentBeforeTheKeyIsClaimed() {
 			assertThat(all(RouterAction.Send.class)).isEmpty();
-			claimed(new ClaimAnswer.Granted());
+			claimed(new ClaimResult.Granted());
 			assertThat(all(RouterAction.Send.class)).hasSize(1);
 		}
 
@@ -315,7 +319,7 @@
 		@CsvSource({ "no-link, NOT_RUN, true", "refused, NOT_RUN, true", "cut, MAY_HAVE_RUN, false",
 				"failed, MAY_HAVE_RUN, false", "deadline, MAY_HAVE_RUN, false" })
 		void faultAfterTheClaim(String fault, Verdict verdict, boolean released) {
-			claimed(new ClaimAnswer.Granted());
+			claimed(new ClaimResult.Granted());
 			for (int i = 0; i < 4 && all(RouterAction.Refuse.class).isEmpty(); i++) {
 				breakOff(fault);
 			}
@@ -344,10 +348,10 @@
 		@CsvSource({ "in-use, KEY_IN_USE, MAY_HAVE_RUN", "differs, KEY_REUSED, NOT_RUN",
 				"unavailable, STORE_UNAVAILABLE, NOT_RUN" })
 		void claimThatIsNotGranted(String answer, RefusalReason reason, Verdict verdict) {
-			ClaimAnswer given = switch (answer) {
-				case "in-use" -> new ClaimAnswer.InUse();
-				case "differs" -> new ClaimAnswer.ContentDiffers();
-				default -> new ClaimAnswer.Unavailable();
+			ClaimResult given = switch (answer) {
+				case "in-use" -> new ClaimResult.InUse();
+				case "differs" -> new ClaimResult.ContentDiffers();
+				default -> new ClaimResult.Unavailable();
 			};
 			claimed(given);
 			assertThat(last(RouterAction.Refuse.class).refusal().reason()).isEqualTo(reason);
@@ -359,7 +363,7 @@
 		void callSentAgainGetsTheAnswerOfTheFirst() {
 			booked();
 			assertThat(all(RouterAction.Deliver.class)).isEmpty();
-			happens(new RouterEvent.RecordKept(REQUEST));
+			happens(new RouterEvent.RecordStored(REQUEST));
 			assertThat(last(RouterAction.Deliver.class).text()).isEqualTo("booked");
 			assertThat(last(RouterAction.Complete.class).costMicros()).isZero();
 			assertThat(all(RouterAction.Send.class)).isEmpty();
@@ -374,7 +378,7 @@
 			booked();
 			RouterTests.this.now += 1000;
 			happens(new RouterEvent.Tick());
-			happens(new RouterEvent.RecordKept(REQUEST));
+			happens(new RouterEvent.RecordStored(REQUEST));
 			assertThat(last(RouterAction.Refuse.class).refusal().reason()).isEqualTo(RefusalReason.DEADLINE);
 			assertThat(last(RouterAction.Refuse.class).refusal().verdict()).isEqualTo(Verdict.MAY_HAVE_RUN);
 			assertThat(all(RouterAction.Complete.class)).isEmpty();
@@ -383,14 +387,14 @@
 		@Test
 		void callSentAgainWhoseCallerLeavesGetsNothing() {
 			booked();
-			happens(new RouterEvent.CallerGone(REQUEST));
-			happens(new RouterEvent.RecordKept(REQUEST));
+			happens(new RouterEvent.CallerDisconnected(REQUEST));
+			happens(new RouterEvent.RecordStored(REQUEST));
 			assertThat(all(RouterAction.Deliver.class)).isEmpty();
-			assertThat(last(RouterAction.Record.class).record().outcome()).isEqualTo("caller-gone");
+			assertThat(last(RouterAction.WriteRecord.class).record().outcome()).isEqualTo("caller-gone");
 		}
 
 		private void booked() {
-			claimed(new ClaimAnswer.Finished(new CallOutcome(new RequestId("r0"), "small@v1", STOP, "booked")));
+			claimed(new ClaimResult.Finished(new CallOutcome(new RequestId("r0"), "small@v1", STOP, "booked")));
 		}
 
 		/**
@@ -400,13 +404,13 @@
 		 */
 		@Test
 		void lateAnswerIsKeptWholeForTheCallSentAgain() {
-			claimed(new ClaimAnswer.Granted());
+			claimed(new ClaimResult.Granted());
 			AttemptId attempt = sent().attempt();
 			happens(new RouterEvent.AttemptChunk(attempt, 0, "boo"));
 			breakOff("deadline");
 			happens(new RouterEvent.AttemptChunk(attempt, 3, "ked"));
 			happens(new RouterEvent.AttemptDone(attempt, STOP, 6));
-			assertThat(last(RouterAction.SettleClaim.class).outcome().text()).isEqualTo("booked");
+			assertThat(last(RouterAction.CompleteClaim.class).outcome().text()).isEqualTo("booked");
 			assertThat(all(RouterAction.Cancel.class)).isEmpty();
 		}
 
@@ -419,7 +423,7 @@
 			RouterTests.this.now += 1000;
 			happens(new RouterEvent.Tick());
 			assertThat(last(RouterAction.Refuse.class).refusal().verdict()).isEqualTo(Verdict.NOT_RUN);
-			claimed(new ClaimAnswer.Granted());
+			claimed(new ClaimResult.Granted());
 			assertThat(all(RouterAction.Send.class)).isEmpty();
 		}
 
@@ -429,10 +433,10 @@
 	class Sessions {
 
 		private void turn(String request, ModelVersion token) {
-			happens(new RouterEvent.Arrived(
-					IncomingRequest.of(new RequestId(request), new TeamId("gold"), Templates.ASSISTANT_NAME)
+			happens(new RouterEvent.RequestArrived(
+					IncomingRequest.builder(new RequestId(request), new TeamId("gold"), Templates.ASSISTANT_NAME)
 						.session(new SessionId("s1"))
-						.pinned(token)
+						.pinnedVersion(token)
 						.deadline(RouterTests.this.now + 1000)
 						.build()));
 		}
@@ -442,20 +446,20 @@
 			turn("r1", LARGE);
 			assertThat(sent().version()).isEqualTo(LARGE);
 			assertThat(sent().pinned()).isTrue();
-			assertThat(all(RouterAction.Pin.class)).isEmpty();
+			assertThat(all(RouterAction.PinSession.class)).isEmpty();
 		}
 
 		@Test
 		void sessionRunsDirectlyOnTheVersionThatTheStoreTells() {
 			turn("r1", null);
-			happens(new RouterEvent.PinAnswered(new RequestId("r1"), Optional.of(SMALL)));
+			happens(new RouterEvent.PinCompleted(new RequestId("r1"), Optional.of(SMALL)));
 			assertThat(sent().version()).isEqualTo(SMALL);
 		}
 
 		@Test
 		void unknownVersionRefusesAndTakesNoOther() {
 			turn("r1", null);
-			happens(new RouterEvent.PinAnswered(new RequestId("r1"), Optional.empty()));
+			happens(new RouterEvent.PinCompleted(new RequestId("r1"), Optional.empty()));
 			assertThat(last(RouterAction.Refuse.class).refusal().reason()).isEqualTo(RefusalReason.STORE_UNAVAILABLE);
 			assertThat(all(RouterAction.Send.class)).isEmpty();
 		}
@@ -465,8 +469,8 @@
 			Template changed = RouterTests.this.template.withState(SMALL, VersionState.WITHDRAWN);
 			happens(new RouterEvent.TemplateChanged(Templates.revision(2, changed)));
 			turn("r1", SMALL);
-			assertThat(last(RouterAction.Pin.class).replacing()).isEqualTo(SMALL);
-			assertThat(last(RouterAction.Pin.class).proposed()).isEqualTo(LARGE);
+			assertThat(last(RouterAction.PinSession.class).replaced()).isEqualTo(SMALL);
+			assertThat(last(RouterAction.PinSession.class).proposed()).isEqualTo(LARGE);
 		}
 
 	}
@@ -482,11 +486,12 @@
 		void serverThatFailsInARowIsLeftOut() {
 			for (int i = 0; i < 40; i++) {
 				RequestId id = new RequestId("r-" + i);
-				happens(new RouterEvent.Arrived(IncomingRequest.of(id, new TeamId("basic"), Templates.ASSISTANT_NAME)
-					.prefixHash(i)
-					.deadline(1000)
-					.build()));
-				while (RouterTests.this.router.openRequests() > 0) {
+				happens(new RouterEvent.RequestArrived(
+						IncomingRequest.builder(id, new TeamId("basic"), Templates.ASSISTANT_NAME)
+							.prefixHash(i)
+							.deadline(1000)
+							.build()));
+				while (RouterTests.this.router.openRequestCount() > 0) {
 					AttemptId attempt = sent().attempt();
 					if (last(RouterAction.Send.class).agent().value().equals("agent-1")) {
 						happens(new RouterEvent.AttemptFailed(attempt, Verdict.MAY_HAVE_RUN, false, Usage.NONE));
@@ -510,8 +515,8 @@
 		void leavingBackendServerGetsNoNewWork() {
 			happens(new RouterEvent.AgentLeaving(new NodeId("agent-1")));
 			for (int i = 0; i < 20; i++) {
-				happens(new RouterEvent.Arrived(
-						IncomingRequest.of(new RequestId("r-" + i), new TeamId("basic"), Templates.ASSISTANT_NAME)
+				happens(new RouterEvent.RequestArrived(
+						IncomingRequest.builder(new RequestId("r-" + i), new TeamId("basic"), Templates.ASSISTANT_NAME)
 							.prefixHash(i)
 							.deadline(1000)
 							.build()));
--- a/daemon/src/main/java/org/gullsaddle/entry/CallerApi.java
+++ b/daemon/src/main/java/org/gullsaddle/entry/CallerApi.java
@@ -79,21 +79,21 @@
 				: new ServiceAnswer(exchange, vertxContext);
 		IncomingRequest request = request(exchange);
 		RouterShard shard = this.node.shard(exchange.id());
-		context.response().closeHandler((closed) -> shard.handle(new RouterEvent.CallerGone(exchange.id())));
+		context.response().closeHandler((closed) -> shard.handle(new RouterEvent.CallerDisconnected(exchange.id())));
 		this.node.accepted(exchange);
 		shard.submit(request, new MeasuredAnswer(answer, exchange, this.node));
 	}
 
 	private static IncomingRequest request(Exchange exchange) {
-		IncomingRequest.Builder builder = IncomingRequest.of(exchange.id(), exchange.team(), exchange.template())
+		IncomingRequest.Builder builder = IncomingRequest.builder(exchange.id(), exchange.team(), exchange.template())
 			.session(exchange.session())
-			.pinned(exchange.pinned())
+			.pinnedVersion(exchange.pinned())
 			.deadline(exchange.deadline())
 			.prefixHash(exchange.prefixHash())
 			.fingerprint(fingerprint(exchange))
 			.body(exchange.body());
 		return (exchange.repeatable() || exchange.idempotencyKey().isEmpty()) ? builder.build()
-				: builder.onceOnly(exchange.idempotencyKey()).build();
+				: builder.atMostOnce(exchange.idempotencyKey()).build();
 	}
 
 	private static Fingerprint fingerprint(Exchange exchange) {
--- a/daemon/src/main/java/org/gullsaddle/entry/Claims.java
+++ b/daemon/src/main/java/org/gullsaddle/entry/Claims.java
@@ -18,7 +18,7 @@
 import org.gullsaddle.register.Entry;
 import org.gullsaddle.register.Operation;
 import org.gullsaddle.route.CallOutcome;
-import org.gullsaddle.route.ClaimAnswer;
+import org.gullsaddle.route.ClaimResult;
 
 /**
  * Claims on idempotency keys, agreed between all entries through the store. Thread-safe.
@@ -40,15 +40,15 @@
 		this.register = register;
 	}
 
-	Single<ClaimAnswer> claim(RequestId request, TeamId team, String key, Fingerprint content) {
+	Single<ClaimResult> claim(RequestId request, TeamId team, String key, Fingerprint content) {
 		String nonce = UUID.randomUUID().toString();
 		this.mine.put(request, new Mine(nonce, content));
 		String value = Json.write(new Claim(request, content, null));
 		return this.register.submit(new Operation.Put(key(team, key), nonce, value), CLAIM_MILLIS)
 			.map((entry) -> answer(entry, nonce, content))
-			.onErrorReturnItem(new ClaimAnswer.Unavailable())
+			.onErrorReturnItem(new ClaimResult.Unavailable())
 			.doOnSuccess((answer) -> {
-				if (!(answer instanceof ClaimAnswer.Granted)) {
+				if (!(answer instanceof ClaimResult.Granted)) {
 					this.mine.remove(request);
 				}
 			});
@@ -76,18 +76,18 @@
 					(failure) -> LOG.atWarn().addKeyValue("request", request).log("claim not settled"));
 	}
 
-	private static ClaimAnswer answer(Optional<Entry> entry, String nonce, Fingerprint content) throws IOException {
+	private static ClaimResult answer(Optional<Entry> entry, String nonce, Fingerprint content) throws IOException {
 		if (entry.isEmpty()) {
-			return new ClaimAnswer.Unavailable();
+			return new ClaimResult.Unavailable();
 		}
 		if (entry.get().nonce().equals(nonce)) {
-			return new ClaimAnswer.Granted();
+			return new ClaimResult.Granted();
 		}
 		Claim claim = Json.read(entry.get().value(), Claim.class);
 		if (!claim.content().equals(content)) {
-			return new ClaimAnswer.ContentDiffers();
+			return new ClaimResult.ContentDiffers();
 		}
-		return (claim.outcome() != null) ? new ClaimAnswer.Finished(claim.outcome()) : new ClaimAnswer.InUse();
+		return (claim.outcome() != null) ? new ClaimResult.Finished(claim.outcome()) : new ClaimResult.InUse();
 	}
 
 	private static String key(TeamId team, String key) {
--- a/daemon/src/main/java/org/gullsaddle/entry/EntryNode.java
+++ b/daemon/src/main/java/org/gullsaddle/entry/EntryNode.java
@@ -169,7 +169,7 @@
 		this.sessions = new Sessions(this.sessionRegister, entry.sessionKey());
 		this.rater = new Rater(vertx, entry.ratingUrl());
 		this.members = new MemberController(vertx, settings, dialer, this, this::agentLeaving);
-		RouterSettings routing = RouterSettings.in(settings.region(), settings.dataCenter()).build();
+		RouterSettings routing = RouterSettings.builder(settings.region(), settings.dataCenter()).build();
 		for (int i = 0; i < entry.shards(); i++) {
 			this.shards.add(new RouterShard(new Router(routing, new Random()), this, clock));
 		}
@@ -263,7 +263,7 @@
 					agentLeaving(link.peer());
 				}
 			}
-			case Frame.Load load -> everywhere(new RouterEvent.AgentLoad(link.peer(), load.load()));
+			case Frame.Load load -> everywhere(new RouterEvent.AgentLoadReported(link.peer(), load.load()));
 			case Frame.Leaving gone -> agentLeaving(link.peer());
 			case Frame.Accepted accepted ->
 				attempt(accepted.attempt(), new RouterEvent.AttemptAccepted(accepted.attempt()));
@@ -287,9 +287,9 @@
 			case Frame.InForce revisions -> this.inForce.put(link.peer(), Map.copyOf(revisions.revisions()));
 			case Frame.Halted halted -> {
 				this.halts.put(halted.halt().template() + " " + halted.halt().version(), halted.halt());
-				everywhere(new RouterEvent.HaltLearned(halted.halt()));
+				everywhere(new RouterEvent.HaltAnnounced(halted.halt()));
 			}
-			case Frame.Suspect suspect -> everywhere(new RouterEvent.SuspectLearned(suspect.suspicion()));
+			case Frame.Suspect suspect -> everywhere(new RouterEvent.SuspectAnnounced(suspect.suspicion()));
 			default -> LOG.atDebug().addKeyValue("frame", frame.getClass().getSimpleName()).log("frame ignored");
 		}
 	}
@@ -329,7 +329,7 @@
 
 	@Override
 	public void suspect(Suspicion suspicion) {
-		tellOthers(new RouterEvent.SuspectLearned(suspicion), new Frame.Suspect(suspicion));
+		tellOthers(new RouterEvent.SuspectAnnounced(suspicion), new Frame.Suspect(suspicion));
 	}
 
 	@Override
@@ -341,7 +341,7 @@
 			.log("version halted until its template is changed");
 		this.halts.put(halt.template() + " " + halt.version(), halt);
 		this.telemetry.count("halts");
-		tellOthers(new RouterEvent.HaltLearned(halt), new Frame.Halted(halt));
+		tellOthers(new RouterEvent.HaltAnnounced(halt), new Frame.Halted(halt));
 	}
 
 	@Override
@@ -552,7 +552,7 @@
 	private void recorded(List<RequestId> requests) {
 		Map<NodeId, List<RequestId>> byAgent = new HashMap<>();
 		for (RequestId request : requests) {
-			shard(request).handle(new RouterEvent.RecordKept(request));
+			shard(request).handle(new RouterEvent.RecordStored(request));
 			Set<NodeId> agents = this.holders.remove(request);
 			if (agents != null) {
 				agents.forEach((agent) -> byAgent.computeIfAbsent(agent, (id) -> new ArrayList<>()).add(request));
--- a/daemon/src/main/java/org/gullsaddle/entry/RouterShard.java
+++ b/daemon/src/main/java/org/gullsaddle/entry/RouterShard.java
@@ -47,7 +47,7 @@
 
 	synchronized void submit(IncomingRequest request, CallerAnswer answer) {
 		this.callers.put(request.id(), answer);
-		handle(new RouterEvent.Arrived(request));
+		handle(new RouterEvent.RequestArrived(request));
 	}
 
 	/**
@@ -85,34 +85,34 @@
 	}
 
 	synchronized int openRequests() {
-		return this.router.openRequests();
+		return this.router.openRequestCount();
 	}
 
 	private void carryOut(RouterAction action) {
 		switch (action) {
 			case RouterAction.Claim claim -> this.services.claims()
 				.claim(claim.request(), claim.team(), claim.key(), claim.content())
-				.subscribe((answer) -> handle(new RouterEvent.ClaimAnswered(claim.request(), answer)));
-			case RouterAction.SettleClaim settle ->
+				.subscribe((answer) -> handle(new RouterEvent.ClaimCompleted(claim.request(), answer)));
+			case RouterAction.CompleteClaim settle ->
 				this.services.claims().settle(settle.request(), settle.team(), settle.key(), settle.outcome());
 			case RouterAction.ReleaseClaim release ->
 				this.services.claims().release(release.request(), release.team(), release.key());
-			case RouterAction.Pin pin -> this.services.sessions()
+			case RouterAction.PinSession pin -> this.services.sessions()
 				.pin(pin)
-				.subscribe((version) -> handle(new RouterEvent.PinAnswered(pin.request(), version)));
+				.subscribe((version) -> handle(new RouterEvent.PinCompleted(pin.request(), version)));
 			case RouterAction.Send send -> send(send);
 			case RouterAction.Cancel cancel -> this.services.send(cancel.agent(), new Frame.Cancel(cancel.attempt()));
 			case RouterAction.Deliver deliver -> deliver(deliver);
 			case RouterAction.Complete complete -> this.callers.get(complete.request())
 				.complete(complete.servedBy(), complete.completion(), complete.costMicros());
 			case RouterAction.Refuse refuse -> this.callers.get(refuse.request()).refuse(refuse.refusal());
-			case RouterAction.Rate rate -> this.services.rater()
+			case RouterAction.RateAnswer rate -> this.services.rater()
 				.rate(rate.version(), rate.prompt(), rate.answer())
 				.subscribe((score) -> handle(new RouterEvent.AnswerRated(rate.attempt(), score)));
-			case RouterAction.Suspect suspect -> this.services.suspect(suspect.suspicion());
-			case RouterAction.Announce announce -> this.services.halted(announce.halt());
-			case RouterAction.KeepRecord keep -> this.services.keepRecord(keep.record());
-			case RouterAction.Record record -> {
+			case RouterAction.AnnounceSuspect suspect -> this.services.suspect(suspect.suspicion());
+			case RouterAction.AnnounceHalt announce -> this.services.halted(announce.halt());
+			case RouterAction.WriteRecordBeforeAnswer keep -> this.services.keepRecord(keep.record());
+			case RouterAction.WriteRecord record -> {
 				this.callers.remove(record.record().request());
 				this.currents.remove(record.record().request());
 				this.services.record(record.record());
--- a/daemon/src/main/java/org/gullsaddle/entry/Sessions.java
+++ b/daemon/src/main/java/org/gullsaddle/entry/Sessions.java
@@ -51,16 +51,16 @@
 	 * once needs no store: a version changes only when it is withdrawn, and then the
 	 * router asks to replace it.
 	 */
-	Single<Optional<ModelVersion>> pin(RouterAction.Pin pin) {
+	Single<Optional<ModelVersion>> pin(RouterAction.PinSession pin) {
 		String name = pin.team() + "/" + pin.template() + "/" + pin.session();
 		ModelVersion known = known(name);
-		if (known != null && !known.equals(pin.replacing())) {
+		if (known != null && !known.equals(pin.replaced())) {
 			return Single.just(Optional.of(known));
 		}
 		String nonce = UUID.randomUUID().toString();
 		String value = pin.proposed().toString();
-		Operation operation = (pin.replacing() != null)
-				? new Operation.Replace(name, nonce, value, pin.replacing().toString())
+		Operation operation = (pin.replaced() != null)
+				? new Operation.Replace(name, nonce, value, pin.replaced().toString())
 				: new Operation.Put(name, nonce, value);
 		return this.register.submit(operation, PIN_MILLIS)
 			.map((entry) -> entry.map(Entry::value).map(ModelVersion::of))
--- a/measure/src/main/java/org/gullsaddle/measure/CapacityExperiment.java
+++ b/measure/src/main/java/org/gullsaddle/measure/CapacityExperiment.java
@@ -81,12 +81,12 @@
 	}
 
 	private static AttemptId send(Router router, String id, long prefix) {
-		IncomingRequest request = IncomingRequest.of(new RequestId(id), new TeamId("a"), Fixture.NAME)
+		IncomingRequest request = IncomingRequest.builder(new RequestId(id), new TeamId("a"), Fixture.NAME)
 			.deadline(Long.MAX_VALUE)
 			.prefixHash(prefix)
 			.body("a body of some length")
 			.build();
-		for (RouterAction action : router.handle(Moment.at(prefix), new RouterEvent.Arrived(request))) {
+		for (RouterAction action : router.handle(Moment.at(prefix), new RouterEvent.RequestArrived(request))) {
 			if (action instanceof RouterAction.Send send) {
 				return send.dispatch().attempt();
 			}
@@ -95,7 +95,7 @@
 	}
 
 	private static Router router(TemplateRevision template, int agents, long seed) {
-		Router router = new Router(RouterSettings.in("w", "w1").ratedShare(0).build(), new Random(seed));
+		Router router = new Router(RouterSettings.builder("w", "w1").spotCheckRatio(0).build(), new Random(seed));
 		router.handle(Moment.at(0), new RouterEvent.TemplateChanged(template));
 		for (int i = 0; i < agents; i++) {
 			router.handle(Moment.at(0), new RouterEvent.AgentUp(
@@ -112,14 +112,14 @@
 		}
 		long after = used();
 		// Keeps the router alive until it was measured.
-		return (router.openRequests() == requests) ? after - before : Double.NaN;
+		return (router.openRequestCount() == requests) ? after - before : Double.NaN;
 	}
 
 	private static double agentMemory(TemplateRevision template, int agents, long seed) {
 		long before = used();
 		Router router = router(template, agents, seed);
 		long after = used();
-		return (router.openRequests() == 0) ? after - before : Double.NaN;
+		return (router.openRequestCount() == 0) ? after - before : Double.NaN;
 	}
 
 	private static long used() {
--- a/measure/src/main/java/org/gullsaddle/measure/CostExperiment.java
+++ b/measure/src/main/java/org/gullsaddle/measure/CostExperiment.java
@@ -128,7 +128,7 @@
 			yaml.append(", price: {output: ").append(PRICE[i]).append("}}\n");
 		}
 		yaml.append("teams:\n").append(Fixture.team("a", 1, target));
-		Router router = new Router(RouterSettings.in("w", "w1").build(), new Random(seed));
+		Router router = new Router(RouterSettings.builder("w", "w1").build(), new Random(seed));
 		router.handle(Moment.at(0), new RouterEvent.TemplateChanged(Fixture.revision(yaml.toString())));
 		Set<ModelVersion> versions = Set.copyOf(MODELS.stream().map(ModelVersion::of).toList());
 		for (String agent : List.of("a1", "a2")) {
@@ -147,10 +147,10 @@
 
 	private static Served serve(Router router, int number, double[] scores) {
 		Moment now = Moment.at(number * 10L + 10);
-		IncomingRequest request = IncomingRequest.of(new RequestId("r" + number), new TeamId("a"), Fixture.NAME)
+		IncomingRequest request = IncomingRequest.builder(new RequestId("r" + number), new TeamId("a"), Fixture.NAME)
 			.deadline(Long.MAX_VALUE)
 			.build();
-		List<RouterAction> todo = new ArrayList<>(router.handle(now, new RouterEvent.Arrived(request)));
+		List<RouterAction> todo = new ArrayList<>(router.handle(now, new RouterEvent.RequestArrived(request)));
 		double quality = 0;
 		long cost = 0;
 		while (!todo.isEmpty()) {
@@ -159,7 +159,7 @@
 				todo.addAll(router.handle(now, new RouterEvent.AttemptDone(send.dispatch().attempt(),
 						new Completion(200, "", "stop", USAGE), 0)));
 			}
-			else if (action instanceof RouterAction.Rate rate) {
+			else if (action instanceof RouterAction.RateAnswer rate) {
 				double score = scores[MODELS.indexOf(rate.version().toString())];
 				todo.addAll(router.handle(now, new RouterEvent.AnswerRated(rate.attempt(), OptionalDouble.of(score))));
 			}
--- a/measure/src/main/java/org/gullsaddle/measure/Fleet.java
+++ b/measure/src/main/java/org/gullsaddle/measure/Fleet.java
@@ -89,7 +89,8 @@
 		this.policy = policy;
 		this.broken = brokenCount;
 		for (int i = 0; i < 2; i++) {
-			Router router = new Router(RouterSettings.in("w", "w1").ratedShare(0).build(), new Random(seed + i));
+			Router router = new Router(RouterSettings.builder("w", "w1").spotCheckRatio(0).build(),
+					new Random(seed + i));
 			router.handle(moment(), new RouterEvent.TemplateChanged(template));
 			this.entries.add(router);
 		}
@@ -121,11 +122,11 @@
 			RequestId id = new RequestId("r" + this.arrivals);
 			this.calls.put(id, new Call(team, time, serviceMillis, prefix));
 			this.served.computeIfAbsent(team, (missing) -> new int[2])[1]++;
-			IncomingRequest request = IncomingRequest.of(id, team, Fixture.NAME)
+			IncomingRequest request = IncomingRequest.builder(id, team, Fixture.NAME)
 				.deadline(time + deadlineMillis)
 				.prefixHash(prefix)
 				.build();
-			entry(id, new RouterEvent.Arrived(request));
+			entry(id, new RouterEvent.RequestArrived(request));
 		});
 	}
 
@@ -231,7 +232,7 @@
 			int truth = this.outstanding.get(id);
 			at(now() + 2000, () -> {
 				this.reported.put(id, truth);
-				this.entries.forEach((entry) -> entry.handle(moment(), new RouterEvent.AgentLoad(id, load)));
+				this.entries.forEach((entry) -> entry.handle(moment(), new RouterEvent.AgentLoadReported(id, load)));
 			});
 		}
 		if (now() < 600_000 && (now() < 10_000 || !this.time.isEmpty())) {
