--- a/core/src/main/java/org/gullsaddle/agent/Admission.java
+++ b/core/src/main/java/org/gullsaddle/agent/Admission.java
@@ -84,7 +84,7 @@
 
 	private boolean up;
 
-	private boolean draining;
+	private boolean isDraining;
 
 	private boolean drained;
 
@@ -98,7 +98,7 @@
 	 */
 	public Admission(AdmissionSettings settings) {
 		this.settings = settings;
-		this.meanMillis = settings.expectedMillis();
+		this.meanMillis = settings.initialRunMillis();
 	}
 
 	/**
@@ -110,17 +110,17 @@
 	public List<AdmissionAction> handle(Moment now, AdmissionEvent event) {
 		switch (event) {
 			case AdmissionEvent.Dispatched dispatched -> dispatched(now, dispatched);
-			case AdmissionEvent.Cancelled cancelled -> cancelled(cancelled.attempt());
+			case AdmissionEvent.CancelRequested cancelled -> cancelled(cancelled.attempt());
 			case AdmissionEvent.EntryUp entry -> this.entries.add(entry.entry());
 			case AdmissionEvent.CopyHeld held -> close(held.attempt());
 			case AdmissionEvent.EntryDown down -> entryDown(down);
-			case AdmissionEvent.BackendChunk chunk -> chunk(chunk);
-			case AdmissionEvent.BackendDone done -> done(now, done);
-			case AdmissionEvent.BackendFailed failed -> failed(now, failed);
+			case AdmissionEvent.AttemptChunk chunk -> chunk(chunk);
+			case AdmissionEvent.AttemptDone done -> done(now, done);
+			case AdmissionEvent.AttemptFailed failed -> failed(now, failed);
 			case AdmissionEvent.BackendUp backend -> backendUp(now, backend);
 			case AdmissionEvent.BackendDown down -> backendDown();
 			case AdmissionEvent.TemplateChanged changed -> this.templates.apply(changed.revision());
-			case AdmissionEvent.SuspectLearned learned -> this.suspects.learn(learned.suspicion());
+			case AdmissionEvent.SuspectAnnounced learned -> this.suspects.learn(learned.suspicion());
 			case AdmissionEvent.DrainStarted drain -> drain();
 			case AdmissionEvent.Tick tick -> {
 				closeLate(now);
@@ -170,8 +170,8 @@
 	 * Says whether new work is refused because the backend server is leaving.
 	 * @return true once draining
 	 */
-	public boolean draining() {
-		return this.draining;
+	public boolean isDraining() {
+		return this.isDraining;
 	}
 
 	private void dispatched(Moment now, AdmissionEvent.Dispatched event) {
@@ -200,7 +200,7 @@
 	 */
 	private Optional<Refusal> check(Moment now, Work work) {
 		Dispatch dispatch = work.dispatch();
-		if (this.draining) {
+		if (this.isDraining) {
 			return Optional.of(Refusal.notRun(RefusalReason.LEAVING, COME_BACK_MILLIS));
 		}
 		if (!this.up || !this.versions.contains(dispatch.version())) {
@@ -355,7 +355,7 @@
 		}
 	}
 
-	private void chunk(AdmissionEvent.BackendChunk event) {
+	private void chunk(AdmissionEvent.AttemptChunk event) {
 		Work work = this.running.get(event.attempt());
 		if (work != null) {
 			this.actions.add(new AdmissionAction.SendChunk(work.entry(), event.attempt(), work.length(), event.text()));
@@ -363,7 +363,7 @@
 		}
 	}
 
-	private void done(Moment now, AdmissionEvent.BackendDone event) {
+	private void done(Moment now, AdmissionEvent.AttemptDone event) {
 		Work work = this.running.remove(event.attempt());
 		if (work == null) {
 			return;
@@ -377,7 +377,7 @@
 		AdmissionAction end = new AdmissionAction.SendDone(work.entry(), event.attempt(), completion, work.length());
 		this.closing.put(event.attempt(), new Closing(end, now.millis() + COPY_MILLIS));
 		Optional<NodeId> holder = this.entries.stream().filter((entry) -> !entry.equals(work.entry())).findAny();
-		holder.ifPresentOrElse((entry) -> this.actions.add(new AdmissionAction.Copy(entry, line)),
+		holder.ifPresentOrElse((entry) -> this.actions.add(new AdmissionAction.CopyLine(entry, line)),
 				() -> close(event.attempt()));
 		startNext(now);
 	}
@@ -405,7 +405,7 @@
 		late.forEach(this::close);
 	}
 
-	private void failed(Moment now, AdmissionEvent.BackendFailed event) {
+	private void failed(Moment now, AdmissionEvent.AttemptFailed event) {
 		Work work = this.running.remove(event.attempt());
 		if (work == null) {
 			return;
@@ -431,7 +431,7 @@
 		AttemptLine line = new AttemptLine(work.attempt(), dispatch.version(), this.settings.id(), dispatch.revision(),
 				verdict, outcome, usage, cost, work.startStamp(), now.stamp());
 		HeldLine held = new HeldLine(work.entry(), dispatch.team(), dispatch.template(), line);
-		this.actions.add(new AdmissionAction.Hold(held));
+		this.actions.add(new AdmissionAction.HoldLine(held));
 		return held;
 	}
 
@@ -457,10 +457,10 @@
 	}
 
 	private void drain() {
-		if (this.draining) {
+		if (this.isDraining) {
 			return;
 		}
-		this.draining = true;
+		this.isDraining = true;
 		this.actions.add(new AdmissionAction.AnnounceLeaving());
 		for (Work work : this.queue.removeIf((waiting) -> true)) {
 			refuse(work, Refusal.notRun(RefusalReason.LEAVING, COME_BACK_MILLIS));
@@ -468,7 +468,7 @@
 	}
 
 	private void noteDrained() {
-		if (this.draining && !this.drained && this.running.isEmpty() && this.closing.isEmpty()) {
+		if (this.isDraining && !this.drained && this.running.isEmpty() && this.closing.isEmpty()) {
 			this.drained = true;
 			this.actions.add(new AdmissionAction.Drained());
 		}
--- a/core/src/main/java/org/gullsaddle/agent/AdmissionAction.java
+++ b/core/src/main/java/org/gullsaddle/agent/AdmissionAction.java
@@ -94,7 +94,7 @@
 	 *
 	 * @param line the line
 	 */
-	record Hold(HeldLine line) implements AdmissionAction {
+	record HoldLine(HeldLine line) implements AdmissionAction {
 	}
 
 	/**
@@ -104,7 +104,7 @@
 	 * @param holder the other entry
 	 * @param line the line
 	 */
-	record Copy(NodeId holder, HeldLine line) implements AdmissionAction {
+	record CopyLine(NodeId holder, HeldLine line) implements AdmissionAction {
 	}
 
 	/**
--- a/core/src/main/java/org/gullsaddle/agent/AdmissionEvent.java
+++ b/core/src/main/java/org/gullsaddle/agent/AdmissionEvent.java
@@ -33,7 +33,7 @@
 	 *
 	 * @param attempt the attempt
 	 */
-	record Cancelled(AttemptId attempt) implements AdmissionEvent {
+	record CancelRequested(AttemptId attempt) implements AdmissionEvent {
 	}
 
 	/**
@@ -66,7 +66,7 @@
 	 * @param attempt the attempt
 	 * @param text the part
 	 */
-	record BackendChunk(AttemptId attempt, String text) implements AdmissionEvent {
+	record AttemptChunk(AttemptId attempt, String text) implements AdmissionEvent {
 	}
 
 	/**
@@ -75,7 +75,7 @@
 	 * @param attempt the attempt
 	 * @param completion how it closed
 	 */
-	record BackendDone(AttemptId attempt, Completion completion) implements AdmissionEvent {
+	record AttemptDone(AttemptId attempt, Completion completion) implements AdmissionEvent {
 	}
 
 	/**
@@ -87,7 +87,7 @@
 	 * @param crashed whether the backend server died
 	 * @param usage the tokens used as far as known
 	 */
-	record BackendFailed(AttemptId attempt, Verdict verdict, boolean crashed, Usage usage) implements AdmissionEvent {
+	record AttemptFailed(AttemptId attempt, Verdict verdict, boolean crashed, Usage usage) implements AdmissionEvent {
 	}
 
 	/**
@@ -118,7 +118,7 @@
 	 *
 	 * @param suspicion what it knows
 	 */
-	record SuspectLearned(Suspicion suspicion) implements AdmissionEvent {
+	record SuspectAnnounced(Suspicion suspicion) implements AdmissionEvent {
 	}
 
 	/**
--- a/core/src/main/java/org/gullsaddle/agent/AdmissionSettings.java
+++ b/core/src/main/java/org/gullsaddle/agent/AdmissionSettings.java
@@ -8,10 +8,10 @@
  *
  * @param id the agent
  * @param maxQueued how many attempts may wait
- * @param expectedMillis how long an attempt is taken to run before any has, in
+ * @param initialRunMillis how long an attempt is taken to run before any has, in
  * milliseconds
  */
-public record AdmissionSettings(NodeId id, int maxQueued, long expectedMillis) {
+public record AdmissionSettings(NodeId id, int maxQueued, long initialRunMillis) {
 
 	private static final int DEFAULT_MAX_QUEUED = 200;
 
@@ -20,7 +20,7 @@
 	public AdmissionSettings {
 		Check.notNull(id, "id");
 		Check.that(maxQueued >= 0, "maxQueued must not be negative");
-		Check.that(expectedMillis > 0, "expectedMillis must be positive");
+		Check.that(initialRunMillis > 0, "expectedMillis must be positive");
 	}
 
 	/**
@@ -38,7 +38,7 @@
 	 * @return the settings
 	 */
 	public AdmissionSettings withMaxQueued(int queued) {
-		return new AdmissionSettings(this.id, queued, this.expectedMillis);
+		return new AdmissionSettings(this.id, queued, this.initialRunMillis);
 	}
 
 }
--- a/core/src/main/java/org/gullsaddle/agent/HeldLines.java
+++ b/core/src/main/java/org/gullsaddle/agent/HeldLines.java
@@ -22,7 +22,7 @@
  */
 public final class HeldLines {
 
-	private final long patienceMillis;
+	private final long maxHoldMillis;
 
 	private final Map<RequestId, List<Held>> lines = new LinkedHashMap<>();
 
@@ -32,7 +32,7 @@
 	 * that is gone has a tenth of it
 	 */
 	public HeldLines(long patienceMillis) {
-		this.patienceMillis = patienceMillis;
+		this.maxHoldMillis = patienceMillis;
 	}
 
 	/**
@@ -48,7 +48,7 @@
 	 * Lets go of the lines of requests whose record is in the store.
 	 * @param requests the requests
 	 */
-	public void recorded(List<RequestId> requests) {
+	public void onRecorded(List<RequestId> requests) {
 		requests.forEach(this.lines::remove);
 	}
 
@@ -59,7 +59,7 @@
 	 * @param connected the entries that are linked
 	 * @return the lines
 	 */
-	public List<HeldLine> due(long now, Set<NodeId> connected) {
+	public List<HeldLine> takeDue(long now, Set<NodeId> connected) {
 		List<HeldLine> due = new ArrayList<>();
 		Iterator<List<Held>> each = this.lines.values().iterator();
 		while (each.hasNext()) {
@@ -76,7 +76,7 @@
 	 * Takes out all lines.
 	 * @return the lines
 	 */
-	public List<HeldLine> all() {
+	public List<HeldLine> takeAll() {
 		List<HeldLine> all = new ArrayList<>();
 		this.lines.values().forEach((held) -> held.forEach((one) -> all.add(one.line())));
 		this.lines.clear();
@@ -87,17 +87,17 @@
 	 * Returns how many requests have lines held.
 	 * @return the number
 	 */
-	public int size() {
+	public int requestCount() {
 		return this.lines.size();
 	}
 
 	private boolean isDue(Held held, long now, Set<NodeId> connected) {
-		long waited = now - held.since();
+		long waited = now - held.sinceMillis();
 		boolean gone = !connected.contains(held.line().entry());
-		return waited > this.patienceMillis || (gone && waited > this.patienceMillis / 10);
+		return waited > this.maxHoldMillis || (gone && waited > this.maxHoldMillis / 10);
 	}
 
-	private record Held(HeldLine line, long since) {
+	private record Held(HeldLine line, long sinceMillis) {
 	}
 
 }
--- a/core/src/test/java/org/gullsaddle/agent/AdmissionTests.java
+++ b/core/src/test/java/org/gullsaddle/agent/AdmissionTests.java
@@ -69,7 +69,7 @@
 	}
 
 	private void ends(String request) {
-		happens(new AdmissionEvent.BackendDone(new AttemptId(new RequestId(request), 1), STOP));
+		happens(new AdmissionEvent.AttemptDone(new AttemptId(new RequestId(request), 1), STOP));
 	}
 
 	private <T extends AdmissionAction> List<T> all(Class<T> type) {
@@ -172,7 +172,7 @@
 
 		@Test
 		void cancelThatOvertakesItsDispatchKeepsItFromRunning() {
-			happens(new AdmissionEvent.Cancelled(new AttemptId(new RequestId("a"), 1)));
+			happens(new AdmissionEvent.CancelRequested(new AttemptId(new RequestId("a"), 1)));
 			arrives("a", "basic", 1);
 			assertThat(started()).isEmpty();
 		}
@@ -249,7 +249,7 @@
 	class Crashes {
 
 		private void crashes(String request) {
-			happens(new AdmissionEvent.BackendFailed(new AttemptId(new RequestId(request), 1), Verdict.MAY_HAVE_RUN,
+			happens(new AdmissionEvent.AttemptFailed(new AttemptId(new RequestId(request), 1), Verdict.MAY_HAVE_RUN,
 					true, Usage.NONE));
 		}
 
@@ -273,7 +273,7 @@
 		void contentThatCrashedAloneIsRefused() {
 			arrives("poison", "basic", 1);
 			crashes("poison");
-			happens(new AdmissionEvent.SuspectLearned(
+			happens(new AdmissionEvent.SuspectAnnounced(
 					new Suspicion(new Fingerprint("poison"), Set.of(new AttemptId(new RequestId("poison"), 2)), true)));
 			arrives("again", "basic", 1);
 			happens(new AdmissionEvent.Dispatched(ENTRY,
@@ -299,7 +299,7 @@
 			happens(new AdmissionEvent.EntryUp(new NodeId("entry-2")));
 			arrives("a", "basic", 1);
 			ends("a");
-			assertThat(all(AdmissionAction.Copy.class).get(0).holder()).isEqualTo(new NodeId("entry-2"));
+			assertThat(all(AdmissionAction.CopyLine.class).get(0).holder()).isEqualTo(new NodeId("entry-2"));
 			assertThat(all(AdmissionAction.SendDone.class)).isEmpty();
 			happens(new AdmissionEvent.CopyHeld(new AttemptId(new RequestId("a"), 1)));
 			assertThat(all(AdmissionAction.SendDone.class)).hasSize(1);
--- a/core/src/test/java/org/gullsaddle/fuzz/FuzzAgent.java
+++ b/core/src/test/java/org/gullsaddle/fuzz/FuzzAgent.java
@@ -166,7 +166,7 @@
 	}
 
 	void recorded(Message.Recorded recorded) {
-		this.held.recorded(List.of(recorded.request()));
+		this.held.onRecorded(List.of(recorded.request()));
 		NodeId holder = this.copies.remove(recorded.request());
 		if (holder != null) {
 			this.world.toEntry(this.id, holder, new Message.Release(recorded.request()));
@@ -175,7 +175,7 @@
 
 	void tick() {
 		handle(new AdmissionEvent.Tick());
-		for (HeldLine line : this.held.due(this.world.now().millis(), this.world.entriesOf(this.id))) {
+		for (HeldLine line : this.held.takeDue(this.world.now().millis(), this.world.entriesOf(this.id))) {
 			this.ledger.append(new LedgerEntry.Part(line));
 		}
 		flush();
@@ -185,7 +185,7 @@
 	 * Writes all that is held, as on a graceful stop.
 	 */
 	void writeAll() {
-		this.held.all().forEach((line) -> this.ledger.append(new LedgerEntry.Part(line)));
+		this.held.takeAll().forEach((line) -> this.ledger.append(new LedgerEntry.Part(line)));
 		flush();
 	}
 
@@ -220,13 +220,13 @@
 		AttemptId attempt = job.dispatch.attempt();
 		if (rest.isEmpty()) {
 			this.jobs.remove(attempt);
-			handle(new AdmissionEvent.BackendDone(attempt,
+			handle(new AdmissionEvent.AttemptDone(attempt,
 					new Completion(200, "text/plain", "stop", World.usage(job.dispatch.body()))));
 			return;
 		}
 		String part = rest.substring(0, Math.min(PART, rest.length()));
 		job.sent += part.length();
-		handle(new AdmissionEvent.BackendChunk(attempt, part));
+		handle(new AdmissionEvent.AttemptChunk(attempt, part));
 	}
 
 	/**
@@ -238,7 +238,7 @@
 			this.jobs.remove(attempt);
 			Verdict verdict = (this.world.plant == Plant.FAILURES_CLAIM_NOT_RUN) ? Verdict.NOT_RUN
 					: Verdict.MAY_HAVE_RUN;
-			handle(new AdmissionEvent.BackendFailed(attempt, verdict, false, Usage.NONE));
+			handle(new AdmissionEvent.AttemptFailed(attempt, verdict, false, Usage.NONE));
 		}
 	}
 
@@ -250,7 +250,7 @@
 		handle(new AdmissionEvent.BackendDown());
 		boolean told = this.world.plant != Plant.CRASHES_ARE_NOT_TOLD;
 		lost.forEach(
-				(attempt) -> handle(new AdmissionEvent.BackendFailed(attempt, Verdict.MAY_HAVE_RUN, told, Usage.NONE)));
+				(attempt) -> handle(new AdmissionEvent.AttemptFailed(attempt, Verdict.MAY_HAVE_RUN, told, Usage.NONE)));
 		handle(new AdmissionEvent.BackendUp(this.versions, SLOTS));
 	}
 
@@ -267,7 +267,7 @@
 			case AdmissionAction.Abort abort -> {
 				this.jobs.remove(abort.attempt());
 				this.world.later(() -> handle(
-						new AdmissionEvent.BackendFailed(abort.attempt(), Verdict.MAY_HAVE_RUN, false, Usage.NONE)));
+						new AdmissionEvent.AttemptFailed(abort.attempt(), Verdict.MAY_HAVE_RUN, false, Usage.NONE)));
 			}
 			case AdmissionAction.Accept accept -> this.world.toEntry(this.id, accept.entry(), action);
 			case AdmissionAction.Refuse refuse -> this.world.toEntry(this.id, refuse.entry(), action);
@@ -280,11 +280,11 @@
 				this.world.toEntry(this.id, done.entry(), action);
 			}
 			case AdmissionAction.SendFailed failed -> this.world.toEntry(this.id, failed.entry(), action);
-			case AdmissionAction.Hold hold -> {
+			case AdmissionAction.HoldLine hold -> {
 				this.held.hold(hold.line(), this.world.now().millis());
 				this.world.oracle.heldBy(hold.line().line().attempt().request().value(), this.run);
 			}
-			case AdmissionAction.Copy copy -> {
+			case AdmissionAction.CopyLine copy -> {
 				this.tried.add(copy.line().line().attempt());
 				this.copies.put(copy.line().line().attempt().request(), copy.holder());
 				this.world.toEntry(this.id, copy.holder(), copy);
--- a/core/src/test/java/org/gullsaddle/fuzz/FuzzEntry.java
+++ b/core/src/test/java/org/gullsaddle/fuzz/FuzzEntry.java
@@ -149,18 +149,18 @@
 	}
 
 	void release(RequestId request) {
-		this.copies.recorded(List.of(request));
+		this.copies.onRecorded(List.of(request));
 	}
 
 	void writeAll() {
-		this.copies.all().forEach((line) -> this.ledger.append(new LedgerEntry.Part(line)));
+		this.copies.takeAll().forEach((line) -> this.ledger.append(new LedgerEntry.Part(line)));
 	}
 
 	void tick() {
 		if (this.dead) {
 			return;
 		}
-		for (HeldLine line : this.copies.due(this.world.now().millis(), this.world.entries())) {
+		for (HeldLine line : this.copies.takeDue(this.world.now().millis(), this.world.entries())) {
 			this.ledger.append(new LedgerEntry.Part(line));
 		}
 		handle(new RouterEvent.Tick());
--- a/core/src/test/java/org/gullsaddle/fuzz/World.java
+++ b/core/src/test/java/org/gullsaddle/fuzz/World.java
@@ -534,7 +534,8 @@
 			switch (message) {
 				case Message.Dispatched sent -> this.agentRun
 					.handle(new AdmissionEvent.Dispatched(this.entry, sent.dispatch(), sent.dispatch().deadline()));
-				case Message.Cancel cancel -> this.agentRun.handle(new AdmissionEvent.Cancelled(cancel.attempt()));
+				case Message.Cancel cancel ->
+					this.agentRun.handle(new AdmissionEvent.CancelRequested(cancel.attempt()));
 				case Message.Release release -> throw new IllegalStateException("not sent to agents: " + release);
 				case Message.Revision revision ->
 					this.agentRun.handle(new AdmissionEvent.TemplateChanged(revision.revision()));
@@ -558,7 +559,7 @@
 							failed.crashed(), failed.usage()));
 				case AdmissionAction.AnnounceLeaving leaving ->
 					this.entryRun.handle(new RouterEvent.AgentLeaving(this.agent));
-				case AdmissionAction.Copy copy -> {
+				case AdmissionAction.CopyLine copy -> {
 					this.entryRun.hold(copy.line());
 					this.toAgent.add(new Message.CopyHeld(copy.line().line().attempt()));
 				}
--- a/daemon/src/main/java/org/gullsaddle/backend/AgentNode.java
+++ b/daemon/src/main/java/org/gullsaddle/backend/AgentNode.java
@@ -170,7 +170,7 @@
 	 * @return true if it answers and is not leaving
 	 */
 	public synchronized boolean ready() {
-		return !this.admission.draining() && !this.admission.versions().isEmpty();
+		return !this.admission.isDraining() && !this.admission.versions().isEmpty();
 	}
 
 	@Override
@@ -202,9 +202,9 @@
 		switch (frame) {
 			case Frame.Dispatched sent -> handle(new AdmissionEvent.Dispatched(link.peer(), sent.dispatch(),
 					link.toLocal(sent.dispatch().deadline())));
-			case Frame.Cancel cancel -> handle(new AdmissionEvent.Cancelled(cancel.attempt()));
+			case Frame.Cancel cancel -> handle(new AdmissionEvent.CancelRequested(cancel.attempt()));
 			case Frame.Credit credit -> credit(credit);
-			case Frame.Suspect suspect -> handle(new AdmissionEvent.SuspectLearned(suspect.suspicion()));
+			case Frame.Suspect suspect -> handle(new AdmissionEvent.SuspectAnnounced(suspect.suspicion()));
 			case Frame.CopyHeld copy -> handle(new AdmissionEvent.CopyHeld(copy.attempt()));
 			case Frame.Recorded recorded -> recorded(recorded);
 			case Frame.Templates pushed -> {
@@ -251,8 +251,8 @@
 				send(done.entry(), new Frame.Done(done.attempt(), done.completion(), done.length()));
 			case AdmissionAction.SendFailed failed -> send(failed.entry(),
 					new Frame.Failed(failed.attempt(), failed.verdict(), failed.crashed(), failed.usage()));
-			case AdmissionAction.Hold hold -> this.held.hold(hold.line(), this.clock.millis());
-			case AdmissionAction.Copy copy -> {
+			case AdmissionAction.HoldLine hold -> this.held.hold(hold.line(), this.clock.millis());
+			case AdmissionAction.CopyLine copy -> {
 				this.copies.put(copy.line().line().attempt().request(), copy.holder());
 				send(copy.holder(), new Frame.Copy(copy.line()));
 			}
@@ -305,10 +305,10 @@
 
 	private void outcome(AttemptId attempt, Run.Outcome outcome) {
 		switch (outcome) {
-			case Run.Outcome.Part part -> handle(new AdmissionEvent.BackendChunk(attempt, part.text()));
+			case Run.Outcome.Part part -> handle(new AdmissionEvent.AttemptChunk(attempt, part.text()));
 			case Run.Outcome.Ended ended -> {
 				forget(attempt);
-				handle(new AdmissionEvent.BackendDone(attempt, ended.completion()));
+				handle(new AdmissionEvent.AttemptDone(attempt, ended.completion()));
 			}
 			case Run.Outcome.Broke broke -> {
 				forget(attempt);
@@ -334,7 +334,7 @@
 	}
 
 	private void failed(AttemptId attempt, Verdict verdict, boolean crashed, Usage usage) {
-		handle(new AdmissionEvent.BackendFailed(attempt, verdict, crashed, usage));
+		handle(new AdmissionEvent.AttemptFailed(attempt, verdict, crashed, usage));
 	}
 
 	private synchronized void forget(AttemptId attempt) {
@@ -342,7 +342,7 @@
 	}
 
 	private synchronized void recorded(Frame.Recorded recorded) {
-		this.held.recorded(recorded.requests());
+		this.held.onRecorded(recorded.requests());
 		for (RequestId request : recorded.requests()) {
 			NodeId holder = this.copies.remove(request);
 			if (holder != null) {
@@ -371,7 +371,7 @@
 	private void tick() {
 		handle(new AdmissionEvent.Tick());
 		synchronized (this) {
-			for (HeldLine line : this.held.due(this.clock.millis(), this.entries.keySet())) {
+			for (HeldLine line : this.held.takeDue(this.clock.millis(), this.entries.keySet())) {
 				this.ledger.append(new LedgerEntry.Part(line));
 			}
 		}
@@ -386,7 +386,7 @@
 	}
 
 	private synchronized void writeAllHeld() {
-		this.held.all().forEach((line) -> this.ledger.append(new LedgerEntry.Part(line)));
+		this.held.takeAll().forEach((line) -> this.ledger.append(new LedgerEntry.Part(line)));
 	}
 
 	private synchronized List<Suspicion> suspects() {
@@ -394,7 +394,7 @@
 	}
 
 	private synchronized int heldLines() {
-		return this.held.size();
+		return this.held.requestCount();
 	}
 
 	private synchronized LoadReport load() {
@@ -404,7 +404,7 @@
 	private synchronized Frame.Status status() {
 		AgentInfo info = new AgentInfo(this.settings.node(), this.settings.region(), this.settings.dataCenter(),
 				this.admission.versions(), this.admission.load());
-		return new Frame.Status(info, this.admission.draining());
+		return new Frame.Status(info, this.admission.isDraining());
 	}
 
 	private Frame.InForce inForce() {
--- a/daemon/src/main/java/org/gullsaddle/entry/HeldCopies.java
+++ b/daemon/src/main/java/org/gullsaddle/entry/HeldCopies.java
@@ -35,15 +35,15 @@
 	}
 
 	synchronized void recorded(List<RequestId> requests) {
-		this.lines.recorded(requests);
+		this.lines.onRecorded(requests);
 	}
 
 	synchronized void writeDue(Set<NodeId> connected) {
-		write(this.lines.due(this.clock.millis(), connected));
+		write(this.lines.takeDue(this.clock.millis(), connected));
 	}
 
 	synchronized void writeAll() {
-		write(this.lines.all());
+		write(this.lines.takeAll());
 	}
 
 	private void write(List<HeldLine> due) {
--- a/measure/src/main/java/org/gullsaddle/measure/CapacityExperiment.java
+++ b/measure/src/main/java/org/gullsaddle/measure/CapacityExperiment.java
@@ -146,10 +146,10 @@
 							VERSION, false, 1, 1, 0, true, false, new Fingerprint("f" + i), "", "body"),
 							Long.MAX_VALUE));
 			for (int part = 0; part < PARTS; part++) {
-				admission.handle(Moment.at(i), new AdmissionEvent.BackendChunk(attempt, " word"));
+				admission.handle(Moment.at(i), new AdmissionEvent.AttemptChunk(attempt, " word"));
 			}
 			admission.handle(Moment.at(i),
-					new AdmissionEvent.BackendDone(attempt, new Completion(200, "", "stop", new Usage(1, PARTS))));
+					new AdmissionEvent.AttemptDone(attempt, new Completion(200, "", "stop", new Usage(1, PARTS))));
 		}
 		return (System.nanoTime() - start) / 1000.0 / (3 * REQUESTS);
 	}
--- a/measure/src/main/java/org/gullsaddle/measure/Fleet.java
+++ b/measure/src/main/java/org/gullsaddle/measure/Fleet.java
@@ -218,8 +218,8 @@
 		boolean fails = this.order.indexOf(id) < this.broken;
 		at(now() + (fails ? 50 : prefill + call.serviceMillis()), () -> {
 			this.outstanding.merge(id, -1, Integer::sum);
-			agent(id, fails ? new AdmissionEvent.BackendFailed(attempt, Verdict.MAY_HAVE_RUN, false, Usage.NONE)
-					: new AdmissionEvent.BackendDone(attempt, new Completion(200, "", "stop", new Usage(1, 1))));
+			agent(id, fails ? new AdmissionEvent.AttemptFailed(attempt, Verdict.MAY_HAVE_RUN, false, Usage.NONE)
+					: new AdmissionEvent.AttemptDone(attempt, new Completion(200, "", "stop", new Usage(1, 1))));
 		});
 	}
 
