--- a/core/src/main/java/org/gullsaddle/route/Outbox.java
+++ b/core/src/main/java/org/gullsaddle/route/ActionBuffer.java
@@ -14,7 +14,7 @@
  * Gathers the actions that an event leads to, and words those that several decisions
  * share.
  */
-final class Outbox {
+final class ActionBuffer {
 
 	private final List<RouterAction> actions = new ArrayList<>();
 
@@ -22,7 +22,7 @@
 		this.actions.add(action);
 	}
 
-	List<RouterAction> take() {
+	List<RouterAction> takeAll() {
 		List<RouterAction> taken = List.copyOf(this.actions);
 		this.actions.clear();
 		return taken;
@@ -48,14 +48,14 @@
 		}
 	}
 
-	void repeat(RequestState state, CallOutcome outcome) {
+	void replay(RequestState state, CallOutcome outcome) {
 		if (!outcome.text().isEmpty()) {
 			add(new RouterAction.Deliver(state.id(), ModelVersion.of(outcome.servedBy()), outcome.text()));
 		}
 		add(new RouterAction.Complete(state.id(), outcome.servedBy(), outcome.completion(), state.cost()));
 	}
 
-	void settleClaim(RequestState state, ModelVersion version, Completion completion) {
+	void completeClaim(RequestState state, ModelVersion version, Completion completion) {
 		if (state.claimed()) {
 			CallOutcome outcome = new CallOutcome(state.id(), version.toString(), completion,
 					state.received().toString());
--- a/core/src/main/java/org/gullsaddle/route/AgentState.java
+++ b/core/src/main/java/org/gullsaddle/route/AgentState.java
@@ -21,7 +21,7 @@
 
 	private boolean leaving;
 
-	private final OthersLoad others = new OthersLoad();
+	private final PeerLoadEstimate others = new PeerLoadEstimate();
 
 	private final Ejection ejection = new Ejection();
 
@@ -36,7 +36,7 @@
 
 	void report(LoadReport newLoad) {
 		this.load = newLoad;
-		this.others.report(newLoad, this.outstanding.size());
+		this.others.onLoadReport(newLoad, this.outstanding.size());
 	}
 
 	AgentInfo info() {
--- a/core/src/main/java/org/gullsaddle/route/OpenRequests.java
+++ b/core/src/main/java/org/gullsaddle/route/OpenRequests.java
@@ -18,13 +18,13 @@
 
 	private final Map<RequestId, RequestState> states = new LinkedHashMap<>();
 
-	private final PriorityQueue<Timer> timers = new PriorityQueue<>(Comparator.comparingLong(Timer::time));
+	private final PriorityQueue<Timer> timers = new PriorityQueue<>(Comparator.comparingLong(Timer::dueMillis));
 
 	void add(RequestState state) {
 		this.states.put(state.id(), state);
 	}
 
-	RequestState get(RequestId request) {
+	RequestState find(RequestId request) {
 		return this.states.get(request);
 	}
 
@@ -40,13 +40,13 @@
 	 * Returns the request whose outstanding attempt this is, or null for an attempt that
 	 * no longer counts.
 	 */
-	RequestState current(AttemptId attempt) {
+	RequestState findByOutstandingAttempt(AttemptId attempt) {
 		RequestState state = this.states.get(attempt.request());
 		return (state != null && state.isCurrent(attempt)) ? state : null;
 	}
 
-	void accepted(AttemptId attempt) {
-		RequestState state = current(attempt);
+	void onAttemptAccepted(AttemptId attempt) {
+		RequestState state = findByOutstandingAttempt(attempt);
 		if (state != null) {
 			state.reach();
 		}
@@ -55,30 +55,30 @@
 	/**
 	 * Says whether an attempt is known to have reached its agent.
 	 */
-	boolean reached(AttemptId attempt) {
-		RequestState state = current(attempt);
+	boolean hasReachedAgent(AttemptId attempt) {
+		RequestState state = findByOutstandingAttempt(attempt);
 		return state != null && state.reached();
 	}
 
 	/**
 	 * Says whether an agent has an attempt of a content.
 	 */
-	boolean underWay(Fingerprint fingerprint) {
+	boolean hasOutstandingAttempt(Fingerprint fingerprint) {
 		return this.states.values()
 			.stream()
 			.anyMatch((state) -> state.outstanding() != null && state.request().fingerprint().equals(fingerprint));
 	}
 
-	void wake(long time, RequestId request) {
+	void scheduleCheck(long time, RequestId request) {
 		this.timers.add(new Timer(time, request));
 	}
 
 	/**
 	 * Takes out the requests whose time has come.
 	 */
-	List<RequestState> due(long now) {
+	List<RequestState> takeDue(long now) {
 		List<RequestState> due = new ArrayList<>();
-		while (!this.timers.isEmpty() && this.timers.peek().time() <= now) {
+		while (!this.timers.isEmpty() && this.timers.peek().dueMillis() <= now) {
 			RequestState state = this.states.get(this.timers.poll().request());
 			if (state != null) {
 				due.add(state);
@@ -87,7 +87,7 @@
 		return due;
 	}
 
-	private record Timer(long time, RequestId request) {
+	private record Timer(long dueMillis, RequestId request) {
 	}
 
 }
--- a/core/src/main/java/org/gullsaddle/route/OthersLoad.java
+++ b/core/src/main/java/org/gullsaddle/route/PeerLoadEstimate.java
@@ -10,9 +10,9 @@
  * only the part of the others is taken from reports, and smoothed, as its moves are old
  * news.
  */
-final class OthersLoad {
+final class PeerLoadEstimate {
 
-	private static final double SMOOTHING = 0.2;
+	private static final double SMOOTHING_FACTOR = 0.2;
 
 	private double requests;
 
@@ -21,9 +21,9 @@
 	 * @param report what the server says
 	 * @param own how many requests this node has there
 	 */
-	void report(LoadReport report, int own) {
+	void onLoadReport(LoadReport report, int own) {
 		double notOurs = report.running() + report.waiting() - own;
-		this.requests += SMOOTHING * (notOurs - this.requests);
+		this.requests += SMOOTHING_FACTOR * (notOurs - this.requests);
 	}
 
 	/**
--- a/core/src/main/java/org/gullsaddle/route/Plan.java
+++ b/core/src/main/java/org/gullsaddle/route/Plan.java
@@ -10,17 +10,17 @@
  * asked only if the rating misses the bar.
  *
  * @param stages at least one version
- * @param bar the rating that ends the cascade
+ * @param passThreshold the rating that ends the cascade
  * @param reason why this plan, for the trace
  */
-record Plan(List<ModelVersion> stages, double bar, String reason) {
+record Plan(List<ModelVersion> stages, double passThreshold, String reason) {
 
 	Plan {
 		stages = List.copyOf(stages);
 		Check.that(!stages.isEmpty(), "a plan needs a stage");
 	}
 
-	boolean isLast(int stage) {
+	boolean isLastStage(int stage) {
 		return stage == this.stages.size() - 1;
 	}
 
--- a/core/src/main/java/org/gullsaddle/route/Planner.java
+++ b/core/src/main/java/org/gullsaddle/route/Planner.java
@@ -29,11 +29,11 @@
 	/** How far above its target a team's mean is aimed at. */
 	private static final double MARGIN = 0.005;
 
-	private final QualityBook quality;
+	private final QualityTracker quality;
 
 	private final VersionGuard guard;
 
-	Planner(QualityBook quality, VersionGuard guard) {
+	Planner(QualityTracker quality, VersionGuard guard) {
 		this.quality = quality;
 		this.guard = guard;
 	}
@@ -130,14 +130,14 @@
 		double cost = 0;
 		VersionRule before = null;
 		for (VersionRule stage : stages) {
-			QualityBook.Subject subject = subject(template, team, stage, before);
+			QualityTracker.RatingKey subject = subject(template, team, stage, before);
 			cost += reached * cost(stage);
 			if (stage.equals(stages.get(stages.size() - 1))) {
 				expected += reached * this.quality.lowerBound(subject, stage.quality());
 			}
 			else {
-				double pass = this.quality.passShare(subject, stage.quality());
-				expected += reached * pass * this.quality.passMean(subject, stage.quality(), bar);
+				double pass = this.quality.passRatio(subject, stage.quality());
+				expected += reached * pass * this.quality.meanPassingRating(subject, stage.quality(), bar);
 				reached *= 1 - pass;
 			}
 			before = stage;
@@ -156,9 +156,9 @@
 		return Math.max(0, rule.qualityTarget() - BAR_BELOW_TARGET);
 	}
 
-	private static QualityBook.Subject subject(Template template, TeamId team, VersionRule version,
+	private static QualityTracker.RatingKey subject(Template template, TeamId team, VersionRule version,
 			VersionRule before) {
-		return new QualityBook.Subject(template.name(), team, version.version(),
+		return new QualityTracker.RatingKey(template.name(), team, version.version(),
 				(before != null) ? before.version() : null);
 	}
 
--- a/core/src/main/java/org/gullsaddle/route/Gate.java
+++ b/core/src/main/java/org/gullsaddle/route/RequestAdmission.java
@@ -13,11 +13,11 @@
 /**
  * Refuses at once what need not be tried.
  */
-final class Gate {
+final class RequestAdmission {
 
-	private static final long COME_BACK_MILLIS = 1000;
+	private static final long RETRY_AFTER_MILLIS = 1000;
 
-	private static final long CUT_OFF_COME_BACK_MILLIS = 5000;
+	private static final long CUT_OFF_RETRY_AFTER_MILLIS = 5000;
 
 	private final RouterSettings settings;
 
@@ -25,19 +25,19 @@
 
 	private final SuspectBook suspects;
 
-	private final ComeBack comeBack;
+	private final RetryAfterJitter retryAfter;
 
-	private boolean cutOff;
+	private boolean setCutOff;
 
-	Gate(RouterSettings settings, TemplateBook templates, SuspectBook suspects, ComeBack comeBack) {
+	RequestAdmission(RouterSettings settings, TemplateBook templates, SuspectBook suspects, RetryAfterJitter comeBack) {
 		this.settings = settings;
 		this.templates = templates;
 		this.suspects = suspects;
-		this.comeBack = comeBack;
+		this.retryAfter = comeBack;
 	}
 
-	void cutOff(boolean isCutOff) {
-		this.cutOff = isCutOff;
+	void setCutOff(boolean isCutOff) {
+		this.setCutOff = isCutOff;
 	}
 
 	/**
@@ -51,16 +51,16 @@
 			return Optional.of(Refusal.notRun(RefusalReason.NO_TEMPLATE, 0));
 		}
 		if (open >= this.settings.maxOpenRequests()) {
-			return Optional.of(this.comeBack.later(RefusalReason.OVERLOADED, COME_BACK_MILLIS));
+			return Optional.of(this.retryAfter.notRun(RefusalReason.OVERLOADED, RETRY_AFTER_MILLIS));
 		}
-		if (this.cutOff && team.cutOff() == CutOffBehaviour.REFUSE) {
-			return Optional.of(this.comeBack.later(RefusalReason.FORBIDDEN, CUT_OFF_COME_BACK_MILLIS));
+		if (this.setCutOff && team.cutOff() == CutOffBehaviour.REFUSE) {
+			return Optional.of(this.retryAfter.notRun(RefusalReason.FORBIDDEN, CUT_OFF_RETRY_AFTER_MILLIS));
 		}
 		if (this.suspects.convicted(request.fingerprint())) {
 			return Optional.of(Refusal.notRun(RefusalReason.POISON, 0));
 		}
 		if (request.deadline() <= now.millis()) {
-			return Optional.of(this.comeBack.later(RefusalReason.DEADLINE, COME_BACK_MILLIS));
+			return Optional.of(this.retryAfter.notRun(RefusalReason.DEADLINE, RETRY_AFTER_MILLIS));
 		}
 		return Optional.empty();
 	}
--- a/core/src/main/java/org/gullsaddle/route/FinalAnswers.java
+++ b/core/src/main/java/org/gullsaddle/route/RequestFinisher.java
@@ -10,38 +10,38 @@
 /**
  * Gives each request its one final answer, and its record once nothing more will happen.
  */
-final class FinalAnswers {
+final class RequestFinisher {
 
 	static final String SERVED = "served";
 
 	private final RouterSettings settings;
 
-	private final OpenRequests open;
+	private final OpenRequests openRequests;
 
-	private final Outbox outbox;
+	private final ActionBuffer actions;
 
 	private final SpotChecks spotChecks;
 
-	FinalAnswers(RouterSettings settings, OpenRequests open, Outbox outbox, SpotChecks spotChecks) {
+	RequestFinisher(RouterSettings settings, OpenRequests open, ActionBuffer outbox, SpotChecks spotChecks) {
 		this.settings = settings;
-		this.open = open;
-		this.outbox = outbox;
+		this.openRequests = open;
+		this.actions = outbox;
 		this.spotChecks = spotChecks;
 	}
 
 	void complete(Moment now, RequestState state, ModelVersion version, Completion completion, String outcome) {
-		this.outbox.add(new RouterAction.Complete(state.id(), version.toString(), completion, state.cost()));
-		this.outbox.settleClaim(state, version, completion);
+		this.actions.add(new RouterAction.Complete(state.id(), version.toString(), completion, state.cost()));
+		this.actions.completeClaim(state, version, completion);
 		state.answer(outcome, now.stamp(), now.millis());
 		if (state.request().isRepeatable() && !state.wasRated()) {
-			this.spotChecks.consider(state, version, state.received().toString()).ifPresent(this.outbox::add);
+			this.spotChecks.chooseForRating(state, version, state.received().toString()).ifPresent(this.actions::add);
 		}
-		record(state);
+		writeRecord(state);
 	}
 
 	void deliverFallback(Moment now, RequestState state, String outcome) {
 		RequestState.Fallback fallback = state.fallback();
-		this.outbox.add(new RouterAction.Deliver(state.id(), fallback.version(), fallback.text()));
+		this.actions.add(new RouterAction.Deliver(state.id(), fallback.version(), fallback.text()));
 		complete(now, state, fallback.version(), fallback.completion(), outcome);
 	}
 
@@ -53,27 +53,27 @@
 		}
 		Refusal told = new Refusal(refusal.reason(), state.verdict().and(refusal.verdict()),
 				refusal.retryAfterMillis());
-		this.outbox.add(new RouterAction.Refuse(state.id(), told));
-		end(now, state, told.reason().toString());
+		this.actions.add(new RouterAction.Refuse(state.id(), told));
+		finish(now, state, told.reason().toString());
 	}
 
-	void end(Moment now, RequestState state, String outcome) {
+	void finish(Moment now, RequestState state, String outcome) {
 		long recordBy = now.millis() + this.settings.attemptEndTimeoutMillis();
 		state.answer(outcome, now.stamp(), recordBy);
 		if (state.outstanding() == null) {
 			if (state.verdict() == Verdict.NOT_RUN) {
-				this.outbox.releaseClaim(state);
+				this.actions.releaseClaim(state);
 			}
-			record(state);
+			writeRecord(state);
 		}
 		else {
-			this.open.wake(recordBy, state.id());
+			this.openRequests.scheduleCheck(recordBy, state.id());
 		}
 	}
 
-	void record(RequestState state) {
-		this.open.remove(state.id());
-		this.outbox.add(new RouterAction.WriteRecord(state.record()));
+	void writeRecord(RequestState state) {
+		this.openRequests.remove(state.id());
+		this.actions.add(new RouterAction.WriteRecord(state.record()));
 	}
 
 	/**
@@ -84,41 +84,41 @@
 	 * answered first and the node lost then, it would have been served without a trace.
 	 * The answer waits for one write to the ledger, and at most until the deadline.
 	 */
-	void repeat(Moment now, RequestState state, CallOutcome outcome) {
+	void replay(Moment now, RequestState state, CallOutcome outcome) {
 		state.awaitRecord(outcome);
 		state.answer("repeated from " + outcome.request(), now.stamp(), state.request().deadline());
-		this.outbox.add(new RouterAction.WriteRecordBeforeAnswer(state.record()));
+		this.actions.add(new RouterAction.WriteRecordBeforeAnswer(state.record()));
 	}
 
 	/**
 	 * Gives the answer that waited for its record. Its record is written a second time;
 	 * bills count it once.
 	 */
-	void recordKept(RequestState state) {
-		this.outbox.repeat(state, state.repeat().orElseThrow());
-		record(state);
+	void onRecordStored(RequestState state) {
+		this.actions.replay(state, state.repeat().orElseThrow());
+		writeRecord(state);
 	}
 
 	/**
 	 * Ends a request whose answer still waits for its record.
 	 */
-	void abandonRepeat(Moment now, RequestState state, RefusalReason reason) {
+	void abandonReplay(Moment now, RequestState state, RefusalReason reason) {
 		if (reason != RefusalReason.CALLER_GONE) {
-			this.outbox.add(new RouterAction.Refuse(state.id(), new Refusal(reason, Verdict.MAY_HAVE_RUN, 0)));
+			this.actions.add(new RouterAction.Refuse(state.id(), new Refusal(reason, Verdict.MAY_HAVE_RUN, 0)));
 		}
 		state.answer(reason.toString(), now.stamp(), now.millis());
-		record(state);
+		writeRecord(state);
 	}
 
 	/**
 	 * Writes a record that has waited long enough for the end of its last attempt.
 	 */
-	void recordLate(Moment now, RequestState state) {
+	void writeOverdueRecord(Moment now, RequestState state) {
 		if (state.repeat().isPresent()) {
-			abandonRepeat(now, state, RefusalReason.DEADLINE);
+			abandonReplay(now, state, RefusalReason.DEADLINE);
 		}
 		else {
-			record(state);
+			writeRecord(state);
 		}
 	}
 
--- a/core/src/main/java/org/gullsaddle/route/RequestState.java
+++ b/core/src/main/java/org/gullsaddle/route/RequestState.java
@@ -144,9 +144,9 @@
 	/**
 	 * Returns what a rating of the current stage's answer is about.
 	 */
-	QualityBook.Subject subject() {
+	QualityTracker.RatingKey subject() {
 		ModelVersion before = (this.stage > 0) ? this.plan.stages().get(this.stage - 1) : null;
-		return new QualityBook.Subject(this.request.template(), team(), version(), before);
+		return new QualityTracker.RatingKey(this.request.template(), team(), version(), before);
 	}
 
 	/**
@@ -157,7 +157,7 @@
 	}
 
 	boolean lastStage() {
-		return this.plan.isLast(this.stage);
+		return this.plan.isLastStage(this.stage);
 	}
 
 	void nextStage() {
--- a/core/src/main/java/org/gullsaddle/route/ComeBack.java
+++ b/core/src/main/java/org/gullsaddle/route/RetryAfterJitter.java
@@ -9,19 +9,19 @@
  * Says when to come back, spread out, so that callers refused together do not return
  * together.
  */
-final class ComeBack {
+final class RetryAfterJitter {
 
 	private final RandomGenerator random;
 
-	ComeBack(RandomGenerator random) {
+	RetryAfterJitter(RandomGenerator random) {
 		this.random = random;
 	}
 
-	Refusal later(RefusalReason reason, long millis) {
-		return Refusal.notRun(reason, after(millis));
+	Refusal notRun(RefusalReason reason, long millis) {
+		return Refusal.notRun(reason, addJitter(millis));
 	}
 
-	long after(long millis) {
+	long addJitter(long millis) {
 		return millis + this.random.nextLong(millis);
 	}
 
--- a/core/src/main/java/org/gullsaddle/route/Router.java
+++ b/core/src/main/java/org/gullsaddle/route/Router.java
@@ -50,7 +50,7 @@
 
 	private final TemplateBook templates = new TemplateBook();
 
-	private final QualityBook quality = new QualityBook();
+	private final QualityTracker quality = new QualityTracker();
 
 	private final VersionGuard guard = new VersionGuard();
 
@@ -58,11 +58,11 @@
 
 	private final SuspectBook suspects = new SuspectBook();
 
-	private final ComeBack comeBack;
+	private final RetryAfterJitter comeBack;
 
-	private final Gate gate;
+	private final RequestAdmission gate;
 
-	private final FinalAnswers answers;
+	private final RequestFinisher answers;
 
 	private final SpotChecks spotChecks;
 
@@ -72,7 +72,7 @@
 
 	private final OpenRequests open = new OpenRequests();
 
-	private final Outbox outbox = new Outbox();
+	private final ActionBuffer outbox = new ActionBuffer();
 
 	private long noCascadesUntil = Long.MIN_VALUE;
 
@@ -86,10 +86,10 @@
 		this.random = random;
 		this.retries = new RetryBudget(settings.retryBudgetRatio());
 		this.balancer = new Balancer(settings.region(), settings.dataCenter(), random);
-		this.comeBack = new ComeBack(random);
-		this.gate = new Gate(settings, this.templates, this.suspects, this.comeBack);
+		this.comeBack = new RetryAfterJitter(random);
+		this.gate = new RequestAdmission(settings, this.templates, this.suspects, this.comeBack);
 		this.spotChecks = new SpotChecks(this.quality, this.guard, settings.spotCheckRatio(), random);
-		this.answers = new FinalAnswers(settings, this.open, this.outbox, this.spotChecks);
+		this.answers = new RequestFinisher(settings, this.open, this.outbox, this.spotChecks);
 	}
 
 	/**
@@ -115,13 +115,13 @@
 			case RouterEvent.CallerDisconnected gone -> callerGone(now, gone.request());
 			case RouterEvent.TemplateChanged changed -> templateChanged(changed.revision());
 			case RouterEvent.HaltAnnounced learned -> this.guard.learn(learned.halt());
-			case RouterEvent.FreshnessChanged freshness -> this.gate.cutOff(freshness.cutOff());
+			case RouterEvent.FreshnessChanged freshness -> this.gate.setCutOff(freshness.cutOff());
 			case RouterEvent.SuspectAnnounced learned -> learn(learned.suspicion());
-			case RouterEvent.AttemptAccepted accepted -> this.open.accepted(accepted.attempt());
+			case RouterEvent.AttemptAccepted accepted -> this.open.onAttemptAccepted(accepted.attempt());
 			case RouterEvent.RecordStored kept -> recordKept(kept.request());
 			case RouterEvent.Tick tick -> tick(now);
 		}
-		return this.outbox.take();
+		return this.outbox.takeAll();
 	}
 
 	/**
@@ -150,13 +150,13 @@
 			return;
 		}
 		this.retries.earn();
-		this.open.wake(request.deadline(), request.id());
+		this.open.scheduleCheck(request.deadline(), request.id());
 		if (request.isRepeatable()) {
 			choose(now, state);
 			return;
 		}
 		if (plan(now, state).isEmpty()) {
-			this.answers.giveUp(now, state, this.comeBack.later(RefusalReason.NO_VERSION, COME_BACK_MILLIS));
+			this.answers.giveUp(now, state, this.comeBack.notRun(RefusalReason.NO_VERSION, COME_BACK_MILLIS));
 			return;
 		}
 		this.outbox.add(new RouterAction.Claim(request.id(), request.team(), request.idempotencyKey().orElseThrow(),
@@ -164,7 +164,7 @@
 	}
 
 	private void claimAnswered(Moment now, RouterEvent.ClaimCompleted event) {
-		RequestState state = this.open.get(event.request());
+		RequestState state = this.open.find(event.request());
 		if (state == null || state.answered()) {
 			// The caller was told "not run" already; the claim must not stay behind.
 			if (state != null && event.result() instanceof ClaimResult.Granted) {
@@ -178,13 +178,13 @@
 				state.claim();
 				choose(now, state);
 			}
-			case ClaimResult.InUse inUse -> this.answers.giveUp(now, state,
-					new Refusal(RefusalReason.KEY_IN_USE, Verdict.MAY_HAVE_RUN, this.comeBack.after(COME_BACK_MILLIS)));
-			case ClaimResult.Finished finished -> this.answers.repeat(now, state, finished.outcome());
+			case ClaimResult.InUse inUse -> this.answers.giveUp(now, state, new Refusal(RefusalReason.KEY_IN_USE,
+					Verdict.MAY_HAVE_RUN, this.comeBack.addJitter(COME_BACK_MILLIS)));
+			case ClaimResult.Finished finished -> this.answers.replay(now, state, finished.outcome());
 			case ClaimResult.ContentDiffers differs ->
 				this.answers.giveUp(now, state, Refusal.notRun(RefusalReason.KEY_REUSED, 0));
 			case ClaimResult.Unavailable unavailable -> this.answers.giveUp(now, state,
-					this.comeBack.later(RefusalReason.STORE_UNAVAILABLE, STORE_COME_BACK_MILLIS));
+					this.comeBack.notRun(RefusalReason.STORE_UNAVAILABLE, STORE_COME_BACK_MILLIS));
 		}
 	}
 
@@ -192,7 +192,7 @@
 		if (state.request().session().isEmpty()) {
 			Optional<Plan> plan = plan(now, state);
 			if (plan.isEmpty()) {
-				this.answers.giveUp(now, state, this.comeBack.later(RefusalReason.NO_VERSION, COME_BACK_MILLIS));
+				this.answers.giveUp(now, state, this.comeBack.notRun(RefusalReason.NO_VERSION, COME_BACK_MILLIS));
 				return;
 			}
 			state.plan(plan.get(), false);
@@ -211,7 +211,7 @@
 		Optional<Plan> plan = this.planner.planSession(state.template(), state.team(), this.balancer.served(),
 				state.unit());
 		if (plan.isEmpty()) {
-			this.answers.giveUp(now, state, this.comeBack.later(RefusalReason.NO_VERSION, COME_BACK_MILLIS));
+			this.answers.giveUp(now, state, this.comeBack.notRun(RefusalReason.NO_VERSION, COME_BACK_MILLIS));
 			return;
 		}
 		this.outbox.add(new RouterAction.PinSession(state.id(), state.team(), state.request().template(),
@@ -219,7 +219,7 @@
 	}
 
 	private void pinAnswered(Moment now, RouterEvent.PinCompleted event) {
-		RequestState state = this.open.get(event.request());
+		RequestState state = this.open.find(event.request());
 		if (state == null || state.answered() || state.outstanding() != null) {
 			return;
 		}
@@ -228,7 +228,7 @@
 			// another
 			// would change it in mid-session; a caller with a token does not come here.
 			this.answers.giveUp(now, state,
-					this.comeBack.later(RefusalReason.STORE_UNAVAILABLE, STORE_COME_BACK_MILLIS));
+					this.comeBack.notRun(RefusalReason.STORE_UNAVAILABLE, STORE_COME_BACK_MILLIS));
 			return;
 		}
 		refresh(state);
@@ -240,7 +240,7 @@
 			pin(now, state, version);
 		}
 		else {
-			this.answers.giveUp(now, state, this.comeBack.later(RefusalReason.NO_VERSION, COME_BACK_MILLIS));
+			this.answers.giveUp(now, state, this.comeBack.notRun(RefusalReason.NO_VERSION, COME_BACK_MILLIS));
 		}
 	}
 
@@ -265,7 +265,7 @@
 			return;
 		}
 		if (now.millis() >= state.request().deadline()) {
-			this.answers.giveUp(now, state, this.comeBack.later(RefusalReason.DEADLINE, COME_BACK_MILLIS));
+			this.answers.giveUp(now, state, this.comeBack.notRun(RefusalReason.DEADLINE, COME_BACK_MILLIS));
 			return;
 		}
 		IncomingRequest request = state.request();
@@ -273,14 +273,14 @@
 			this.answers.giveUp(now, state, Refusal.notRun(RefusalReason.POISON, 0));
 			return;
 		}
-		if (this.suspects.suspected(request.fingerprint()) && this.open.underWay(request.fingerprint())) {
+		if (this.suspects.suspected(request.fingerprint()) && this.open.hasOutstandingAttempt(request.fingerprint())) {
 			// Two copies, each alone on its backend server, would kill two at once.
-			this.answers.giveUp(now, state, this.comeBack.later(RefusalReason.POISON, COME_BACK_MILLIS));
+			this.answers.giveUp(now, state, this.comeBack.notRun(RefusalReason.POISON, COME_BACK_MILLIS));
 			return;
 		}
 		Optional<NodeId> agent = pick(now, state);
 		if (agent.isEmpty()) {
-			this.answers.giveUp(now, state, this.comeBack.later(
+			this.answers.giveUp(now, state, this.comeBack.notRun(
 					state.tried().isEmpty() ? RefusalReason.NO_VERSION : RefusalReason.OVERLOADED, COME_BACK_MILLIS));
 			return;
 		}
@@ -306,14 +306,14 @@
 	private void planAgain(Moment now, RequestState state) {
 		if (state.delivering()) {
 			// Half of the answer is out; another version would splice on a different one.
-			this.answers.giveUp(now, state, this.comeBack.later(RefusalReason.BACKEND_FAILED, COME_BACK_MILLIS));
+			this.answers.giveUp(now, state, this.comeBack.notRun(RefusalReason.BACKEND_FAILED, COME_BACK_MILLIS));
 		}
 		else if (state.pinned()) {
 			if (state.replacePin()) {
 				pin(now, state, state.version());
 			}
 			else {
-				this.answers.giveUp(now, state, this.comeBack.later(RefusalReason.NO_VERSION, COME_BACK_MILLIS));
+				this.answers.giveUp(now, state, this.comeBack.notRun(RefusalReason.NO_VERSION, COME_BACK_MILLIS));
 			}
 		}
 		else {
@@ -323,7 +323,7 @@
 	}
 
 	private void chunk(Moment now, RouterEvent.AttemptChunk event) {
-		RequestState state = this.open.current(event.attempt());
+		RequestState state = this.open.findByOutstandingAttempt(event.attempt());
 		if (state == null || (state.answered() && state.request().isRepeatable())) {
 			return;
 		}
@@ -352,7 +352,7 @@
 
 	private void done(Moment now, RouterEvent.AttemptDone event) {
 		this.balancer.ended(event.attempt());
-		RequestState state = this.open.current(event.attempt());
+		RequestState state = this.open.findByOutstandingAttempt(event.attempt());
 		if (state == null) {
 			return;
 		}
@@ -370,12 +370,12 @@
 		}
 		if (state.answered()) {
 			if (event.length() == state.received().length()) {
-				this.outbox.settleClaim(state, closed.version(), completion);
+				this.outbox.completeClaim(state, closed.version(), completion);
 			}
-			this.answers.record(state);
+			this.answers.writeRecord(state);
 		}
 		else if (state.lastStage()) {
-			this.answers.complete(now, state, closed.version(), completion, FinalAnswers.SERVED);
+			this.answers.complete(now, state, closed.version(), completion, RequestFinisher.SERVED);
 		}
 		else {
 			rate(now, state, event.attempt(), closed.version(), completion);
@@ -384,15 +384,15 @@
 
 	private void rate(Moment now, RequestState state, AttemptId attempt, ModelVersion version, Completion completion) {
 		state.awaitRating(attempt, completion);
-		this.open.wake(now.millis() + this.settings.ratingTimeoutMillis(), state.id());
+		this.open.scheduleCheck(now.millis() + this.settings.ratingTimeoutMillis(), state.id());
 		this.outbox
 			.add(new RouterAction.RateAnswer(attempt, version, state.request().body(), state.received().toString()));
 	}
 
 	private void rated(Moment now, RouterEvent.AnswerRated event) {
-		RequestState state = this.open.get(event.attempt().request());
+		RequestState state = this.open.find(event.attempt().request());
 		if (state == null || !state.awaitsRating(event.attempt())) {
-			announce(this.spotChecks.rated(event.attempt(), event.score()));
+			announce(this.spotChecks.onRated(event.attempt(), event.score()));
 			return;
 		}
 		judge(now, state, event.score());
@@ -400,11 +400,11 @@
 
 	private void judge(Moment now, RequestState state, OptionalDouble score) {
 		state.ratingDone();
-		double bar = state.plan().bar();
+		double bar = state.plan().passThreshold();
 		ModelVersion version = state.version();
 		if (score.isPresent()) {
 			double expected = state.expectedQuality(version);
-			this.quality.rated(state.subject(), expected, score.getAsDouble(), bar);
+			this.quality.recordRating(state.subject(), expected, score.getAsDouble(), bar);
 			announce(this.guard.rated(state.request().template(), version, expected, score.getAsDouble()));
 		}
 		else {
@@ -412,7 +412,7 @@
 		}
 		state.keepFallback();
 		if (score.isPresent() && score.getAsDouble() >= bar) {
-			this.answers.deliverFallback(now, state, FinalAnswers.SERVED);
+			this.answers.deliverFallback(now, state, RequestFinisher.SERVED);
 			return;
 		}
 		state.nextStage();
@@ -421,7 +421,7 @@
 
 	private void refused(Moment now, RouterEvent.AttemptRefused event) {
 		this.balancer.ended(event.attempt());
-		RequestState state = this.open.current(event.attempt());
+		RequestState state = this.open.findByOutstandingAttempt(event.attempt());
 		if (state == null) {
 			return;
 		}
@@ -433,7 +433,7 @@
 		}
 		if (state.answered()) {
 			this.outbox.releaseClaim(state);
-			this.answers.record(state);
+			this.answers.writeRecord(state);
 		}
 		else if (refusal.reason() != RefusalReason.DEADLINE && mayRetry(state, refusal.reason())) {
 			send(now, state);
@@ -455,7 +455,7 @@
 
 	private void failed(Moment now, RouterEvent.AttemptFailed event) {
 		this.balancer.ended(event.attempt());
-		RequestState state = this.open.current(event.attempt());
+		RequestState state = this.open.findByOutstandingAttempt(event.attempt());
 		if (state == null) {
 			return;
 		}
@@ -474,7 +474,7 @@
 			if (event.verdict() == Verdict.NOT_RUN) {
 				this.outbox.releaseClaim(state);
 			}
-			this.answers.record(state);
+			this.answers.writeRecord(state);
 			return;
 		}
 		if (this.suspects.convicted(state.request().fingerprint())) {
@@ -488,7 +488,7 @@
 			send(now, state);
 		}
 		else {
-			this.answers.giveUp(now, state, this.comeBack.later(RefusalReason.BACKEND_FAILED, COME_BACK_MILLIS));
+			this.answers.giveUp(now, state, this.comeBack.notRun(RefusalReason.BACKEND_FAILED, COME_BACK_MILLIS));
 		}
 	}
 
@@ -530,27 +530,27 @@
 	}
 
 	private void recordKept(RequestId request) {
-		RequestState state = this.open.get(request);
+		RequestState state = this.open.find(request);
 		if (state != null && state.repeat().isPresent()) {
-			this.answers.recordKept(state);
+			this.answers.onRecordStored(state);
 		}
 	}
 
 	private void callerGone(Moment now, RequestId request) {
-		RequestState state = this.open.get(request);
+		RequestState state = this.open.find(request);
 		if (state != null && state.repeat().isPresent()) {
-			this.answers.abandonRepeat(now, state, RefusalReason.CALLER_GONE);
+			this.answers.abandonReplay(now, state, RefusalReason.CALLER_GONE);
 			return;
 		}
 		if (state == null || state.answered()) {
 			return;
 		}
 		this.outbox.cancel(state);
-		this.answers.end(now, state, RefusalReason.CALLER_GONE.toString());
+		this.answers.finish(now, state, RefusalReason.CALLER_GONE.toString());
 	}
 
 	private void tick(Moment now) {
-		for (RequestState state : this.open.due(now.millis())) {
+		for (RequestState state : this.open.takeDue(now.millis())) {
 			expire(now, state);
 		}
 	}
@@ -558,7 +558,7 @@
 	private void expire(Moment now, RequestState state) {
 		if (state.answered()) {
 			if (now.millis() >= state.recordBy()) {
-				this.answers.recordLate(now, state);
+				this.answers.writeOverdueRecord(now, state);
 			}
 		}
 		else if (now.millis() >= state.request().deadline()) {
@@ -568,7 +568,7 @@
 				state.keepFallback();
 			}
 			this.outbox.cancel(state);
-			this.answers.giveUp(now, state, this.comeBack.later(RefusalReason.DEADLINE, COME_BACK_MILLIS));
+			this.answers.giveUp(now, state, this.comeBack.notRun(RefusalReason.DEADLINE, COME_BACK_MILLIS));
 		}
 		else if (state.awaitsRating()) {
 			judge(now, state, OptionalDouble.empty());
--- a/core/src/main/java/org/gullsaddle/route/SpotChecks.java
+++ b/core/src/main/java/org/gullsaddle/route/SpotChecks.java
@@ -17,53 +17,54 @@
  */
 final class SpotChecks {
 
-	private static final int MAX_WAITING = 1000;
+	private static final int MAX_PENDING_CHECKS = 1000;
 
-	private final QualityBook quality;
+	private final QualityTracker quality;
 
-	private final VersionGuard guard;
+	private final VersionGuard versionGuard;
 
-	private final double share;
+	private final double ratio;
 
 	private final RandomGenerator random;
 
-	private final Map<AttemptId, Check> waiting = new LinkedHashMap<>() {
+	private final Map<AttemptId, PendingCheck> pending = new LinkedHashMap<>() {
 		@Override
-		protected boolean removeEldestEntry(Map.Entry<AttemptId, Check> eldest) {
-			return size() > MAX_WAITING;
+		protected boolean removeEldestEntry(Map.Entry<AttemptId, PendingCheck> eldest) {
+			return size() > MAX_PENDING_CHECKS;
 		}
 	};
 
-	SpotChecks(QualityBook quality, VersionGuard guard, double share, RandomGenerator random) {
+	SpotChecks(QualityTracker quality, VersionGuard guard, double share, RandomGenerator random) {
 		this.quality = quality;
-		this.guard = guard;
-		this.share = share;
+		this.versionGuard = guard;
+		this.ratio = share;
 		this.random = random;
 	}
 
-	Optional<RouterAction> consider(RequestState state, ModelVersion version, String answer) {
-		boolean closely = this.guard.closely(state.request().template(), version);
-		if (this.share == 0 || (!closely && this.random.nextDouble() >= this.share)) {
+	Optional<RouterAction> chooseForRating(RequestState state, ModelVersion version, String answer) {
+		boolean closely = this.versionGuard.closely(state.request().template(), version);
+		if (this.ratio == 0 || (!closely && this.random.nextDouble() >= this.ratio)) {
 			return Optional.empty();
 		}
 		AttemptId attempt = new AttemptId(state.id(), state.attempts());
 		double expected = state.expectedQuality(version);
 		double bar = state.template().team(state.team()).map(Planner::bar).orElse(0.0);
-		this.waiting.put(attempt, new Check(state.subject(), expected, bar));
+		this.pending.put(attempt, new PendingCheck(state.subject(), expected, bar));
 		return Optional.of(new RouterAction.RateAnswer(attempt, version, state.request().body(), answer));
 	}
 
-	Optional<Halt> rated(AttemptId attempt, OptionalDouble score) {
-		Check check = this.waiting.remove(attempt);
+	Optional<Halt> onRated(AttemptId attempt, OptionalDouble score) {
+		PendingCheck check = this.pending.remove(attempt);
 		if (check == null || score.isEmpty()) {
 			return Optional.empty();
 		}
-		this.quality.rated(check.subject(), check.expected(), score.getAsDouble(), check.bar());
-		return this.guard.rated(check.subject().template(), check.subject().version(), check.expected(),
-				score.getAsDouble());
+		this.quality.recordRating(check.ratingKey(), check.expectedRating(), score.getAsDouble(),
+				check.passThreshold());
+		return this.versionGuard.rated(check.ratingKey().template(), check.ratingKey().version(),
+				check.expectedRating(), score.getAsDouble());
 	}
 
-	private record Check(QualityBook.Subject subject, double expected, double bar) {
+	private record PendingCheck(QualityTracker.RatingKey ratingKey, double expectedRating, double passThreshold) {
 	}
 
 }
