--- a/core/src/main/java/org/gullsaddle/route/ActionBuffer.java
+++ b/core/src/main/java/org/gullsaddle/route/ActionBuffer.java
@@ -31,10 +31,10 @@
 	void send(RequestState state, NodeId agent, AttemptId attempt, boolean alone) {
 		IncomingRequest request = state.request();
 		TeamRule rule = state.template().team(state.team()).orElseThrow();
-		String resume = state.lastStage() ? state.received().toString() : "";
+		String resume = state.isLastStage() ? state.receivedText().toString() : "";
 		add(new RouterAction.Send(agent,
 				new Dispatch(attempt, state.team(), request.template(), state.revision().revision(), state.version(),
-						state.pinned(), rule.rank(), rule.weight(), request.deadline(), request.isRepeatable(), alone,
+						state.isPinned(), rule.rank(), rule.weight(), request.deadline(), request.isRepeatable(), alone,
 						request.fingerprint(), resume, request.body())));
 	}
 
@@ -52,20 +52,20 @@
 		if (!outcome.text().isEmpty()) {
 			add(new RouterAction.Deliver(state.id(), ModelVersion.of(outcome.servedBy()), outcome.text()));
 		}
-		add(new RouterAction.Complete(state.id(), outcome.servedBy(), outcome.completion(), state.cost()));
+		add(new RouterAction.Complete(state.id(), outcome.servedBy(), outcome.completion(), state.totalCostMicros()));
 	}
 
 	void completeClaim(RequestState state, ModelVersion version, Completion completion) {
-		if (state.claimed()) {
+		if (state.hasClaim()) {
 			CallOutcome outcome = new CallOutcome(state.id(), version.toString(), completion,
-					state.received().toString());
+					state.receivedText().toString());
 			add(new RouterAction.CompleteClaim(state.id(), state.team(), state.request().idempotencyKey().orElseThrow(),
 					outcome));
 		}
 	}
 
 	void releaseClaim(RequestState state) {
-		if (state.claimed()) {
+		if (state.hasClaim()) {
 			add(new RouterAction.ReleaseClaim(state.id(), state.team(),
 					state.request().idempotencyKey().orElseThrow()));
 		}
--- a/core/src/main/java/org/gullsaddle/route/AgentState.java
+++ b/core/src/main/java/org/gullsaddle/route/AgentState.java
@@ -13,7 +13,7 @@
  */
 final class AgentState {
 
-	private final Set<AttemptId> outstanding = new HashSet<>();
+	private final Set<AttemptId> outstandingAttempts = new HashSet<>();
 
 	private AgentInfo info;
 
@@ -21,7 +21,7 @@
 
 	private boolean leaving;
 
-	private final PeerLoadEstimate others = new PeerLoadEstimate();
+	private final PeerLoadEstimate peerLoad = new PeerLoadEstimate();
 
 	private final Ejection ejection = new Ejection();
 
@@ -31,58 +31,58 @@
 
 	void update(AgentInfo newInfo) {
 		this.info = newInfo;
-		report(newInfo.load());
+		onLoadReport(newInfo.load());
 	}
 
-	void report(LoadReport newLoad) {
+	void onLoadReport(LoadReport newLoad) {
 		this.load = newLoad;
-		this.others.onLoadReport(newLoad, this.outstanding.size());
+		this.peerLoad.onLoadReport(newLoad, this.outstandingAttempts.size());
 	}
 
 	AgentInfo info() {
 		return this.info;
 	}
 
-	boolean leaving() {
+	boolean isLeaving() {
 		return this.leaving;
 	}
 
-	void leave() {
+	void markLeaving() {
 		this.leaving = true;
 	}
 
-	void sent(AttemptId attempt) {
-		this.outstanding.add(attempt);
+	void onAttemptSent(AttemptId attempt) {
+		this.outstandingAttempts.add(attempt);
 	}
 
-	void ended(AttemptId attempt) {
-		this.outstanding.remove(attempt);
+	void onAttemptEnded(AttemptId attempt) {
+		this.outstandingAttempts.remove(attempt);
 	}
 
-	Set<AttemptId> outstanding() {
-		return Set.copyOf(this.outstanding);
+	Set<AttemptId> outstandingAttempts() {
+		return Set.copyOf(this.outstandingAttempts);
 	}
 
-	void succeeded() {
+	void recordSuccess() {
 		this.ejection.succeeded();
 	}
 
 	/**
 	 * Notes a failure; true if it is the first since a success.
 	 */
-	boolean failed(long now) {
+	boolean recordFailure(long now) {
 		return this.ejection.failed(now);
 	}
 
-	boolean ejected(long now) {
+	boolean isEjected(long now) {
 		return this.ejection.ejected(now);
 	}
 
 	/**
 	 * Returns how full the backend server is likely to be; 1 is as many as it can run.
 	 */
-	double pressure() {
-		return (this.outstanding.size() + this.others.requests()) / this.load.slots();
+	double loadRatio() {
+		return (this.outstandingAttempts.size() + this.peerLoad.requests()) / this.load.slots();
 	}
 
 }
--- a/core/src/main/java/org/gullsaddle/route/Balancer.java
+++ b/core/src/main/java/org/gullsaddle/route/Balancer.java
@@ -57,14 +57,14 @@
 	void load(NodeId agent, LoadReport load) {
 		AgentState state = this.agents.get(agent);
 		if (state != null) {
-			state.report(load);
+			state.onLoadReport(load);
 		}
 	}
 
 	void leaving(NodeId agent) {
 		AgentState state = this.agents.get(agent);
 		if (state != null) {
-			state.leave();
+			state.markLeaving();
 		}
 	}
 
@@ -76,14 +76,14 @@
 		if (state == null) {
 			return Set.of();
 		}
-		Set<AttemptId> lost = state.outstanding();
+		Set<AttemptId> lost = state.outstandingAttempts();
 		this.running.keySet().removeAll(lost);
 		return lost;
 	}
 
 	void sent(NodeId agent, AttemptId attempt) {
 		AgentState state = this.agents.get(agent);
-		state.sent(attempt);
+		state.onAttemptSent(attempt);
 		this.running.put(attempt, state);
 	}
 
@@ -95,14 +95,14 @@
 	void ended(AttemptId attempt) {
 		AgentState state = this.running.remove(attempt);
 		if (state != null) {
-			state.ended(attempt);
+			state.onAttemptEnded(attempt);
 		}
 	}
 
 	void succeeded(NodeId agent) {
 		AgentState state = this.agents.get(agent);
 		if (state != null) {
-			state.succeeded();
+			state.recordSuccess();
 		}
 	}
 
@@ -113,7 +113,7 @@
 	 */
 	boolean failed(long now, NodeId agent, ModelVersion version) {
 		AgentState state = this.agents.get(agent);
-		boolean first = state != null && state.failed(now);
+		boolean first = state != null && state.recordFailure(now);
 		return first || this.agents.values()
 			.stream()
 			.filter((other) -> other.info().versions().contains(version))
@@ -126,7 +126,7 @@
 	Set<ModelVersion> served() {
 		Set<ModelVersion> versions = new HashSet<>();
 		for (AgentState agent : this.agents.values()) {
-			if (!agent.leaving()) {
+			if (!agent.isLeaving()) {
 				versions.addAll(agent.info().versions());
 			}
 		}
@@ -144,18 +144,18 @@
 	Optional<NodeId> pick(long now, ModelVersion version, long prefixHash, Set<NodeId> tried) {
 		List<AgentState> able = this.agents.values()
 			.stream()
-			.filter((agent) -> !agent.leaving())
+			.filter((agent) -> !agent.isLeaving())
 			.filter((agent) -> agent.info().versions().contains(version))
 			.filter((agent) -> !tried.contains(agent.info().id()))
 			.toList();
-		List<AgentState> sound = able.stream().filter((agent) -> !agent.ejected(now)).toList();
+		List<AgentState> sound = able.stream().filter((agent) -> !agent.isEjected(now)).toList();
 		List<AgentState> near = nearest(sound.isEmpty() ? able : sound);
 		if (near.isEmpty()) {
 			return Optional.empty();
 		}
 		AgentState cached = near.stream().max(Comparator.comparingLong((agent) -> score(agent, prefixHash))).get();
-		double mean = near.stream().mapToDouble(AgentState::pressure).average().orElse(0);
-		if (cached.pressure() <= Math.max(mean, ROOM) && cached.pressure() < 1) {
+		double mean = near.stream().mapToDouble(AgentState::loadRatio).average().orElse(0);
+		if (cached.loadRatio() <= Math.max(mean, ROOM) && cached.loadRatio() < 1) {
 			return Optional.of(cached.info().id());
 		}
 		return Optional.of(emptiest(near).info().id());
@@ -170,7 +170,7 @@
 		AgentState best = agents.get(start);
 		for (int i = 1; i < agents.size(); i++) {
 			AgentState next = agents.get((start + i) % agents.size());
-			if (next.pressure() < best.pressure()) {
+			if (next.loadRatio() < best.loadRatio()) {
 				best = next;
 			}
 		}
@@ -188,7 +188,7 @@
 					ring.add(agent);
 				}
 			}
-			if (ring.stream().anyMatch((agent) -> agent.pressure() < 1)) {
+			if (ring.stream().anyMatch((agent) -> agent.loadRatio() < 1)) {
 				return ring;
 			}
 		}
--- a/core/src/main/java/org/gullsaddle/route/OpenRequests.java
+++ b/core/src/main/java/org/gullsaddle/route/OpenRequests.java
@@ -42,13 +42,13 @@
 	 */
 	RequestState findByOutstandingAttempt(AttemptId attempt) {
 		RequestState state = this.states.get(attempt.request());
-		return (state != null && state.isCurrent(attempt)) ? state : null;
+		return (state != null && state.isOutstanding(attempt)) ? state : null;
 	}
 
 	void onAttemptAccepted(AttemptId attempt) {
 		RequestState state = findByOutstandingAttempt(attempt);
 		if (state != null) {
-			state.reach();
+			state.markReachedAgent();
 		}
 	}
 
@@ -57,7 +57,7 @@
 	 */
 	boolean hasReachedAgent(AttemptId attempt) {
 		RequestState state = findByOutstandingAttempt(attempt);
-		return state != null && state.reached();
+		return state != null && state.hasReachedAgent();
 	}
 
 	/**
--- a/core/src/main/java/org/gullsaddle/route/RequestFinisher.java
+++ b/core/src/main/java/org/gullsaddle/route/RequestFinisher.java
@@ -30,11 +30,13 @@
 	}
 
 	void complete(Moment now, RequestState state, ModelVersion version, Completion completion, String outcome) {
-		this.actions.add(new RouterAction.Complete(state.id(), version.toString(), completion, state.cost()));
+		this.actions
+			.add(new RouterAction.Complete(state.id(), version.toString(), completion, state.totalCostMicros()));
 		this.actions.completeClaim(state, version, completion);
-		state.answer(outcome, now.stamp(), now.millis());
-		if (state.request().isRepeatable() && !state.wasRated()) {
-			this.spotChecks.chooseForRating(state, version, state.received().toString()).ifPresent(this.actions::add);
+		state.markAnswered(outcome, now.stamp(), now.millis());
+		if (state.request().isRepeatable() && !state.isRatedBeforeDelivery()) {
+			this.spotChecks.chooseForRating(state, version, state.receivedText().toString())
+				.ifPresent(this.actions::add);
 		}
 		writeRecord(state);
 	}
@@ -46,7 +48,7 @@
 	}
 
 	void giveUp(Moment now, RequestState state, Refusal refusal) {
-		if (state.fallback() != null && !state.delivering()) {
+		if (state.fallback() != null && !state.isDelivering()) {
 			// An answer that missed the bar, or was not rated, is worth more than none.
 			deliverFallback(now, state, "served-below-target");
 			return;
@@ -59,7 +61,7 @@
 
 	void finish(Moment now, RequestState state, String outcome) {
 		long recordBy = now.millis() + this.settings.attemptEndTimeoutMillis();
-		state.answer(outcome, now.stamp(), recordBy);
+		state.markAnswered(outcome, now.stamp(), recordBy);
 		if (state.outstanding() == null) {
 			if (state.verdict() == Verdict.NOT_RUN) {
 				this.actions.releaseClaim(state);
@@ -73,7 +75,7 @@
 
 	void writeRecord(RequestState state) {
 		this.openRequests.remove(state.id());
-		this.actions.add(new RouterAction.WriteRecord(state.record()));
+		this.actions.add(new RouterAction.WriteRecord(state.toRecord()));
 	}
 
 	/**
@@ -85,9 +87,9 @@
 	 * The answer waits for one write to the ledger, and at most until the deadline.
 	 */
 	void replay(Moment now, RequestState state, CallOutcome outcome) {
-		state.awaitRecord(outcome);
-		state.answer("repeated from " + outcome.request(), now.stamp(), state.request().deadline());
-		this.actions.add(new RouterAction.WriteRecordBeforeAnswer(state.record()));
+		state.replayAfterRecord(outcome);
+		state.markAnswered("repeated from " + outcome.request(), now.stamp(), state.request().deadline());
+		this.actions.add(new RouterAction.WriteRecordBeforeAnswer(state.toRecord()));
 	}
 
 	/**
@@ -95,7 +97,7 @@
 	 * bills count it once.
 	 */
 	void onRecordStored(RequestState state) {
-		this.actions.replay(state, state.repeat().orElseThrow());
+		this.actions.replay(state, state.replayedOutcome().orElseThrow());
 		writeRecord(state);
 	}
 
@@ -106,7 +108,7 @@
 		if (reason != RefusalReason.CALLER_GONE) {
 			this.actions.add(new RouterAction.Refuse(state.id(), new Refusal(reason, Verdict.MAY_HAVE_RUN, 0)));
 		}
-		state.answer(reason.toString(), now.stamp(), now.millis());
+		state.markAnswered(reason.toString(), now.stamp(), now.millis());
 		writeRecord(state);
 	}
 
@@ -114,7 +116,7 @@
 	 * Writes a record that has waited long enough for the end of its last attempt.
 	 */
 	void writeOverdueRecord(Moment now, RequestState state) {
-		if (state.repeat().isPresent()) {
+		if (state.replayedOutcome().isPresent()) {
 			abandonReplay(now, state, RefusalReason.DEADLINE);
 		}
 		else {
--- a/core/src/main/java/org/gullsaddle/route/RequestState.java
+++ b/core/src/main/java/org/gullsaddle/route/RequestState.java
@@ -25,21 +25,21 @@
  */
 final class RequestState {
 
-	private static final double UNKNOWN_QUALITY = 0.5;
+	private static final double DEFAULT_EXPECTED_RATING = 0.5;
 
 	private final IncomingRequest request;
 
-	private final long admitted;
+	private final long admittedStamp;
 
-	private final List<AttemptLine> lines = new ArrayList<>();
+	private final List<AttemptLine> attemptLines = new ArrayList<>();
 
-	private final Set<NodeId> tried = new HashSet<>();
+	private final Set<NodeId> triedAgents = new HashSet<>();
 
-	private final Set<NodeId> failed = new HashSet<>();
+	private final Set<NodeId> failedAgents = new HashSet<>();
 
-	private final StringBuilder received = new StringBuilder();
+	private final StringBuilder receivedText = new StringBuilder();
 
-	private final double unit;
+	private final double spreadUnit;
 
 	private TemplateRevision revision;
 
@@ -47,15 +47,15 @@
 
 	private int stage;
 
-	private int attempts;
+	private int attemptCount;
 
-	private Outstanding outstanding;
+	private OutstandingAttempt outstanding;
 
 	private boolean reached;
 
-	private AttemptId rating;
+	private AttemptId ratingAttempt;
 
-	private Completion rated;
+	private Completion ratedCompletion;
 
 	private Fallback fallback;
 
@@ -71,17 +71,17 @@
 
 	private String outcome;
 
-	private long finished;
+	private long finishedStamp;
 
-	private long recordBy;
+	private long recordDueMillis;
 
-	private CallOutcome repeat;
+	private CallOutcome replayedOutcome;
 
 	RequestState(IncomingRequest request, TemplateRevision revision, double unit, long admitted) {
 		this.request = request;
 		this.revision = revision;
-		this.unit = unit;
-		this.admitted = admitted;
+		this.spreadUnit = unit;
+		this.admittedStamp = admitted;
 	}
 
 	IncomingRequest request() {
@@ -96,8 +96,8 @@
 		return this.request.team();
 	}
 
-	double unit() {
-		return this.unit;
+	double spreadUnit() {
+		return this.spreadUnit;
 	}
 
 	Template template() {
@@ -108,7 +108,7 @@
 		return this.revision;
 	}
 
-	void refresh(TemplateRevision newest) {
+	void updateRevision(TemplateRevision newest) {
 		this.revision = newest;
 	}
 
@@ -116,22 +116,22 @@
 		this.plan = newPlan;
 		this.pinned = fromPin;
 		this.stage = 0;
-		this.tried.clear();
-		this.failed.clear();
+		this.triedAgents.clear();
+		this.failedAgents.clear();
 	}
 
 	Plan plan() {
 		return this.plan;
 	}
 
-	boolean pinned() {
+	boolean isPinned() {
 		return this.pinned;
 	}
 
 	/**
 	 * Marks that the session's version was replaced; true the first time only.
 	 */
-	boolean replacePin() {
+	boolean markPinReplaced() {
 		boolean first = !this.pinReplaced;
 		this.pinReplaced = true;
 		return first;
@@ -144,7 +144,7 @@
 	/**
 	 * Returns what a rating of the current stage's answer is about.
 	 */
-	QualityTracker.RatingKey subject() {
+	QualityTracker.RatingKey ratingKey() {
 		ModelVersion before = (this.stage > 0) ? this.plan.stages().get(this.stage - 1) : null;
 		return new QualityTracker.RatingKey(this.request.template(), team(), version(), before);
 	}
@@ -152,109 +152,110 @@
 	/**
 	 * Returns the mean rating that the operator expects of a version.
 	 */
-	double expectedQuality(ModelVersion version) {
-		return template().rule(version).map(VersionRule::quality).orElse(UNKNOWN_QUALITY);
+	double expectedRating(ModelVersion version) {
+		return template().rule(version).map(VersionRule::quality).orElse(DEFAULT_EXPECTED_RATING);
 	}
 
-	boolean lastStage() {
+	boolean isLastStage() {
 		return this.plan.isLastStage(this.stage);
 	}
 
-	void nextStage() {
+	void advanceStage() {
 		this.stage++;
-		this.tried.clear();
-		this.failed.clear();
-		this.received.setLength(0);
+		this.triedAgents.clear();
+		this.failedAgents.clear();
+		this.receivedText.setLength(0);
 	}
 
-	int attempts() {
-		return this.attempts;
+	int attemptCount() {
+		return this.attemptCount;
 	}
 
-	Set<NodeId> tried() {
-		return this.tried;
+	Set<NodeId> triedAgents() {
+		return this.triedAgents;
 	}
 
 	/**
 	 * Returns the agents where an attempt ran, or may have, and was not completed.
 	 */
-	Set<NodeId> failed() {
-		return this.failed;
+	Set<NodeId> failedAgents() {
+		return this.failedAgents;
 	}
 
-	AttemptId sent(NodeId agent, boolean alone, long stamp) {
-		this.attempts++;
-		AttemptId attempt = new AttemptId(id(), this.attempts);
-		this.outstanding = new Outstanding(attempt, agent, version(), this.revision.revision(), alone, stamp);
-		this.tried.add(agent);
+	AttemptId startAttempt(NodeId agent, boolean alone, long stamp) {
+		this.attemptCount++;
+		AttemptId attempt = new AttemptId(id(), this.attemptCount);
+		this.outstanding = new OutstandingAttempt(attempt, agent, version(), this.revision.revision(), alone, stamp);
+		this.triedAgents.add(agent);
 		this.reached = false;
 		return attempt;
 	}
 
-	Outstanding outstanding() {
+	OutstandingAttempt outstanding() {
 		return this.outstanding;
 	}
 
-	boolean isCurrent(AttemptId attempt) {
+	boolean isOutstanding(AttemptId attempt) {
 		return this.outstanding != null && this.outstanding.attempt().equals(attempt);
 	}
 
 	/**
 	 * Closes the outstanding attempt and keeps its line.
 	 */
-	Outstanding close(Verdict attemptVerdict, String attemptOutcome, Usage usage, long costMicros, long stamp) {
-		Outstanding closed = this.outstanding;
+	OutstandingAttempt closeAttempt(Verdict attemptVerdict, String attemptOutcome, Usage usage, long costMicros,
+			long stamp) {
+		OutstandingAttempt closed = this.outstanding;
 		this.outstanding = null;
 		this.verdict = this.verdict.and(attemptVerdict);
 		if (attemptVerdict != Verdict.NOT_RUN) {
-			this.failed.add(closed.agent());
+			this.failedAgents.add(closed.agent());
 		}
-		this.lines.add(new AttemptLine(closed.attempt(), closed.version(), closed.agent(), closed.revision(),
-				attemptVerdict, attemptOutcome, usage, costMicros, closed.stamp(), stamp));
+		this.attemptLines.add(new AttemptLine(closed.attempt(), closed.version(), closed.agent(), closed.revision(),
+				attemptVerdict, attemptOutcome, usage, costMicros, closed.sentStamp(), stamp));
 		return closed;
 	}
 
-	boolean reached() {
+	boolean hasReachedAgent() {
 		return this.reached;
 	}
 
 	/**
 	 * Notes that the outstanding attempt is at its agent.
 	 */
-	void reach() {
+	void markReachedAgent() {
 		this.reached = true;
 	}
 
-	StringBuilder received() {
-		return this.received;
+	StringBuilder receivedText() {
+		return this.receivedText;
 	}
 
-	boolean delivering() {
+	boolean isDelivering() {
 		return this.delivering;
 	}
 
-	void startDelivery() {
+	void markDelivering() {
 		this.delivering = true;
 	}
 
 	void awaitRating(AttemptId attempt, Completion completion) {
-		this.rating = attempt;
-		this.rated = completion;
+		this.ratingAttempt = attempt;
+		this.ratedCompletion = completion;
 	}
 
-	boolean awaitsRating(AttemptId attempt) {
-		return this.rating != null && this.rating.equals(attempt);
+	boolean isAwaitingRating(AttemptId attempt) {
+		return this.ratingAttempt != null && this.ratingAttempt.equals(attempt);
 	}
 
-	void ratingDone() {
-		this.rating = null;
+	void endRating() {
+		this.ratingAttempt = null;
 	}
 
 	/**
 	 * Keeps the answer of the current stage, in case no later one gives any.
 	 */
-	void keepFallback() {
-		this.fallback = new Fallback(version(), this.received.toString(), this.rated);
+	void saveFallback() {
+		this.fallback = new Fallback(version(), this.receivedText.toString(), this.ratedCompletion);
 	}
 
 	Fallback fallback() {
@@ -264,19 +265,19 @@
 	/**
 	 * Says whether the current stage's answer was rated on its way.
 	 */
-	boolean wasRated() {
-		return !lastStage();
+	boolean isRatedBeforeDelivery() {
+		return !isLastStage();
 	}
 
-	boolean awaitsRating() {
-		return this.rating != null;
+	boolean isAwaitingRating() {
+		return this.ratingAttempt != null;
 	}
 
-	boolean claimed() {
+	boolean hasClaim() {
 		return this.claimed;
 	}
 
-	void claim() {
+	void markClaimed() {
 		this.claimed = true;
 	}
 
@@ -287,40 +288,40 @@
 		return (this.outstanding != null) ? this.verdict.and(Verdict.MAY_HAVE_RUN) : this.verdict;
 	}
 
-	boolean answered() {
+	boolean isAnswered() {
 		return this.outcome != null;
 	}
 
-	void answer(String finalOutcome, long stamp, long recordTime) {
+	void markAnswered(String finalOutcome, long stamp, long recordTime) {
 		this.outcome = finalOutcome;
-		this.finished = stamp;
-		this.recordBy = recordTime;
+		this.finishedStamp = stamp;
+		this.recordDueMillis = recordTime;
 	}
 
 	/**
 	 * Notes an answer of an earlier run that waits for this request's record.
 	 */
-	void awaitRecord(CallOutcome outcomeBefore) {
-		this.repeat = outcomeBefore;
+	void replayAfterRecord(CallOutcome outcomeBefore) {
+		this.replayedOutcome = outcomeBefore;
 	}
 
-	Optional<CallOutcome> repeat() {
-		return Optional.ofNullable(this.repeat);
+	Optional<CallOutcome> replayedOutcome() {
+		return Optional.ofNullable(this.replayedOutcome);
 	}
 
-	long recordBy() {
-		return this.recordBy;
+	long recordDueMillis() {
+		return this.recordDueMillis;
 	}
 
-	long cost() {
-		return this.lines.stream().mapToLong(AttemptLine::costMicros).sum();
+	long totalCostMicros() {
+		return this.attemptLines.stream().mapToLong(AttemptLine::costMicros).sum();
 	}
 
-	RequestRecord record() {
+	RequestRecord toRecord() {
 		String session = this.request.session().map(Object::toString).orElse(null);
-		return new RequestRecord(id(), team(), this.request.template(), session, this.admitted,
-				(this.plan != null) ? this.plan.reason() + ", over " + this.plan.stages() : "none", this.lines,
-				verdict(), this.outcome, cost(), this.finished);
+		return new RequestRecord(id(), team(), this.request.template(), session, this.admittedStamp,
+				(this.plan != null) ? this.plan.reason() + ", over " + this.plan.stages() : "none", this.attemptLines,
+				verdict(), this.outcome, totalCostMicros(), this.finishedStamp);
 	}
 
 	/**
@@ -332,8 +333,8 @@
 	/**
 	 * The attempt that an agent has.
 	 */
-	record Outstanding(AttemptId attempt, NodeId agent, ModelVersion version, long revision, boolean alone,
-			long stamp) {
+	record OutstandingAttempt(AttemptId attempt, NodeId agent, ModelVersion version, long revision, boolean alone,
+			long sentStamp) {
 	}
 
 }
--- a/core/src/main/java/org/gullsaddle/route/Router.java
+++ b/core/src/main/java/org/gullsaddle/route/Router.java
@@ -165,17 +165,17 @@
 
 	private void claimAnswered(Moment now, RouterEvent.ClaimCompleted event) {
 		RequestState state = this.open.find(event.request());
-		if (state == null || state.answered()) {
+		if (state == null || state.isAnswered()) {
 			// The caller was told "not run" already; the claim must not stay behind.
 			if (state != null && event.result() instanceof ClaimResult.Granted) {
-				state.claim();
+				state.markClaimed();
 				this.outbox.releaseClaim(state);
 			}
 			return;
 		}
 		switch (event.result()) {
 			case ClaimResult.Granted granted -> {
-				state.claim();
+				state.markClaimed();
 				choose(now, state);
 			}
 			case ClaimResult.InUse inUse -> this.answers.giveUp(now, state, new Refusal(RefusalReason.KEY_IN_USE,
@@ -209,7 +209,7 @@
 
 	private void pin(Moment now, RequestState state, ModelVersion replacing) {
 		Optional<Plan> plan = this.planner.planSession(state.template(), state.team(), this.balancer.served(),
-				state.unit());
+				state.spreadUnit());
 		if (plan.isEmpty()) {
 			this.answers.giveUp(now, state, this.comeBack.notRun(RefusalReason.NO_VERSION, COME_BACK_MILLIS));
 			return;
@@ -220,7 +220,7 @@
 
 	private void pinAnswered(Moment now, RouterEvent.PinCompleted event) {
 		RequestState state = this.open.find(event.request());
-		if (state == null || state.answered() || state.outstanding() != null) {
+		if (state == null || state.isAnswered() || state.outstanding() != null) {
 			return;
 		}
 		if (event.version().isEmpty()) {
@@ -236,7 +236,7 @@
 		if (state.template().allows(state.team(), version, true)) {
 			runPinned(now, state, version);
 		}
-		else if (state.replacePin()) {
+		else if (state.markPinReplaced()) {
 			pin(now, state, version);
 		}
 		else {
@@ -251,7 +251,7 @@
 
 	private Optional<Plan> plan(Moment now, RequestState state) {
 		boolean cascades = now.millis() >= this.noCascadesUntil;
-		return this.planner.plan(state.template(), state.team(), this.balancer.served(), state.unit(), cascades,
+		return this.planner.plan(state.template(), state.team(), this.balancer.served(), state.spreadUnit(), cascades,
 				this.random.nextDouble());
 	}
 
@@ -260,7 +260,7 @@
 	 */
 	private void send(Moment now, RequestState state) {
 		refresh(state);
-		if (!state.template().allows(state.team(), state.version(), state.pinned())) {
+		if (!state.template().allows(state.team(), state.version(), state.isPinned())) {
 			planAgain(now, state);
 			return;
 		}
@@ -280,12 +280,14 @@
 		}
 		Optional<NodeId> agent = pick(now, state);
 		if (agent.isEmpty()) {
-			this.answers.giveUp(now, state, this.comeBack.notRun(
-					state.tried().isEmpty() ? RefusalReason.NO_VERSION : RefusalReason.OVERLOADED, COME_BACK_MILLIS));
+			this.answers.giveUp(now, state,
+					this.comeBack.notRun(
+							state.triedAgents().isEmpty() ? RefusalReason.NO_VERSION : RefusalReason.OVERLOADED,
+							COME_BACK_MILLIS));
 			return;
 		}
 		boolean alone = this.suspects.suspected(request.fingerprint());
-		AttemptId attempt = state.sent(agent.get(), alone, now.stamp());
+		AttemptId attempt = state.startAttempt(agent.get(), alone, now.stamp());
 		this.balancer.sent(agent.get(), attempt);
 		this.outbox.send(state, agent.get(), attempt, alone);
 	}
@@ -296,20 +298,20 @@
 	 */
 	private Optional<NodeId> pick(Moment now, RequestState state) {
 		long prefix = state.request().prefixHash();
-		Optional<NodeId> agent = this.balancer.pick(now.millis(), state.version(), prefix, state.tried());
-		if (agent.isEmpty() && state.delivering()) {
-			agent = this.balancer.pick(now.millis(), state.version(), prefix, state.failed());
+		Optional<NodeId> agent = this.balancer.pick(now.millis(), state.version(), prefix, state.triedAgents());
+		if (agent.isEmpty() && state.isDelivering()) {
+			agent = this.balancer.pick(now.millis(), state.version(), prefix, state.failedAgents());
 		}
 		return agent;
 	}
 
 	private void planAgain(Moment now, RequestState state) {
-		if (state.delivering()) {
+		if (state.isDelivering()) {
 			// Half of the answer is out; another version would splice on a different one.
 			this.answers.giveUp(now, state, this.comeBack.notRun(RefusalReason.BACKEND_FAILED, COME_BACK_MILLIS));
 		}
-		else if (state.pinned()) {
-			if (state.replacePin()) {
+		else if (state.isPinned()) {
+			if (state.markPinReplaced()) {
 				pin(now, state, state.version());
 			}
 			else {
@@ -317,35 +319,35 @@
 			}
 		}
 		else {
-			state.received().setLength(0);
+			state.receivedText().setLength(0);
 			choose(now, state);
 		}
 	}
 
 	private void chunk(Moment now, RouterEvent.AttemptChunk event) {
 		RequestState state = this.open.findByOutstandingAttempt(event.attempt());
-		if (state == null || (state.answered() && state.request().isRepeatable())) {
+		if (state == null || (state.isAnswered() && state.request().isRepeatable())) {
 			return;
 		}
-		if (event.offset() < state.received().length()) {
+		if (event.offset() < state.receivedText().length()) {
 			return;
 		}
-		if (event.offset() > state.received().length()) {
+		if (event.offset() > state.receivedText().length()) {
 			// A part is missing: what follows would be spliced to the wrong place.
 			broken(now, state);
 			return;
 		}
-		if (state.received().length() + event.text().length() > this.settings.maxAnswerLength()) {
-			if (state.answered()) {
+		if (state.receivedText().length() + event.text().length() > this.settings.maxAnswerLength()) {
+			if (state.isAnswered()) {
 				return;
 			}
 			this.outbox.cancel(state);
 			this.answers.giveUp(now, state, Refusal.notRun(RefusalReason.TOO_LARGE, 0));
 			return;
 		}
-		state.received().append(event.text());
-		if (state.lastStage() && !state.answered()) {
-			state.startDelivery();
+		state.receivedText().append(event.text());
+		if (state.isLastStage() && !state.isAnswered()) {
+			state.markDelivering();
 			this.outbox.add(new RouterAction.Deliver(state.id(), state.version(), event.text()));
 		}
 	}
@@ -356,25 +358,26 @@
 		if (state == null) {
 			return;
 		}
-		if (!state.answered() && event.length() != state.received().length()) {
+		if (!state.isAnswered() && event.length() != state.receivedText().length()) {
 			broken(now, state);
 			return;
 		}
 		Completion completion = event.completion();
 		long cost = cost(state, completion.usage());
-		RequestState.Outstanding closed = state.close(Verdict.RAN, "done", completion.usage(), cost, now.stamp());
+		RequestState.OutstandingAttempt closed = state.closeAttempt(Verdict.RAN, "done", completion.usage(), cost,
+				now.stamp());
 		this.balancer.succeeded(closed.agent());
 		announce(this.guard.ended(state.request().template(), closed.version(), false));
 		if (closed.alone()) {
 			this.suspects.clear(state.request().fingerprint());
 		}
-		if (state.answered()) {
-			if (event.length() == state.received().length()) {
+		if (state.isAnswered()) {
+			if (event.length() == state.receivedText().length()) {
 				this.outbox.completeClaim(state, closed.version(), completion);
 			}
 			this.answers.writeRecord(state);
 		}
-		else if (state.lastStage()) {
+		else if (state.isLastStage()) {
 			this.answers.complete(now, state, closed.version(), completion, RequestFinisher.SERVED);
 		}
 		else {
@@ -385,13 +388,13 @@
 	private void rate(Moment now, RequestState state, AttemptId attempt, ModelVersion version, Completion completion) {
 		state.awaitRating(attempt, completion);
 		this.open.scheduleCheck(now.millis() + this.settings.ratingTimeoutMillis(), state.id());
-		this.outbox
-			.add(new RouterAction.RateAnswer(attempt, version, state.request().body(), state.received().toString()));
+		this.outbox.add(
+				new RouterAction.RateAnswer(attempt, version, state.request().body(), state.receivedText().toString()));
 	}
 
 	private void rated(Moment now, RouterEvent.AnswerRated event) {
 		RequestState state = this.open.find(event.attempt().request());
-		if (state == null || !state.awaitsRating(event.attempt())) {
+		if (state == null || !state.isAwaitingRating(event.attempt())) {
 			announce(this.spotChecks.onRated(event.attempt(), event.score()));
 			return;
 		}
@@ -399,23 +402,23 @@
 	}
 
 	private void judge(Moment now, RequestState state, OptionalDouble score) {
-		state.ratingDone();
+		state.endRating();
 		double bar = state.plan().passThreshold();
 		ModelVersion version = state.version();
 		if (score.isPresent()) {
-			double expected = state.expectedQuality(version);
-			this.quality.recordRating(state.subject(), expected, score.getAsDouble(), bar);
+			double expected = state.expectedRating(version);
+			this.quality.recordRating(state.ratingKey(), expected, score.getAsDouble(), bar);
 			announce(this.guard.rated(state.request().template(), version, expected, score.getAsDouble()));
 		}
 		else {
 			this.noCascadesUntil = now.millis() + RATER_PAUSE_MILLIS;
 		}
-		state.keepFallback();
+		state.saveFallback();
 		if (score.isPresent() && score.getAsDouble() >= bar) {
 			this.answers.deliverFallback(now, state, RequestFinisher.SERVED);
 			return;
 		}
-		state.nextStage();
+		state.advanceStage();
 		send(now, state);
 	}
 
@@ -426,12 +429,12 @@
 			return;
 		}
 		Refusal refusal = event.refusal();
-		RequestState.Outstanding closed = state.close(Verdict.NOT_RUN, refusal.reason().toString(), Usage.NONE, 0,
-				now.stamp());
+		RequestState.OutstandingAttempt closed = state.closeAttempt(Verdict.NOT_RUN, refusal.reason().toString(),
+				Usage.NONE, 0, now.stamp());
 		if (refusal.reason() == RefusalReason.LEAVING || refusal.reason() == RefusalReason.STOPPING) {
 			this.balancer.leaving(closed.agent());
 		}
-		if (state.answered()) {
+		if (state.isAnswered()) {
 			this.outbox.releaseClaim(state);
 			this.answers.writeRecord(state);
 		}
@@ -444,7 +447,7 @@
 	}
 
 	private boolean mayRetry(RequestState state, RefusalReason reason) {
-		if (state.attempts() >= this.settings.maxAttempts()) {
+		if (state.attemptCount() >= this.settings.maxAttempts()) {
 			return false;
 		}
 		return switch (reason) {
@@ -459,10 +462,10 @@
 		if (state == null) {
 			return;
 		}
-		long cost = (state.answered() && !event.crashed()) ? cost(state, event.usage()) : 0;
-		RequestState.Outstanding closed = state.close(event.verdict(),
+		long cost = (state.isAnswered() && !event.crashed()) ? cost(state, event.usage()) : 0;
+		RequestState.OutstandingAttempt closed = state.closeAttempt(event.verdict(),
 				event.crashed() ? "backend-crashed" : "backend-failed", event.usage(), cost, now.stamp());
-		if (!state.answered() && event.verdict() != Verdict.NOT_RUN
+		if (!state.isAnswered() && event.verdict() != Verdict.NOT_RUN
 				&& this.balancer.failed(now.millis(), closed.agent(), closed.version())) {
 			announce(this.guard.ended(state.request().template(), closed.version(), true));
 		}
@@ -470,7 +473,7 @@
 			this.outbox.add(new RouterAction.AnnounceSuspect(
 					this.suspects.crashed(state.request().fingerprint(), event.attempt(), closed.alone())));
 		}
-		if (state.answered()) {
+		if (state.isAnswered()) {
 			if (event.verdict() == Verdict.NOT_RUN) {
 				this.outbox.releaseClaim(state);
 			}
@@ -482,8 +485,8 @@
 		}
 		else if ((state.request().isRepeatable() || event.verdict() == Verdict.NOT_RUN)
 				&& mayRetry(state, RefusalReason.BACKEND_FAILED)) {
-			if (!state.delivering()) {
-				state.received().setLength(0);
+			if (!state.isDelivering()) {
+				state.receivedText().setLength(0);
 			}
 			send(now, state);
 		}
@@ -496,7 +499,7 @@
 	 * Treats the current attempt's answer as broken off, and has its agent stop it.
 	 */
 	private void broken(Moment now, RequestState state) {
-		if (state.answered()) {
+		if (state.isAnswered()) {
 			return;
 		}
 		AttemptId attempt = state.outstanding().attempt();
@@ -531,18 +534,18 @@
 
 	private void recordKept(RequestId request) {
 		RequestState state = this.open.find(request);
-		if (state != null && state.repeat().isPresent()) {
+		if (state != null && state.replayedOutcome().isPresent()) {
 			this.answers.onRecordStored(state);
 		}
 	}
 
 	private void callerGone(Moment now, RequestId request) {
 		RequestState state = this.open.find(request);
-		if (state != null && state.repeat().isPresent()) {
+		if (state != null && state.replayedOutcome().isPresent()) {
 			this.answers.abandonReplay(now, state, RefusalReason.CALLER_GONE);
 			return;
 		}
-		if (state == null || state.answered()) {
+		if (state == null || state.isAnswered()) {
 			return;
 		}
 		this.outbox.cancel(state);
@@ -556,21 +559,21 @@
 	}
 
 	private void expire(Moment now, RequestState state) {
-		if (state.answered()) {
-			if (now.millis() >= state.recordBy()) {
+		if (state.isAnswered()) {
+			if (now.millis() >= state.recordDueMillis()) {
 				this.answers.writeOverdueRecord(now, state);
 			}
 		}
 		else if (now.millis() >= state.request().deadline()) {
-			if (state.awaitsRating()) {
+			if (state.isAwaitingRating()) {
 				// An unrated answer in time is worth more to the caller than none.
-				state.ratingDone();
-				state.keepFallback();
+				state.endRating();
+				state.saveFallback();
 			}
 			this.outbox.cancel(state);
 			this.answers.giveUp(now, state, this.comeBack.notRun(RefusalReason.DEADLINE, COME_BACK_MILLIS));
 		}
-		else if (state.awaitsRating()) {
+		else if (state.isAwaitingRating()) {
 			judge(now, state, OptionalDouble.empty());
 		}
 	}
@@ -578,7 +581,7 @@
 	private void refresh(RequestState state) {
 		this.templates.get(state.request().template())
 			.filter((newest) -> newest.template().team(state.team()).isPresent())
-			.ifPresent(state::refresh);
+			.ifPresent(state::updateRevision);
 	}
 
 	private long cost(RequestState state, Usage usage) {
--- a/core/src/main/java/org/gullsaddle/route/SpotChecks.java
+++ b/core/src/main/java/org/gullsaddle/route/SpotChecks.java
@@ -46,10 +46,10 @@
 		if (this.ratio == 0 || (!closely && this.random.nextDouble() >= this.ratio)) {
 			return Optional.empty();
 		}
-		AttemptId attempt = new AttemptId(state.id(), state.attempts());
-		double expected = state.expectedQuality(version);
+		AttemptId attempt = new AttemptId(state.id(), state.attemptCount());
+		double expected = state.expectedRating(version);
 		double bar = state.template().team(state.team()).map(Planner::bar).orElse(0.0);
-		this.pending.put(attempt, new PendingCheck(state.subject(), expected, bar));
+		this.pending.put(attempt, new PendingCheck(state.ratingKey(), expected, bar));
 		return Optional.of(new RouterAction.RateAnswer(attempt, version, state.request().body(), answer));
 	}
 
