--- a/core/src/main/java/org/gullsaddle/route/Balancer.java
+++ b/core/src/main/java/org/gullsaddle/route/LoadBalancer.java
@@ -23,14 +23,14 @@
  * Knows the agents and picks one for an attempt: near before far, the one that likely has
  * the prompt's prefix cached while that has room, otherwise the emptiest.
  */
-final class Balancer {
+final class LoadBalancer {
 
 	/** Up to where a backend server is sure to have room, whatever the others send it. */
-	private static final double ROOM = 0.5;
+	private static final double SAFE_LOAD_RATIO = 0.5;
 
 	private final Map<NodeId, AgentState> agents = new TreeMap<>();
 
-	private final Map<AttemptId, AgentState> running = new HashMap<>();
+	private final Map<AttemptId, AgentState> agentsByAttempt = new HashMap<>();
 
 	private final String region;
 
@@ -38,13 +38,13 @@
 
 	private final RandomGenerator random;
 
-	Balancer(String region, String dataCenter, RandomGenerator random) {
+	LoadBalancer(String region, String dataCenter, RandomGenerator random) {
 		this.region = region;
 		this.dataCenter = dataCenter;
 		this.random = random;
 	}
 
-	void up(AgentInfo info) {
+	void onAgentUp(AgentInfo info) {
 		AgentState known = this.agents.get(info.id());
 		if (known != null) {
 			known.update(info);
@@ -54,14 +54,14 @@
 		}
 	}
 
-	void load(NodeId agent, LoadReport load) {
+	void onLoadReport(NodeId agent, LoadReport load) {
 		AgentState state = this.agents.get(agent);
 		if (state != null) {
 			state.onLoadReport(load);
 		}
 	}
 
-	void leaving(NodeId agent) {
+	void onAgentLeaving(NodeId agent) {
 		AgentState state = this.agents.get(agent);
 		if (state != null) {
 			state.markLeaving();
@@ -71,20 +71,20 @@
 	/**
 	 * Forgets an agent and returns the attempts that were lost with it.
 	 */
-	Set<AttemptId> down(NodeId agent) {
+	Set<AttemptId> onAgentDown(NodeId agent) {
 		AgentState state = this.agents.remove(agent);
 		if (state == null) {
 			return Set.of();
 		}
 		Set<AttemptId> lost = state.outstandingAttempts();
-		this.running.keySet().removeAll(lost);
+		this.agentsByAttempt.keySet().removeAll(lost);
 		return lost;
 	}
 
-	void sent(NodeId agent, AttemptId attempt) {
+	void onAttemptSent(NodeId agent, AttemptId attempt) {
 		AgentState state = this.agents.get(agent);
 		state.onAttemptSent(attempt);
-		this.running.put(attempt, state);
+		this.agentsByAttempt.put(attempt, state);
 	}
 
 	/**
@@ -92,14 +92,14 @@
 	 * out, it would count as running for ever, and its server would get less work after
 	 * each.
 	 */
-	void ended(AttemptId attempt) {
-		AgentState state = this.running.remove(attempt);
+	void onAttemptEnded(AttemptId attempt) {
+		AgentState state = this.agentsByAttempt.remove(attempt);
 		if (state != null) {
 			state.onAttemptEnded(attempt);
 		}
 	}
 
-	void succeeded(NodeId agent) {
+	void recordSuccess(NodeId agent) {
 		AgentState state = this.agents.get(agent);
 		if (state != null) {
 			state.recordSuccess();
@@ -111,7 +111,7 @@
 	 * @return true if that tells against the version too: the first failure of this agent
 	 * since a success, or one of the only agent that serves the version
 	 */
-	boolean failed(long now, NodeId agent, ModelVersion version) {
+	boolean recordFailure(long now, NodeId agent, ModelVersion version) {
 		AgentState state = this.agents.get(agent);
 		boolean first = state != null && state.recordFailure(now);
 		return first || this.agents.values()
@@ -123,7 +123,7 @@
 	/**
 	 * Returns the versions that an agent serves which is not leaving.
 	 */
-	Set<ModelVersion> served() {
+	Set<ModelVersion> servedVersions() {
 		Set<ModelVersion> versions = new HashSet<>();
 		for (AgentState agent : this.agents.values()) {
 			if (!agent.isLeaving()) {
@@ -141,7 +141,7 @@
 	 * @param tried agents that refused or failed the request already
 	 * @return the agent, or empty if none is left
 	 */
-	Optional<NodeId> pick(long now, ModelVersion version, long prefixHash, Set<NodeId> tried) {
+	Optional<NodeId> chooseAgent(long now, ModelVersion version, long prefixHash, Set<NodeId> tried) {
 		List<AgentState> able = this.agents.values()
 			.stream()
 			.filter((agent) -> !agent.isLeaving())
@@ -149,23 +149,25 @@
 			.filter((agent) -> !tried.contains(agent.info().id()))
 			.toList();
 		List<AgentState> sound = able.stream().filter((agent) -> !agent.isEjected(now)).toList();
-		List<AgentState> near = nearest(sound.isEmpty() ? able : sound);
+		List<AgentState> near = nearestWithCapacity(sound.isEmpty() ? able : sound);
 		if (near.isEmpty()) {
 			return Optional.empty();
 		}
-		AgentState cached = near.stream().max(Comparator.comparingLong((agent) -> score(agent, prefixHash))).get();
+		AgentState cached = near.stream()
+			.max(Comparator.comparingLong((agent) -> rendezvousScore(agent, prefixHash)))
+			.get();
 		double mean = near.stream().mapToDouble(AgentState::loadRatio).average().orElse(0);
-		if (cached.loadRatio() <= Math.max(mean, ROOM) && cached.loadRatio() < 1) {
+		if (cached.loadRatio() <= Math.max(mean, SAFE_LOAD_RATIO) && cached.loadRatio() < 1) {
 			return Optional.of(cached.info().id());
 		}
-		return Optional.of(emptiest(near).info().id());
+		return Optional.of(leastLoaded(near).info().id());
 	}
 
 	/**
 	 * Picks the emptiest of all, beginning anywhere, so that entries that see the same do
 	 * not all take the first of the emptiest.
 	 */
-	private AgentState emptiest(List<AgentState> agents) {
+	private AgentState leastLoaded(List<AgentState> agents) {
 		int start = this.random.nextInt(agents.size());
 		AgentState best = agents.get(start);
 		for (int i = 1; i < agents.size(); i++) {
@@ -180,7 +182,7 @@
 	/**
 	 * Returns the agents of the nearest ring that has room, or all if none has.
 	 */
-	private List<AgentState> nearest(List<AgentState> able) {
+	private List<AgentState> nearestWithCapacity(List<AgentState> able) {
 		List<AgentState> ring = new ArrayList<>();
 		for (int distance = 0; distance <= 2; distance++) {
 			for (AgentState agent : able) {
@@ -202,7 +204,7 @@
 		return agent.info().dataCenter().equals(this.dataCenter) ? 0 : 1;
 	}
 
-	private static long score(AgentState agent, long prefixHash) {
+	private static long rendezvousScore(AgentState agent, long prefixHash) {
 		return Hashing.komihash5_0().hashStream().putString(agent.info().id().value()).putLong(prefixHash).getAsLong();
 	}
 
--- a/core/src/main/java/org/gullsaddle/route/Planner.java
+++ b/core/src/main/java/org/gullsaddle/route/Planner.java
@@ -22,20 +22,20 @@
 final class Planner {
 
 	/** The usage that plans are compared by. */
-	private static final Usage TYPICAL = new Usage(500, 300);
+	private static final Usage TYPICAL_USAGE = new Usage(500, 300);
 
-	private static final double BAR_BELOW_TARGET = 0.15;
+	private static final double PASS_THRESHOLD_BELOW_TARGET = 0.15;
 
 	/** How far above its target a team's mean is aimed at. */
-	private static final double MARGIN = 0.005;
+	private static final double TARGET_MARGIN = 0.005;
 
 	private final QualityTracker quality;
 
-	private final VersionGuard guard;
+	private final VersionGuard versionGuard;
 
 	Planner(QualityTracker quality, VersionGuard guard) {
 		this.quality = quality;
-		this.guard = guard;
+		this.versionGuard = guard;
 	}
 
 	/**
@@ -55,29 +55,30 @@
 			return Optional.empty();
 		}
 		Set<ModelVersion> good = new HashSet<>(served);
-		good.removeAll(this.guard.halted(template.name()));
-		List<VersionRule> candidates = candidates(template, team, good, unit);
+		good.removeAll(this.versionGuard.halted(template.name()));
+		List<VersionRule> candidates = candidateVersions(template, team, good, unit);
 		if (candidates.isEmpty()) {
 			// With nothing else left, a doubtful answer is worth more than none.
-			candidates = candidates(template, team, served, unit);
+			candidates = candidateVersions(template, team, served, unit);
 		}
 		List<Option> options = new ArrayList<>();
 		for (VersionRule version : candidates) {
-			options.add(direct(template, team, rule, version));
+			options.add(directOption(template, team, rule, version));
 		}
 		if (cascades && template.kind() == TemplateKind.CHAT) {
-			candidates.sort(Comparator.comparingDouble(Planner::cost));
+			candidates.sort(Comparator.comparingDouble(Planner::typicalCostMicros));
 			for (int first = 0; first < candidates.size(); first++) {
 				for (int second = first + 1; second < candidates.size(); second++) {
-					options.add(cascade(template, team, rule, List.of(candidates.get(first), candidates.get(second))));
+					options.add(cascadeOption(template, team, rule,
+							List.of(candidates.get(first), candidates.get(second))));
 					for (int third = second + 1; third < candidates.size(); third++) {
-						options.add(cascade(template, team, rule,
+						options.add(cascadeOption(template, team, rule,
 								List.of(candidates.get(first), candidates.get(second), candidates.get(third))));
 					}
 				}
 			}
 		}
-		return best(options, rule.qualityTarget(), dice).map(Option::plan);
+		return chooseOption(options, rule.qualityTarget(), dice).map(Option::plan);
 	}
 
 	/**
@@ -92,46 +93,47 @@
 	 * requests a cheaper one that alone would miss the target, so that the mean just
 	 * meets it.
 	 */
-	private static Optional<Option> best(List<Option> options, double target, double dice) {
-		double aim = target + MARGIN;
+	private static Optional<Option> chooseOption(List<Option> options, double target, double dice) {
+		double aim = target + TARGET_MARGIN;
 		Option chosen = null;
 		double least = Double.MAX_VALUE;
 		for (Option good : options) {
-			if (good.quality() < aim) {
+			if (good.expectedQuality() < aim) {
 				continue;
 			}
-			if (good.cost() < least) {
-				least = good.cost();
+			if (good.costMicros() < least) {
+				least = good.costMicros();
 				chosen = good;
 			}
 			for (Option cheap : options) {
-				double part = (good.quality() - aim) / (good.quality() - cheap.quality());
-				double mixed = part * cheap.cost() + (1 - part) * good.cost();
-				if (cheap.quality() < aim && cheap.cost() < good.cost() && mixed < least) {
+				double part = (good.expectedQuality() - aim) / (good.expectedQuality() - cheap.expectedQuality());
+				double mixed = part * cheap.costMicros() + (1 - part) * good.costMicros();
+				if (cheap.expectedQuality() < aim && cheap.costMicros() < good.costMicros() && mixed < least) {
 					least = mixed;
 					chosen = (dice < part) ? cheap : good;
 				}
 			}
 		}
 		return (chosen != null) ? Optional.of(chosen)
-				: options.stream().max(Comparator.comparingDouble(Option::quality));
+				: options.stream().max(Comparator.comparingDouble(Option::expectedQuality));
 	}
 
-	private Option direct(Template template, TeamId team, TeamRule rule, VersionRule version) {
-		double bound = this.quality.lowerBound(subject(template, team, version, null), version.quality());
+	private Option directOption(Template template, TeamId team, TeamRule rule, VersionRule version) {
+		double bound = this.quality.lowerBound(ratingKey(template, team, version, null), version.quality());
 		String reason = "direct, expected quality " + round(bound) + " for target " + round(rule.qualityTarget());
-		return new Option(new Plan(List.of(version.version()), bar(rule), reason), cost(version), bound);
+		return new Option(new Plan(List.of(version.version()), passThreshold(rule), reason), typicalCostMicros(version),
+				bound);
 	}
 
-	private Option cascade(Template template, TeamId team, TeamRule rule, List<VersionRule> stages) {
-		double bar = bar(rule);
+	private Option cascadeOption(Template template, TeamId team, TeamRule rule, List<VersionRule> stages) {
+		double bar = passThreshold(rule);
 		double reached = 1;
 		double expected = 0;
 		double cost = 0;
 		VersionRule before = null;
 		for (VersionRule stage : stages) {
-			QualityTracker.RatingKey subject = subject(template, team, stage, before);
-			cost += reached * cost(stage);
+			QualityTracker.RatingKey subject = ratingKey(template, team, stage, before);
+			cost += reached * typicalCostMicros(stage);
 			if (stage.equals(stages.get(stages.size() - 1))) {
 				expected += reached * this.quality.lowerBound(subject, stage.quality());
 			}
@@ -152,11 +154,11 @@
 	 * Returns the rating that ends a cascade: below the target, as the answers that reach
 	 * it lie above it in the mean.
 	 */
-	static double bar(TeamRule rule) {
-		return Math.max(0, rule.qualityTarget() - BAR_BELOW_TARGET);
+	static double passThreshold(TeamRule rule) {
+		return Math.max(0, rule.qualityTarget() - PASS_THRESHOLD_BELOW_TARGET);
 	}
 
-	private static QualityTracker.RatingKey subject(Template template, TeamId team, VersionRule version,
+	private static QualityTracker.RatingKey ratingKey(Template template, TeamId team, VersionRule version,
 			VersionRule before) {
 		return new QualityTracker.RatingKey(template.name(), team, version.version(),
 				(before != null) ? before.version() : null);
@@ -165,7 +167,7 @@
 	/**
 	 * Returns one version of each model, spread by share.
 	 */
-	private List<VersionRule> candidates(Template template, TeamId team, Set<ModelVersion> served, double unit) {
+	private List<VersionRule> candidateVersions(Template template, TeamId team, Set<ModelVersion> served, double unit) {
 		List<VersionRule> chosen = new ArrayList<>();
 		for (String model : template.models()) {
 			List<VersionRule> usable = template.versions()
@@ -174,12 +176,12 @@
 				.filter((rule) -> template.allows(team, rule.version(), false))
 				.filter((rule) -> served.contains(rule.version()))
 				.toList();
-			byShare(usable, unit).ifPresent(chosen::add);
+			chooseByShare(usable, unit).ifPresent(chosen::add);
 		}
 		return chosen;
 	}
 
-	private static Optional<VersionRule> byShare(List<VersionRule> usable, double unit) {
+	private static Optional<VersionRule> chooseByShare(List<VersionRule> usable, double unit) {
 		double rest = unit * usable.stream().mapToDouble(VersionRule::share).sum();
 		for (VersionRule rule : usable) {
 			rest -= rule.share();
@@ -190,15 +192,15 @@
 		return usable.isEmpty() ? Optional.empty() : Optional.of(usable.get(usable.size() - 1));
 	}
 
-	private static double cost(VersionRule version) {
-		return version.price().of(TYPICAL);
+	private static double typicalCostMicros(VersionRule version) {
+		return version.price().of(TYPICAL_USAGE);
 	}
 
 	private static String round(double number) {
 		return String.valueOf(Math.round(number * 100) / 100.0);
 	}
 
-	private record Option(Plan plan, double cost, double quality) {
+	private record Option(Plan plan, double costMicros, double expectedQuality) {
 	}
 
 }
--- a/core/src/main/java/org/gullsaddle/route/SpotChecks.java
+++ b/core/src/main/java/org/gullsaddle/route/SpotChecks.java
@@ -48,7 +48,7 @@
 		}
 		AttemptId attempt = new AttemptId(state.id(), state.attemptCount());
 		double expected = state.expectedRating(version);
-		double bar = state.template().team(state.team()).map(Planner::bar).orElse(0.0);
+		double bar = state.template().team(state.team()).map(Planner::passThreshold).orElse(0.0);
 		this.pending.put(attempt, new PendingCheck(state.ratingKey(), expected, bar));
 		return Optional.of(new RouterAction.RateAnswer(attempt, version, state.request().body(), answer));
 	}
