--- a/core/src/main/java/org/gullsaddle/agent/Work.java
+++ b/core/src/main/java/org/gullsaddle/agent/AcceptedAttempt.java
@@ -7,7 +7,7 @@
 /**
  * An attempt that an agent has accepted.
  */
-final class Work {
+final class AcceptedAttempt {
 
 	private final NodeId entry;
 
@@ -15,11 +15,11 @@
 
 	private final long deadline;
 
-	private final long arrival;
+	private final long arrivalNumber;
 
 	private double finishTag;
 
-	private long length;
+	private long answerLength;
 
 	private long startMillis;
 
@@ -31,12 +31,12 @@
 
 	private boolean alone;
 
-	Work(NodeId entry, Dispatch dispatch, long deadline, long arrival) {
+	AcceptedAttempt(NodeId entry, Dispatch dispatch, long deadline, long arrival) {
 		this.entry = entry;
 		this.dispatch = dispatch;
 		this.deadline = deadline;
-		this.arrival = arrival;
-		this.length = dispatch.resume().length();
+		this.arrivalNumber = arrival;
+		this.answerLength = dispatch.resume().length();
 	}
 
 	NodeId entry() {
@@ -55,27 +55,27 @@
 		return this.deadline;
 	}
 
-	long arrival() {
-		return this.arrival;
+	long arrivalNumber() {
+		return this.arrivalNumber;
 	}
 
 	double finishTag() {
 		return this.finishTag;
 	}
 
-	void tag(double tag) {
+	void assignFinishTag(double tag) {
 		this.finishTag = tag;
 	}
 
-	long length() {
-		return this.length;
+	long answerLength() {
+		return this.answerLength;
 	}
 
-	void grow(int characters) {
-		this.length += characters;
+	void addAnswerLength(int characters) {
+		this.answerLength += characters;
 	}
 
-	void start(long millis, long stamp) {
+	void markStarted(long millis, long stamp) {
 		this.startMillis = millis;
 		this.startStamp = stamp;
 	}
@@ -96,19 +96,19 @@
 		this.alone = nothingBeside;
 	}
 
-	boolean cancelled() {
+	boolean isCancelled() {
 		return this.cancelled;
 	}
 
-	void cancel() {
+	void markCancelled() {
 		this.cancelled = true;
 	}
 
-	boolean orphaned() {
+	boolean isOrphaned() {
 		return this.orphaned;
 	}
 
-	void orphan() {
+	void markOrphaned() {
 		this.orphaned = true;
 	}
 
--- a/core/src/main/java/org/gullsaddle/agent/Admission.java
+++ b/core/src/main/java/org/gullsaddle/agent/Admission.java
@@ -40,15 +40,15 @@
  */
 public final class Admission {
 
-	private static final String CRASHED = "backend-crashed";
+	private static final String CRASHED_OUTCOME = "backend-crashed";
 
-	private static final int MAX_REMEMBERED = 20_000;
+	private static final int MAX_SEEN_ATTEMPTS = 20_000;
 
-	private static final double SMOOTHING = 0.1;
+	private static final double MEAN_SMOOTHING_FACTOR = 0.1;
 
-	private static final long COPY_MILLIS = 100;
+	private static final long COPY_TIMEOUT_MILLIS = 100;
 
-	private static final long COME_BACK_MILLIS = 1000;
+	private static final long RETRY_AFTER_MILLIS = 1000;
 
 	private final AdmissionSettings settings;
 
@@ -58,21 +58,21 @@
 
 	private final FairQueue queue = new FairQueue();
 
-	private final Map<AttemptId, Work> running = new LinkedHashMap<>();
+	private final Map<AttemptId, AcceptedAttempt> running = new LinkedHashMap<>();
 
 	/**
 	 * A frame that arrives twice, after a link was cut and dialed again, must not run
 	 * twice; entries number attempts anew, so that remembering recent ones is enough.
 	 */
-	private final Map<AttemptId, Boolean> seen = new LinkedHashMap<>() {
+	private final Map<AttemptId, Boolean> seenAttempts = new LinkedHashMap<>() {
 		@Override
 		protected boolean removeEldestEntry(Map.Entry<AttemptId, Boolean> eldest) {
-			return size() > MAX_REMEMBERED;
+			return size() > MAX_SEEN_ATTEMPTS;
 		}
 	};
 
 	/** Answers whose end waits until another entry holds a copy of their line. */
-	private final Map<AttemptId, Closing> closing = new LinkedHashMap<>();
+	private final Map<AttemptId, PendingEnd> pendingEnds = new LinkedHashMap<>();
 
 	private final Set<NodeId> entries = new TreeSet<>();
 
@@ -82,15 +82,15 @@
 
 	private int slots = 1;
 
-	private boolean up;
+	private boolean backendAvailable;
 
 	private boolean isDraining;
 
-	private boolean drained;
+	private boolean drainReported;
 
-	private double meanMillis;
+	private double meanRunMillis;
 
-	private long arrivals;
+	private long arrivalCount;
 
 	/**
 	 * Makes an admission for a backend server that is not up yet.
@@ -98,7 +98,7 @@
 	 */
 	public Admission(AdmissionSettings settings) {
 		this.settings = settings;
-		this.meanMillis = settings.initialRunMillis();
+		this.meanRunMillis = settings.initialRunMillis();
 	}
 
 	/**
@@ -109,26 +109,26 @@
 	 */
 	public List<AdmissionAction> handle(Moment now, AdmissionEvent event) {
 		switch (event) {
-			case AdmissionEvent.Dispatched dispatched -> dispatched(now, dispatched);
-			case AdmissionEvent.CancelRequested cancelled -> cancelled(cancelled.attempt());
+			case AdmissionEvent.Dispatched dispatched -> onDispatched(now, dispatched);
+			case AdmissionEvent.CancelRequested cancelled -> onCancelRequested(cancelled.attempt());
 			case AdmissionEvent.EntryUp entry -> this.entries.add(entry.entry());
-			case AdmissionEvent.CopyHeld held -> close(held.attempt());
-			case AdmissionEvent.EntryDown down -> entryDown(down);
-			case AdmissionEvent.AttemptChunk chunk -> chunk(chunk);
-			case AdmissionEvent.AttemptDone done -> done(now, done);
-			case AdmissionEvent.AttemptFailed failed -> failed(now, failed);
-			case AdmissionEvent.BackendUp backend -> backendUp(now, backend);
-			case AdmissionEvent.BackendDown down -> backendDown();
+			case AdmissionEvent.CopyHeld held -> sendPendingEnd(held.attempt());
+			case AdmissionEvent.EntryDown down -> onEntryDown(down);
+			case AdmissionEvent.AttemptChunk chunk -> onAttemptChunk(chunk);
+			case AdmissionEvent.AttemptDone done -> onAttemptDone(now, done);
+			case AdmissionEvent.AttemptFailed failed -> onAttemptFailed(now, failed);
+			case AdmissionEvent.BackendUp backend -> onBackendUp(now, backend);
+			case AdmissionEvent.BackendDown down -> onBackendDown();
 			case AdmissionEvent.TemplateChanged changed -> this.templates.apply(changed.revision());
 			case AdmissionEvent.SuspectAnnounced learned -> this.suspects.learn(learned.suspicion());
-			case AdmissionEvent.DrainStarted drain -> drain();
+			case AdmissionEvent.DrainStarted drain -> onDrainStarted();
 			case AdmissionEvent.Tick tick -> {
-				closeLate(now);
-				startNext(now);
-				shed(now);
+				sendOverdueEnds(now);
+				startQueued(now);
+				refuseLateWork(now);
 			}
 		}
-		noteDrained();
+		reportDrained();
 		List<AdmissionAction> decided = List.copyOf(this.actions);
 		this.actions.clear();
 		return decided;
@@ -147,7 +147,7 @@
 	 * @return the versions loaded, or none while the backend server is down
 	 */
 	public Set<ModelVersion> versions() {
-		return this.up ? this.versions : Set.of();
+		return this.backendAvailable ? this.versions : Set.of();
 	}
 
 	/**
@@ -174,46 +174,47 @@
 		return this.isDraining;
 	}
 
-	private void dispatched(Moment now, AdmissionEvent.Dispatched event) {
+	private void onDispatched(Moment now, AdmissionEvent.Dispatched event) {
 		AttemptId attempt = event.dispatch().attempt();
-		if (this.seen.putIfAbsent(attempt, Boolean.TRUE) != null) {
+		if (this.seenAttempts.putIfAbsent(attempt, Boolean.TRUE) != null) {
 			return;
 		}
-		Work work = new Work(event.entry(), event.dispatch(), event.deadline(), this.arrivals);
-		this.arrivals++;
-		Optional<Refusal> refusal = check(now, work);
+		AcceptedAttempt work = new AcceptedAttempt(event.entry(), event.dispatch(), event.deadline(),
+				this.arrivalCount);
+		this.arrivalCount++;
+		Optional<Refusal> refusal = checkRunnable(now, work);
 		if (refusal.isEmpty()) {
-			refusal = checkRoom(now, work);
+			refusal = checkCapacity(now, work);
 		}
 		if (refusal.isPresent()) {
 			refuse(work, refusal.get());
 			return;
 		}
 		this.queue.add(work);
-		this.actions.add(new AdmissionAction.Accept(work.entry(), attempt, this.queue.ahead(work)));
-		startNext(now);
-		shed(now);
+		this.actions.add(new AdmissionAction.Accept(work.entry(), attempt, this.queue.countAhead(work)));
+		startQueued(now);
+		refuseLateWork(now);
 	}
 
 	/**
 	 * Checks what can change while an attempt waits; asked again when it is to start.
 	 */
-	private Optional<Refusal> check(Moment now, Work work) {
+	private Optional<Refusal> checkRunnable(Moment now, AcceptedAttempt work) {
 		Dispatch dispatch = work.dispatch();
 		if (this.isDraining) {
-			return Optional.of(Refusal.notRun(RefusalReason.LEAVING, COME_BACK_MILLIS));
+			return Optional.of(Refusal.notRun(RefusalReason.LEAVING, RETRY_AFTER_MILLIS));
 		}
-		if (!this.up || !this.versions.contains(dispatch.version())) {
-			return Optional.of(Refusal.notRun(RefusalReason.NO_VERSION, COME_BACK_MILLIS));
+		if (!this.backendAvailable || !this.versions.contains(dispatch.version())) {
+			return Optional.of(Refusal.notRun(RefusalReason.NO_VERSION, RETRY_AFTER_MILLIS));
 		}
-		if (!permitted(dispatch)) {
-			return Optional.of(Refusal.notRun(RefusalReason.FORBIDDEN, COME_BACK_MILLIS));
+		if (!isPermitted(dispatch)) {
+			return Optional.of(Refusal.notRun(RefusalReason.FORBIDDEN, RETRY_AFTER_MILLIS));
 		}
 		if (this.suspects.convicted(dispatch.fingerprint())) {
 			return Optional.of(Refusal.notRun(RefusalReason.POISON, 0));
 		}
 		if (now.millis() >= work.deadline()) {
-			return Optional.of(Refusal.notRun(RefusalReason.DEADLINE, COME_BACK_MILLIS));
+			return Optional.of(Refusal.notRun(RefusalReason.DEADLINE, RETRY_AFTER_MILLIS));
 		}
 		return Optional.empty();
 	}
@@ -226,7 +227,7 @@
 	 * run. An agent that does not know the revision yet, after a restart, cannot tell,
 	 * and refuses too; the entry sends the revision ahead of the work.
 	 */
-	private boolean permitted(Dispatch dispatch) {
+	private boolean isPermitted(Dispatch dispatch) {
 		TemplateRevision held = this.templates.get(dispatch.template()).orElse(null);
 		if (held == null || held.revision() < dispatch.revision()) {
 			return false;
@@ -235,15 +236,15 @@
 		return template.allows(dispatch.team(), dispatch.version(), dispatch.pinned());
 	}
 
-	private Optional<Refusal> checkRoom(Moment now, Work work) {
-		this.queue.tag(work);
-		if (this.queue.size() >= this.settings.maxQueued() && !this.queue.goesBeforeLast(work)) {
-			return Optional.of(overloaded(this.queue.size()));
+	private Optional<Refusal> checkCapacity(Moment now, AcceptedAttempt work) {
+		this.queue.assignFinishTag(work);
+		if (this.queue.size() >= this.settings.maxQueued() && !this.queue.wouldPrecedeLast(work)) {
+			return Optional.of(overloadedRefusal(this.queue.size()));
 		}
 		// Half of its time is left for work of a higher rank that may come before it.
 		long latest = now.millis() + (work.deadline() - now.millis()) / 2;
-		if (this.running.size() >= this.slots && isTooLate(now, work, latest)) {
-			return Optional.of(overloaded(this.queue.ahead(work)));
+		if (this.running.size() >= this.slots && wouldMissDeadline(now, work, latest)) {
+			return Optional.of(overloadedRefusal(this.queue.countAhead(work)));
 		}
 		return Optional.empty();
 	}
@@ -253,42 +254,42 @@
 	 * more, as work of a higher rank came before it. Left to wait, its caller would hear
 	 * of it only at the deadline, and could have gone elsewhere.
 	 */
-	private void shed(Moment now) {
+	private void refuseLateWork(Moment now) {
 		while (this.queue.size() > 0) {
-			Work last = this.queue.last();
-			if (this.queue.size() <= this.settings.maxQueued() && !isTooLate(now, last, last.deadline())) {
+			AcceptedAttempt last = this.queue.last();
+			if (this.queue.size() <= this.settings.maxQueued() && !wouldMissDeadline(now, last, last.deadline())) {
 				return;
 			}
 			this.queue.remove(last.attempt());
-			refuse(last, overloaded(this.queue.size()));
+			refuse(last, overloadedRefusal(this.queue.size()));
 		}
 	}
 
-	private boolean isTooLate(Moment now, Work work, long latest) {
-		return now.millis() + waitMillis(this.queue.ahead(work)) + this.meanMillis >= latest;
+	private boolean wouldMissDeadline(Moment now, AcceptedAttempt work, long latest) {
+		return now.millis() + expectedWaitMillis(this.queue.countAhead(work)) + this.meanRunMillis >= latest;
 	}
 
-	private Refusal overloaded(int ahead) {
-		return Refusal.notRun(RefusalReason.OVERLOADED, Math.max(COME_BACK_MILLIS / 2, waitMillis(ahead)));
+	private Refusal overloadedRefusal(int ahead) {
+		return Refusal.notRun(RefusalReason.OVERLOADED, Math.max(RETRY_AFTER_MILLIS / 2, expectedWaitMillis(ahead)));
 	}
 
-	private long waitMillis(int ahead) {
-		return Math.round((ahead + 1) * this.meanMillis / this.slots);
+	private long expectedWaitMillis(int ahead) {
+		return Math.round((ahead + 1) * this.meanRunMillis / this.slots);
 	}
 
-	private void startNext(Moment now) {
+	private void startQueued(Moment now) {
 		while (true) {
-			Work next = this.queue.peek().orElse(null);
+			AcceptedAttempt next = this.queue.peek().orElse(null);
 			if (next == null) {
 				return;
 			}
-			Optional<Refusal> refusal = check(now, next);
+			Optional<Refusal> refusal = checkRunnable(now, next);
 			if (refusal.isPresent()) {
-				this.queue.take();
+				this.queue.takeFirst();
 				refuse(next, refusal.get());
 			}
-			else if (hasSlot(next)) {
-				this.queue.take();
+			else if (canStart(next)) {
+				this.queue.takeFirst();
 				start(now, next);
 			}
 			else {
@@ -302,50 +303,50 @@
 	 * crashing its backend server waits until it can be alone, and nothing starts beside
 	 * it, so that another crash takes no bystander with it.
 	 */
-	private boolean hasSlot(Work work) {
+	private boolean canStart(AcceptedAttempt work) {
 		if (this.running.isEmpty()) {
 			return true;
 		}
-		boolean suspectRuns = this.running.values().stream().anyMatch(Work::alone);
-		return !suspectRuns && !mustBeAlone(work) && this.running.size() < this.slots;
+		boolean suspectRuns = this.running.values().stream().anyMatch(AcceptedAttempt::alone);
+		return !suspectRuns && !mustRunAlone(work) && this.running.size() < this.slots;
 	}
 
-	private boolean mustBeAlone(Work work) {
+	private boolean mustRunAlone(AcceptedAttempt work) {
 		return work.dispatch().alone() || this.suspects.suspected(work.dispatch().fingerprint());
 	}
 
-	private void start(Moment now, Work work) {
-		work.alone(mustBeAlone(work));
-		work.start(now.millis(), now.stamp());
+	private void start(Moment now, AcceptedAttempt work) {
+		work.alone(mustRunAlone(work));
+		work.markStarted(now.millis(), now.stamp());
 		this.running.put(work.attempt(), work);
 		this.actions.add(new AdmissionAction.Start(work.dispatch(), work.deadline()));
 	}
 
-	private void refuse(Work work, Refusal refusal) {
+	private void refuse(AcceptedAttempt work, Refusal refusal) {
 		this.actions.add(new AdmissionAction.Refuse(work.entry(), work.attempt(), refusal));
 	}
 
-	private void cancelled(AttemptId attempt) {
-		Optional<Work> waiting = this.queue.remove(attempt);
+	private void onCancelRequested(AttemptId attempt) {
+		Optional<AcceptedAttempt> waiting = this.queue.remove(attempt);
 		if (waiting.isPresent()) {
 			refuse(waiting.get(), Refusal.notRun(RefusalReason.CALLER_GONE, 0));
 		}
 		else if (this.running.containsKey(attempt)) {
-			this.running.get(attempt).cancel();
+			this.running.get(attempt).markCancelled();
 			this.actions.add(new AdmissionAction.Abort(attempt));
 		}
 		else {
 			// Whatever arrives later under this id, on a slow path, must not run.
-			this.seen.put(attempt, Boolean.TRUE);
+			this.seenAttempts.put(attempt, Boolean.TRUE);
 		}
 	}
 
-	private void entryDown(AdmissionEvent.EntryDown event) {
+	private void onEntryDown(AdmissionEvent.EntryDown event) {
 		this.entries.remove(event.entry());
 		this.queue.removeIf((work) -> work.entry().equals(event.entry()));
-		for (Work work : this.running.values()) {
-			if (work.entry().equals(event.entry()) && !work.orphaned()) {
-				work.orphan();
+		for (AcceptedAttempt work : this.running.values()) {
+			if (work.entry().equals(event.entry()) && !work.isOrphaned()) {
+				work.markOrphaned();
 				// A call that may not be repeated goes on: stopping it half-way helps
 				// nobody.
 				if (work.dispatch().repeatable()) {
@@ -355,31 +356,33 @@
 		}
 	}
 
-	private void chunk(AdmissionEvent.AttemptChunk event) {
-		Work work = this.running.get(event.attempt());
+	private void onAttemptChunk(AdmissionEvent.AttemptChunk event) {
+		AcceptedAttempt work = this.running.get(event.attempt());
 		if (work != null) {
-			this.actions.add(new AdmissionAction.SendChunk(work.entry(), event.attempt(), work.length(), event.text()));
-			work.grow(event.text().length());
+			this.actions
+				.add(new AdmissionAction.SendChunk(work.entry(), event.attempt(), work.answerLength(), event.text()));
+			work.addAnswerLength(event.text().length());
 		}
 	}
 
-	private void done(Moment now, AdmissionEvent.AttemptDone event) {
-		Work work = this.running.remove(event.attempt());
+	private void onAttemptDone(Moment now, AdmissionEvent.AttemptDone event) {
+		AcceptedAttempt work = this.running.remove(event.attempt());
 		if (work == null) {
 			return;
 		}
-		this.meanMillis += SMOOTHING * (now.millis() - work.startMillis() - this.meanMillis);
+		this.meanRunMillis += MEAN_SMOOTHING_FACTOR * (now.millis() - work.startMillis() - this.meanRunMillis);
 		Completion completion = event.completion();
 		if (work.alone()) {
 			this.suspects.clear(work.dispatch().fingerprint());
 		}
-		HeldLine line = hold(now, work, Verdict.RAN, "done", completion.usage());
-		AdmissionAction end = new AdmissionAction.SendDone(work.entry(), event.attempt(), completion, work.length());
-		this.closing.put(event.attempt(), new Closing(end, now.millis() + COPY_MILLIS));
+		HeldLine line = holdLine(now, work, Verdict.RAN, "done", completion.usage());
+		AdmissionAction end = new AdmissionAction.SendDone(work.entry(), event.attempt(), completion,
+				work.answerLength());
+		this.pendingEnds.put(event.attempt(), new PendingEnd(end, now.millis() + COPY_TIMEOUT_MILLIS));
 		Optional<NodeId> holder = this.entries.stream().filter((entry) -> !entry.equals(work.entry())).findAny();
 		holder.ifPresentOrElse((entry) -> this.actions.add(new AdmissionAction.CopyLine(entry, line)),
-				() -> close(event.attempt()));
-		startNext(now);
+				() -> sendPendingEnd(event.attempt()));
+		startQueued(now);
 	}
 
 	/**
@@ -389,24 +392,24 @@
 	 * agent before either has written the record; the request would be served and never
 	 * billed. With a copy at a third node that takes three at once.
 	 */
-	private void close(AttemptId attempt) {
-		Closing closed = this.closing.remove(attempt);
+	private void sendPendingEnd(AttemptId attempt) {
+		PendingEnd closed = this.pendingEnds.remove(attempt);
 		if (closed != null) {
 			this.actions.add(closed.end());
 		}
 	}
 
-	private void closeLate(Moment now) {
-		List<AttemptId> late = this.closing.entrySet()
+	private void sendOverdueEnds(Moment now) {
+		List<AttemptId> late = this.pendingEnds.entrySet()
 			.stream()
-			.filter((each) -> each.getValue().until() <= now.millis())
+			.filter((each) -> each.getValue().dueMillis() <= now.millis())
 			.map(Map.Entry::getKey)
 			.toList();
-		late.forEach(this::close);
+		late.forEach(this::sendPendingEnd);
 	}
 
-	private void failed(Moment now, AdmissionEvent.AttemptFailed event) {
-		Work work = this.running.remove(event.attempt());
+	private void onAttemptFailed(Moment now, AdmissionEvent.AttemptFailed event) {
+		AcceptedAttempt work = this.running.remove(event.attempt());
 		if (work == null) {
 			return;
 		}
@@ -415,19 +418,19 @@
 			this.actions.add(new AdmissionAction.AnnounceSuspect(known));
 		}
 		if (event.verdict() != Verdict.NOT_RUN) {
-			hold(now, work, event.verdict(), event.crashed() ? CRASHED : "backend-failed", event.usage());
+			holdLine(now, work, event.verdict(), event.crashed() ? CRASHED_OUTCOME : "backend-failed", event.usage());
 		}
 		this.actions.add(new AdmissionAction.SendFailed(work.entry(), event.attempt(), event.verdict(), event.crashed(),
 				event.usage()));
-		startNext(now);
+		startQueued(now);
 	}
 
-	private HeldLine hold(Moment now, Work work, Verdict verdict, String outcome, Usage usage) {
+	private HeldLine holdLine(Moment now, AcceptedAttempt work, Verdict verdict, String outcome, Usage usage) {
 		Dispatch dispatch = work.dispatch();
 		// What a caller stopped it pays for as far as it ran; a backend server's fault is
 		// free.
-		boolean billed = verdict == Verdict.RAN || (work.cancelled() && !outcome.equals(CRASHED));
-		long cost = billed ? cost(dispatch, usage) : 0;
+		boolean billed = verdict == Verdict.RAN || (work.isCancelled() && !outcome.equals(CRASHED_OUTCOME));
+		long cost = billed ? costMicros(dispatch, usage) : 0;
 		AttemptLine line = new AttemptLine(work.attempt(), dispatch.version(), this.settings.id(), dispatch.revision(),
 				verdict, outcome, usage, cost, work.startStamp(), now.stamp());
 		HeldLine held = new HeldLine(work.entry(), dispatch.team(), dispatch.template(), line);
@@ -435,41 +438,41 @@
 		return held;
 	}
 
-	private long cost(Dispatch dispatch, Usage usage) {
+	private long costMicros(Dispatch dispatch, Usage usage) {
 		return this.templates.get(dispatch.template())
 			.flatMap((revision) -> revision.template().rule(dispatch.version()))
 			.map((rule) -> rule.price().of(usage))
 			.orElse(0L);
 	}
 
-	private void backendUp(Moment now, AdmissionEvent.BackendUp event) {
-		this.up = true;
+	private void onBackendUp(Moment now, AdmissionEvent.BackendUp event) {
+		this.backendAvailable = true;
 		this.versions = Set.copyOf(event.versions());
 		this.slots = event.slots();
-		startNext(now);
+		startQueued(now);
 	}
 
-	private void backendDown() {
-		this.up = false;
-		for (Work work : this.queue.removeIf((waiting) -> true)) {
-			refuse(work, Refusal.notRun(RefusalReason.NO_VERSION, COME_BACK_MILLIS));
+	private void onBackendDown() {
+		this.backendAvailable = false;
+		for (AcceptedAttempt work : this.queue.removeIf((waiting) -> true)) {
+			refuse(work, Refusal.notRun(RefusalReason.NO_VERSION, RETRY_AFTER_MILLIS));
 		}
 	}
 
-	private void drain() {
+	private void onDrainStarted() {
 		if (this.isDraining) {
 			return;
 		}
 		this.isDraining = true;
 		this.actions.add(new AdmissionAction.AnnounceLeaving());
-		for (Work work : this.queue.removeIf((waiting) -> true)) {
-			refuse(work, Refusal.notRun(RefusalReason.LEAVING, COME_BACK_MILLIS));
+		for (AcceptedAttempt work : this.queue.removeIf((waiting) -> true)) {
+			refuse(work, Refusal.notRun(RefusalReason.LEAVING, RETRY_AFTER_MILLIS));
 		}
 	}
 
-	private void noteDrained() {
-		if (this.isDraining && !this.drained && this.running.isEmpty() && this.closing.isEmpty()) {
-			this.drained = true;
+	private void reportDrained() {
+		if (this.isDraining && !this.drainReported && this.running.isEmpty() && this.pendingEnds.isEmpty()) {
+			this.drainReported = true;
 			this.actions.add(new AdmissionAction.Drained());
 		}
 	}
@@ -477,7 +480,7 @@
 	/**
 	 * An answer's end, and when it goes without a copy.
 	 */
-	private record Closing(AdmissionAction end, long until) {
+	private record PendingEnd(AdmissionAction end, long dueMillis) {
 	}
 
 }
--- a/core/src/main/java/org/gullsaddle/agent/AdmissionSettings.java
+++ b/core/src/main/java/org/gullsaddle/agent/AdmissionSettings.java
@@ -15,7 +15,7 @@
 
 	private static final int DEFAULT_MAX_QUEUED = 200;
 
-	private static final long DEFAULT_EXPECTED_MILLIS = 1000;
+	private static final long DEFAULT_INITIAL_RUN_MILLIS = 1000;
 
 	public AdmissionSettings {
 		Check.notNull(id, "id");
@@ -29,7 +29,7 @@
 	 * @return the settings
 	 */
 	public static AdmissionSettings of(NodeId id) {
-		return new AdmissionSettings(id, DEFAULT_MAX_QUEUED, DEFAULT_EXPECTED_MILLIS);
+		return new AdmissionSettings(id, DEFAULT_MAX_QUEUED, DEFAULT_INITIAL_RUN_MILLIS);
 	}
 
 	/**
--- a/core/src/main/java/org/gullsaddle/agent/FairQueue.java
+++ b/core/src/main/java/org/gullsaddle/agent/FairQueue.java
@@ -20,55 +20,58 @@
  */
 final class FairQueue {
 
-	private final TreeSet<Work> waiting = new TreeSet<>(Comparator.<Work>comparingInt((work) -> -work.dispatch().rank())
-		.thenComparingDouble(Work::finishTag)
-		.thenComparingLong(Work::arrival));
+	private final TreeSet<AcceptedAttempt> waiting = new TreeSet<>(
+			Comparator.<AcceptedAttempt>comparingInt((work) -> -work.dispatch().rank())
+				.thenComparingDouble(AcceptedAttempt::finishTag)
+				.thenComparingLong(AcceptedAttempt::arrivalNumber));
 
-	private final Map<TeamId, Double> lastTags = new HashMap<>();
+	private final Map<TeamId, Double> lastFinishTags = new HashMap<>();
 
 	private double virtualTime;
 
 	/**
 	 * Gives an attempt the place that it would have if it were added now.
 	 */
-	void tag(Work work) {
-		double start = Math.max(this.virtualTime, this.lastTags.getOrDefault(work.dispatch().team(), 0.0));
-		work.tag(start + 1 / work.dispatch().weight());
+	void assignFinishTag(AcceptedAttempt work) {
+		double start = Math.max(this.virtualTime, this.lastFinishTags.getOrDefault(work.dispatch().team(), 0.0));
+		work.assignFinishTag(start + 1 / work.dispatch().weight());
 	}
 
-	void add(Work work) {
-		tag(work);
-		this.lastTags.put(work.dispatch().team(), work.finishTag());
+	void add(AcceptedAttempt work) {
+		assignFinishTag(work);
+		this.lastFinishTags.put(work.dispatch().team(), work.finishTag());
 		this.waiting.add(work);
 	}
 
-	Optional<Work> peek() {
+	Optional<AcceptedAttempt> peek() {
 		return this.waiting.isEmpty() ? Optional.empty() : Optional.of(this.waiting.first());
 	}
 
-	Work last() {
+	AcceptedAttempt last() {
 		return this.waiting.last();
 	}
 
 	/**
 	 * Says whether an attempt would go before the last one that waits.
 	 */
-	boolean goesBeforeLast(Work work) {
+	boolean wouldPrecedeLast(AcceptedAttempt work) {
 		return !this.waiting.isEmpty() && this.waiting.headSet(work).size() < this.waiting.size();
 	}
 
-	Work take() {
-		Work work = this.waiting.pollFirst();
+	AcceptedAttempt takeFirst() {
+		AcceptedAttempt work = this.waiting.pollFirst();
 		this.virtualTime = Math.max(this.virtualTime, work.finishTag() - 1 / work.dispatch().weight());
 		if (this.waiting.isEmpty()) {
-			this.lastTags.clear();
+			this.lastFinishTags.clear();
 			this.virtualTime = 0;
 		}
 		return work;
 	}
 
-	Optional<Work> remove(AttemptId attempt) {
-		Optional<Work> found = this.waiting.stream().filter((work) -> work.attempt().equals(attempt)).findFirst();
+	Optional<AcceptedAttempt> remove(AttemptId attempt) {
+		Optional<AcceptedAttempt> found = this.waiting.stream()
+			.filter((work) -> work.attempt().equals(attempt))
+			.findFirst();
 		found.ifPresent(this.waiting::remove);
 		return found;
 	}
@@ -76,8 +79,8 @@
 	/**
 	 * Takes out all that match, in their order.
 	 */
-	List<Work> removeIf(Predicate<Work> condition) {
-		List<Work> removed = this.waiting.stream().filter(condition).toList();
+	List<AcceptedAttempt> removeIf(Predicate<AcceptedAttempt> condition) {
+		List<AcceptedAttempt> removed = this.waiting.stream().filter(condition).toList();
 		removed.forEach(this.waiting::remove);
 		return removed;
 	}
@@ -85,7 +88,7 @@
 	/**
 	 * Returns how many waiting attempts go before one.
 	 */
-	int ahead(Work work) {
+	int countAhead(AcceptedAttempt work) {
 		return this.waiting.headSet(work).size();
 	}
 
