--- a/core/src/test/java/org/gullsaddle/agent/AdmissionTests.java
+++ b/core/src/test/java/org/gullsaddle/agent/AdmissionTests.java
@@ -45,11 +45,11 @@
 
 	@BeforeEach
 	void start() {
-		happens(new AdmissionEvent.TemplateChanged(Templates.revision(1, this.template)));
-		happens(new AdmissionEvent.BackendUp(Set.of(SMALL), 2));
+		handle(new AdmissionEvent.TemplateChanged(Templates.revision(1, this.template)));
+		handle(new AdmissionEvent.BackendUp(Set.of(SMALL), 2));
 	}
 
-	private void happens(AdmissionEvent event) {
+	private void handle(AdmissionEvent event) {
 		this.actions.addAll(this.admission.handle(Moment.at(this.now), event));
 	}
 
@@ -58,25 +58,25 @@
 				revision, SMALL, false, rank, 1, 0, true, false, new Fingerprint(request), "", "body");
 	}
 
-	private void arrives(String request, String team, int rank) {
-		happens(new AdmissionEvent.Dispatched(ENTRY, dispatch(request, team, rank, 1), this.now + 1000));
+	private void arrive(String request, String team, int rank) {
+		handle(new AdmissionEvent.Dispatched(ENTRY, dispatch(request, team, rank, 1), this.now + 1000));
 	}
 
-	private List<String> started() {
+	private List<String> startedRequests() {
 		return all(AdmissionAction.Start.class).stream()
 			.map((start) -> start.dispatch().attempt().request().value())
 			.toList();
 	}
 
-	private void ends(String request) {
-		happens(new AdmissionEvent.AttemptDone(new AttemptId(new RequestId(request), 1), STOP));
+	private void complete(String request) {
+		handle(new AdmissionEvent.AttemptDone(new AttemptId(new RequestId(request), 1), STOP));
 	}
 
 	private <T extends AdmissionAction> List<T> all(Class<T> type) {
 		return this.actions.stream().filter(type::isInstance).map(type::cast).toList();
 	}
 
-	private RefusalReason refused() {
+	private RefusalReason firstRefusalReason() {
 		return all(AdmissionAction.Refuse.class).get(0).refusal().reason();
 	}
 
@@ -84,43 +84,43 @@
 	class Queue {
 
 		@Test
-		void higherRankGoesFirst() {
-			arrives("a", "basic", 1);
-			arrives("b", "basic", 1);
-			arrives("low", "basic", 1);
-			arrives("high", "basic", 9);
-			ends("a");
-			assertThat(started()).containsExactly("a", "b", "high");
+		void higherRankStartsFirst() {
+			arrive("a", "basic", 1);
+			arrive("b", "basic", 1);
+			arrive("low", "basic", 1);
+			arrive("high", "basic", 9);
+			complete("a");
+			assertThat(startedRequests()).containsExactly("a", "b", "high");
 		}
 
 		@Test
 		void teamsOfEqualRankTakeTurns() {
-			arrives("a1", "basic", 1);
-			arrives("a2", "basic", 1);
-			arrives("a3", "basic", 1);
-			arrives("a4", "basic", 1);
-			arrives("g1", "gold", 1);
-			ends("a1");
-			ends("a2");
-			assertThat(started().subList(2, 4)).containsExactlyInAnyOrder("a3", "g1");
+			arrive("a1", "basic", 1);
+			arrive("a2", "basic", 1);
+			arrive("a3", "basic", 1);
+			arrive("a4", "basic", 1);
+			arrive("g1", "gold", 1);
+			complete("a1");
+			complete("a2");
+			assertThat(startedRequests().subList(2, 4)).containsExactlyInAnyOrder("a3", "g1");
 		}
 
 		@Test
-		void fullQueueRefusesAtOnceAndTellsWhenToComeBack() {
+		void fullQueueRefusesAtOnceWithRetryAfter() {
 			for (int i = 0; i < 6; i++) {
-				arrives("r" + i, "basic", 1);
+				arrive("r" + i, "basic", 1);
 			}
-			assertThat(refused()).isEqualTo(RefusalReason.OVERLOADED);
+			assertThat(firstRefusalReason()).isEqualTo(RefusalReason.OVERLOADED);
 			assertThat(all(AdmissionAction.Refuse.class).get(0).refusal().retryAfterMillis()).isPositive();
 		}
 
 		@Test
-		void workThatCannotMeetItsDeadlineIsRefusedBeforeItWaits() {
-			arrives("a", "basic", 1);
-			arrives("b", "basic", 1);
-			happens(new AdmissionEvent.Dispatched(ENTRY, dispatch("hurried", "basic", 1, 1),
+		void attemptThatCannotMeetItsDeadlineIsRefusedAtOnce() {
+			arrive("a", "basic", 1);
+			arrive("b", "basic", 1);
+			handle(new AdmissionEvent.Dispatched(ENTRY, dispatch("hurried", "basic", 1, 1),
 					AdmissionTests.this.now + 10));
-			assertThat(refused()).isEqualTo(RefusalReason.OVERLOADED);
+			assertThat(firstRefusalReason()).isEqualTo(RefusalReason.OVERLOADED);
 		}
 
 		/**
@@ -128,34 +128,34 @@
 		 * refused at once, truly not run, and the high work takes its room.
 		 */
 		@Test
-		void fullQueueMakesRoomForAHigherRank() {
+		void higherRankDisplacesTheLastOfAFullQueue() {
 			for (int i = 0; i < 5; i++) {
-				arrives("low" + i, "basic", 1);
+				arrive("low" + i, "basic", 1);
 			}
-			arrives("high", "basic", 9);
+			arrive("high", "basic", 9);
 			assertThat(all(AdmissionAction.Refuse.class)).hasSize(1);
 			assertThat(all(AdmissionAction.Refuse.class).get(0).attempt().request()).isEqualTo(new RequestId("low4"));
-			ends("low0");
-			assertThat(started()).containsExactly("low0", "low1", "high");
+			complete("low0");
+			assertThat(startedRequests()).containsExactly("low0", "low1", "high");
 		}
 
 		@Test
-		void workThatIsOvertakenIsRefusedBeforeItsDeadline() {
-			arrives("a", "basic", 1);
-			arrives("b", "basic", 1);
-			happens(new AdmissionEvent.Dispatched(ENTRY, dispatch("slow", "basic", 1, 1),
+		void queuedAttemptIsRefusedOnceItCannotMeetItsDeadline() {
+			arrive("a", "basic", 1);
+			arrive("b", "basic", 1);
+			handle(new AdmissionEvent.Dispatched(ENTRY, dispatch("slow", "basic", 1, 1),
 					AdmissionTests.this.now + 400));
 			assertThat(all(AdmissionAction.Refuse.class)).isEmpty();
 			AdmissionTests.this.now += 250;
-			happens(new AdmissionEvent.Tick());
-			assertThat(refused()).isEqualTo(RefusalReason.OVERLOADED);
+			handle(new AdmissionEvent.Tick());
+			assertThat(firstRefusalReason()).isEqualTo(RefusalReason.OVERLOADED);
 		}
 
 		@Test
-		void frameThatArrivesTwiceRunsOnce() {
-			arrives("a", "basic", 1);
-			arrives("a", "basic", 1);
-			assertThat(started()).containsExactly("a");
+		void duplicateDispatchRunsOnce() {
+			arrive("a", "basic", 1);
+			arrive("a", "basic", 1);
+			assertThat(startedRequests()).containsExactly("a");
 		}
 
 		/**
@@ -165,57 +165,57 @@
 		@Test
 		void dispatchReadAfterItsDeadlineIsNotRun() {
 			AdmissionTests.this.now += 5000;
-			happens(new AdmissionEvent.Dispatched(ENTRY, dispatch("late", "basic", 1, 1), 1000));
-			assertThat(refused()).isEqualTo(RefusalReason.DEADLINE);
-			assertThat(started()).isEmpty();
+			handle(new AdmissionEvent.Dispatched(ENTRY, dispatch("late", "basic", 1, 1), 1000));
+			assertThat(firstRefusalReason()).isEqualTo(RefusalReason.DEADLINE);
+			assertThat(startedRequests()).isEmpty();
 		}
 
 		@Test
-		void cancelThatOvertakesItsDispatchKeepsItFromRunning() {
-			happens(new AdmissionEvent.CancelRequested(new AttemptId(new RequestId("a"), 1)));
-			arrives("a", "basic", 1);
-			assertThat(started()).isEmpty();
+		void cancelReceivedBeforeItsDispatchPreventsTheRun() {
+			handle(new AdmissionEvent.CancelRequested(new AttemptId(new RequestId("a"), 1)));
+			arrive("a", "basic", 1);
+			assertThat(startedRequests()).isEmpty();
 		}
 
 	}
 
 	@Nested
-	class Fences {
+	class TemplateChecks {
 
 		/**
 		 * A version is withdrawn; an entry that has not heard of it still sends work. The
 		 * agent has the newer revision and refuses, truly not run.
 		 */
 		@Test
-		void agentsNewerRevisionStopsWithdrawnVersion() {
+		void newerRevisionOfTheAgentStopsAWithdrawnVersion() {
 			Template changed = AdmissionTests.this.template.withState(SMALL, VersionState.WITHDRAWN);
-			happens(new AdmissionEvent.TemplateChanged(Templates.revision(2, changed)));
-			arrives("a", "basic", 1);
-			assertThat(refused()).isEqualTo(RefusalReason.FORBIDDEN);
+			handle(new AdmissionEvent.TemplateChanged(Templates.revision(2, changed)));
+			arrive("a", "basic", 1);
+			assertThat(firstRefusalReason()).isEqualTo(RefusalReason.FORBIDDEN);
 		}
 
 		@Test
-		void withdrawalStopsWorkThatWaits() {
-			arrives("a", "basic", 1);
-			arrives("b", "basic", 1);
-			arrives("waits", "basic", 1);
+		void withdrawalRefusesQueuedAttempts() {
+			arrive("a", "basic", 1);
+			arrive("b", "basic", 1);
+			arrive("waits", "basic", 1);
 			Template changed = AdmissionTests.this.template.withState(SMALL, VersionState.WITHDRAWN);
-			happens(new AdmissionEvent.TemplateChanged(Templates.revision(2, changed)));
-			ends("a");
-			assertThat(started()).containsExactly("a", "b");
-			assertThat(refused()).isEqualTo(RefusalReason.FORBIDDEN);
+			handle(new AdmissionEvent.TemplateChanged(Templates.revision(2, changed)));
+			complete("a");
+			assertThat(startedRequests()).containsExactly("a", "b");
+			assertThat(firstRefusalReason()).isEqualTo(RefusalReason.FORBIDDEN);
 		}
 
 		@Test
-		void agentThatLacksTheRevisionRefuses() {
-			happens(new AdmissionEvent.Dispatched(ENTRY, dispatch("a", "basic", 1, 2), 1000));
-			assertThat(refused()).isEqualTo(RefusalReason.FORBIDDEN);
+		void agentWithoutTheRevisionRefuses() {
+			handle(new AdmissionEvent.Dispatched(ENTRY, dispatch("a", "basic", 1, 2), 1000));
+			assertThat(firstRefusalReason()).isEqualTo(RefusalReason.FORBIDDEN);
 		}
 
 		@Test
 		void teamThatMayNotUseTheVersionIsRefused() {
-			arrives("a", "unknown", 1);
-			assertThat(refused()).isEqualTo(RefusalReason.FORBIDDEN);
+			arrive("a", "unknown", 1);
+			assertThat(firstRefusalReason()).isEqualTo(RefusalReason.FORBIDDEN);
 		}
 
 	}
@@ -224,22 +224,22 @@
 	class Draining {
 
 		@Test
-		void leavingIsToldAtOnceAndWhatRunsEnds() {
-			arrives("a", "basic", 1);
-			happens(new AdmissionEvent.DrainStarted());
-			arrives("b", "basic", 1);
+		void drainIsAnnouncedAtOnceAndRunningAttemptsComplete() {
+			arrive("a", "basic", 1);
+			handle(new AdmissionEvent.DrainStarted());
+			arrive("b", "basic", 1);
 			assertThat(all(AdmissionAction.AnnounceLeaving.class)).hasSize(1);
-			assertThat(refused()).isEqualTo(RefusalReason.LEAVING);
+			assertThat(firstRefusalReason()).isEqualTo(RefusalReason.LEAVING);
 			assertThat(all(AdmissionAction.Drained.class)).isEmpty();
-			ends("a");
+			complete("a");
 			assertThat(all(AdmissionAction.Drained.class)).hasSize(1);
 			assertThat(all(AdmissionAction.SendDone.class)).hasSize(1);
 		}
 
 		@Test
-		void secondOrderToDrainChangesNothing() {
-			happens(new AdmissionEvent.DrainStarted());
-			happens(new AdmissionEvent.DrainStarted());
+		void repeatedDrainChangesNothing() {
+			handle(new AdmissionEvent.DrainStarted());
+			handle(new AdmissionEvent.DrainStarted());
 			assertThat(all(AdmissionAction.Drained.class)).hasSize(1);
 		}
 
@@ -248,40 +248,40 @@
 	@Nested
 	class Crashes {
 
-		private void crashes(String request) {
-			happens(new AdmissionEvent.AttemptFailed(new AttemptId(new RequestId(request), 1), Verdict.MAY_HAVE_RUN,
+		private void crash(String request) {
+			handle(new AdmissionEvent.AttemptFailed(new AttemptId(new RequestId(request), 1), Verdict.MAY_HAVE_RUN,
 					true, Usage.NONE));
 		}
 
 		@Test
-		void suspectRunsWithNothingBeside() {
-			arrives("suspect", "basic", 1);
-			crashes("suspect");
-			arrives("bystander", "basic", 1);
-			happens(new AdmissionEvent.Dispatched(ENTRY,
+		void suspectRunsAlone() {
+			arrive("suspect", "basic", 1);
+			crash("suspect");
+			arrive("bystander", "basic", 1);
+			handle(new AdmissionEvent.Dispatched(ENTRY,
 					new Dispatch(new AttemptId(new RequestId("suspect"), 2), new TeamId("basic"),
 							Templates.ASSISTANT_NAME, 1, SMALL, false, 1, 1, 0, true, false, new Fingerprint("suspect"),
 							"", "body"),
 					1000));
-			assertThat(started()).containsExactly("suspect", "bystander");
-			ends("bystander");
-			arrives("other", "basic", 1);
-			assertThat(started()).containsExactly("suspect", "bystander", "suspect");
+			assertThat(startedRequests()).containsExactly("suspect", "bystander");
+			complete("bystander");
+			arrive("other", "basic", 1);
+			assertThat(startedRequests()).containsExactly("suspect", "bystander", "suspect");
 		}
 
 		@Test
 		void contentThatCrashedAloneIsRefused() {
-			arrives("poison", "basic", 1);
-			crashes("poison");
-			happens(new AdmissionEvent.SuspectAnnounced(
+			arrive("poison", "basic", 1);
+			crash("poison");
+			handle(new AdmissionEvent.SuspectAnnounced(
 					new Suspicion(new Fingerprint("poison"), Set.of(new AttemptId(new RequestId("poison"), 2)), true)));
-			arrives("again", "basic", 1);
-			happens(new AdmissionEvent.Dispatched(ENTRY,
+			arrive("again", "basic", 1);
+			handle(new AdmissionEvent.Dispatched(ENTRY,
 					new Dispatch(new AttemptId(new RequestId("poison"), 3), new TeamId("basic"),
 							Templates.ASSISTANT_NAME, 1, SMALL, false, 1, 1, 0, true, false, new Fingerprint("poison"),
 							"", "body"),
 					1000));
-			assertThat(refused()).isEqualTo(RefusalReason.POISON);
+			assertThat(firstRefusalReason()).isEqualTo(RefusalReason.POISON);
 		}
 
 	}
@@ -294,36 +294,36 @@
 		 * after a tenth of a second without one.
 		 */
 		@Test
-		void endOfAnAnswerWaitsForACopyOfItsLine() {
-			happens(new AdmissionEvent.EntryUp(ENTRY));
-			happens(new AdmissionEvent.EntryUp(new NodeId("entry-2")));
-			arrives("a", "basic", 1);
-			ends("a");
+		void answerEndWaitsForTheCopyOfItsLine() {
+			handle(new AdmissionEvent.EntryUp(ENTRY));
+			handle(new AdmissionEvent.EntryUp(new NodeId("entry-2")));
+			arrive("a", "basic", 1);
+			complete("a");
 			assertThat(all(AdmissionAction.CopyLine.class).get(0).holder()).isEqualTo(new NodeId("entry-2"));
 			assertThat(all(AdmissionAction.SendDone.class)).isEmpty();
-			happens(new AdmissionEvent.CopyHeld(new AttemptId(new RequestId("a"), 1)));
+			handle(new AdmissionEvent.CopyHeld(new AttemptId(new RequestId("a"), 1)));
 			assertThat(all(AdmissionAction.SendDone.class)).hasSize(1);
 		}
 
 		@Test
-		void endOfAnAnswerDoesNotWaitForALostCopy() {
-			happens(new AdmissionEvent.EntryUp(new NodeId("entry-2")));
-			arrives("a", "basic", 1);
-			ends("a");
+		void answerEndIsSentWithoutACopyAfterTheTimeout() {
+			handle(new AdmissionEvent.EntryUp(new NodeId("entry-2")));
+			arrive("a", "basic", 1);
+			complete("a");
 			AdmissionTests.this.now += 100;
-			happens(new AdmissionEvent.Tick());
+			handle(new AdmissionEvent.Tick());
 			assertThat(all(AdmissionAction.SendDone.class)).hasSize(1);
 		}
 
 		@Test
-		void lostEntryStopsItsChatsAndLetsItsOrdersEnd() {
-			arrives("chat", "basic", 1);
-			happens(new AdmissionEvent.Dispatched(ENTRY,
+		void lostEntryAbortsRepeatableAttemptsOnly() {
+			arrive("chat", "basic", 1);
+			handle(new AdmissionEvent.Dispatched(ENTRY,
 					new Dispatch(new AttemptId(new RequestId("order"), 1), new TeamId("basic"),
 							Templates.ASSISTANT_NAME, 1, SMALL, false, 1, 1, 0, false, false, new Fingerprint("order"),
 							"", "body"),
 					1000));
-			happens(new AdmissionEvent.EntryDown(ENTRY));
+			handle(new AdmissionEvent.EntryDown(ENTRY));
 			assertThat(all(AdmissionAction.Abort.class)).extracting((abort) -> abort.attempt().request().value())
 				.containsExactly("chat");
 		}
--- a/core/src/test/java/org/gullsaddle/route/RouterTests.java
+++ b/core/src/test/java/org/gullsaddle/route/RouterTests.java
@@ -56,22 +56,22 @@
 
 	@BeforeEach
 	void start() {
-		happens(new RouterEvent.TemplateChanged(Templates.revision(1, this.template)));
-		up("agent-1", SMALL, LARGE);
-		up("agent-2", SMALL, LARGE);
+		handle(new RouterEvent.TemplateChanged(Templates.revision(1, this.template)));
+		agentUp("agent-1", SMALL, LARGE);
+		agentUp("agent-2", SMALL, LARGE);
 	}
 
-	private void happens(RouterEvent event) {
+	private void handle(RouterEvent event) {
 		this.actions.addAll(this.router.handle(Moment.at(this.now), event));
 	}
 
-	private void up(String agent, ModelVersion... versions) {
-		happens(new RouterEvent.AgentUp(
+	private void agentUp(String agent, ModelVersion... versions) {
+		handle(new RouterEvent.AgentUp(
 				new AgentInfo(new NodeId(agent), "west", "west-1", Set.of(versions), new LoadReport(0, 0, 4))));
 	}
 
-	private void arrives(IncomingRequest.Builder request) {
-		happens(new RouterEvent.RequestArrived(request.deadline(this.now + 1000).build()));
+	private void arrive(IncomingRequest.Builder request) {
+		handle(new RouterEvent.RequestArrived(request.deadline(this.now + 1000).build()));
 	}
 
 	private static IncomingRequest.Builder chat(String team) {
@@ -86,13 +86,13 @@
 		return all(type).get(all(type).size() - 1);
 	}
 
-	private Dispatch sent() {
+	private Dispatch lastDispatch() {
 		return last(RouterAction.Send.class).dispatch();
 	}
 
-	private void answers(AttemptId attempt, String text) {
-		happens(new RouterEvent.AttemptChunk(attempt, 0, text));
-		happens(new RouterEvent.AttemptDone(attempt, STOP, text.length()));
+	private void answer(AttemptId attempt, String text) {
+		handle(new RouterEvent.AttemptChunk(attempt, 0, text));
+		handle(new RouterEvent.AttemptDone(attempt, STOP, text.length()));
 	}
 
 	@Nested
@@ -100,8 +100,8 @@
 
 		@Test
 		void directAnswerIsDeliveredCompletedAndRecordedOnce() {
-			arrives(chat("basic"));
-			answers(sent().attempt(), "hello");
+			arrive(chat("basic"));
+			answer(lastDispatch().attempt(), "hello");
 			assertThat(last(RouterAction.Deliver.class).text()).isEqualTo("hello");
 			assertThat(last(RouterAction.Complete.class).costMicros()).isEqualTo(20);
 			assertThat(all(RouterAction.WriteRecord.class)).hasSize(1);
@@ -109,23 +109,23 @@
 		}
 
 		@Test
-		void cheapAnswerThatReachesTheBarIsTheAnswer() {
-			arrives(chat("gold"));
-			assertThat(sent().version()).isEqualTo(SMALL);
-			answers(sent().attempt(), "cheap");
+		void answerThatPassesTheThresholdEndsTheCascade() {
+			arrive(chat("gold"));
+			assertThat(lastDispatch().version()).isEqualTo(SMALL);
+			answer(lastDispatch().attempt(), "cheap");
 			assertThat(all(RouterAction.Deliver.class)).isEmpty();
-			happens(new RouterEvent.AnswerRated(sent().attempt(), OptionalDouble.of(0.9)));
+			handle(new RouterEvent.AnswerRated(lastDispatch().attempt(), OptionalDouble.of(0.9)));
 			assertThat(last(RouterAction.Complete.class).servedBy()).isEqualTo("small@v1");
 			assertThat(last(RouterAction.Complete.class).completion()).isEqualTo(STOP);
 		}
 
 		@Test
-		void cheapAnswerThatMissesTheBarIsReplacedAndBothArePaid() {
-			arrives(chat("gold"));
-			answers(sent().attempt(), "cheap");
-			happens(new RouterEvent.AnswerRated(sent().attempt(), OptionalDouble.of(0.2)));
-			assertThat(sent().version()).isEqualTo(LARGE);
-			answers(sent().attempt(), "dear");
+		void answerBelowTheThresholdIsReplacedAndBothAttemptsAreCharged() {
+			arrive(chat("gold"));
+			answer(lastDispatch().attempt(), "cheap");
+			handle(new RouterEvent.AnswerRated(lastDispatch().attempt(), OptionalDouble.of(0.2)));
+			assertThat(lastDispatch().version()).isEqualTo(LARGE);
+			answer(lastDispatch().attempt(), "dear");
 			assertThat(last(RouterAction.Deliver.class).text()).isEqualTo("dear");
 			assertThat(last(RouterAction.Complete.class).costMicros()).isEqualTo(20 + 200);
 		}
@@ -135,11 +135,11 @@
 		 * the dear one. The caller gets the cheap one, which is worth more than none.
 		 */
 		@Test
-		void cheapAnswerIsGivenWhenNoBetterOneCanBeHad() {
-			arrives(chat("gold"));
-			answers(sent().attempt(), "cheap");
-			happens(new RouterEvent.AnswerRated(sent().attempt(), OptionalDouble.of(0.2)));
-			happens(new RouterEvent.AttemptRefused(sent().attempt(), Refusal.notRun(RefusalReason.DEADLINE, 0)));
+		void answerBelowTheThresholdIsServedWhenTheNextStageFails() {
+			arrive(chat("gold"));
+			answer(lastDispatch().attempt(), "cheap");
+			handle(new RouterEvent.AnswerRated(lastDispatch().attempt(), OptionalDouble.of(0.2)));
+			handle(new RouterEvent.AttemptRefused(lastDispatch().attempt(), Refusal.notRun(RefusalReason.DEADLINE, 0)));
 			assertThat(last(RouterAction.Deliver.class).text()).isEqualTo("cheap");
 			assertThat(last(RouterAction.WriteRecord.class).record().outcome()).isEqualTo("served-below-target");
 			assertThat(all(RouterAction.Refuse.class)).isEmpty();
@@ -151,19 +151,20 @@
 		 * count as free, or it would get less work after each such end and none at last.
 		 */
 		@Test
-		void attemptThatEndsAfterItsRequestFreesItsServer() {
+		void attemptThatEndsAfterItsRequestNoLongerCountsAsLoad() {
 			for (int i = 0; i < 8; i++) {
 				RequestId id = new RequestId("late-" + i);
-				happens(new RouterEvent.RequestArrived(
+				handle(new RouterEvent.RequestArrived(
 						IncomingRequest.builder(id, new TeamId("gold"), Templates.ASSISTANT_NAME)
 							.prefixHash(7)
 							.deadline(RouterTests.this.now + 1000)
 							.build()));
-				answers(sent().attempt(), "cheap");
-				happens(new RouterEvent.AnswerRated(sent().attempt(), OptionalDouble.of(0.2)));
+				answer(lastDispatch().attempt(), "cheap");
+				handle(new RouterEvent.AnswerRated(lastDispatch().attempt(), OptionalDouble.of(0.2)));
 				RouterTests.this.now += 1000;
-				happens(new RouterEvent.Tick());
-				happens(new RouterEvent.AttemptFailed(sent().attempt(), Verdict.MAY_HAVE_RUN, false, Usage.NONE));
+				handle(new RouterEvent.Tick());
+				handle(new RouterEvent.AttemptFailed(lastDispatch().attempt(), Verdict.MAY_HAVE_RUN, false,
+						Usage.NONE));
 			}
 			assertThat(all(RouterAction.Complete.class)).hasSize(8);
 			assertThat(all(RouterAction.Send.class)).hasSize(16)
@@ -176,16 +177,16 @@
 		 * goes on from them on another one, on the same version.
 		 */
 		@Test
-		void brokenStreamGoesOnFromWhatWasDelivered() {
-			arrives(chat("basic"));
-			AttemptId first = sent().attempt();
-			happens(new RouterEvent.AttemptChunk(first, 0, "two words"));
-			happens(new RouterEvent.AttemptFailed(first, Verdict.MAY_HAVE_RUN, false, Usage.NONE));
-			assertThat(sent().resume()).isEqualTo("two words");
+		void brokenStreamResumesAfterTheDeliveredText() {
+			arrive(chat("basic"));
+			AttemptId first = lastDispatch().attempt();
+			handle(new RouterEvent.AttemptChunk(first, 0, "two words"));
+			handle(new RouterEvent.AttemptFailed(first, Verdict.MAY_HAVE_RUN, false, Usage.NONE));
+			assertThat(lastDispatch().resume()).isEqualTo("two words");
 			assertThat(all(RouterAction.Send.class)).extracting(RouterAction.Send::agent).doesNotHaveDuplicates();
-			happens(new RouterEvent.AttemptChunk(first, 9, " of the first attempt, late"));
-			happens(new RouterEvent.AttemptChunk(sent().attempt(), 9, " more"));
-			happens(new RouterEvent.AttemptDone(sent().attempt(), STOP, 14));
+			handle(new RouterEvent.AttemptChunk(first, 9, " of the first attempt, late"));
+			handle(new RouterEvent.AttemptChunk(lastDispatch().attempt(), 9, " more"));
+			handle(new RouterEvent.AttemptDone(lastDispatch().attempt(), STOP, 14));
 			assertThat(all(RouterAction.Deliver.class)).extracting(RouterAction.Deliver::text)
 				.containsExactly("two words", " more");
 		}
@@ -194,15 +195,16 @@
 		 * Guards against a stream that is cut off beside a backend server that is free.
 		 */
 		@Test
-		void brokenStreamGoesOnWhereItWasRefusedBefore() {
-			arrives(chat("basic"));
+		void brokenStreamResumesOnAnAgentThatRefusedEarlier() {
+			arrive(chat("basic"));
 			NodeId refusing = last(RouterAction.Send.class).agent();
-			happens(new RouterEvent.AttemptRefused(sent().attempt(), Refusal.notRun(RefusalReason.FORBIDDEN, 0)));
+			handle(new RouterEvent.AttemptRefused(lastDispatch().attempt(),
+					Refusal.notRun(RefusalReason.FORBIDDEN, 0)));
 			NodeId killed = last(RouterAction.Send.class).agent();
-			happens(new RouterEvent.AttemptChunk(sent().attempt(), 0, "two words"));
-			happens(new RouterEvent.AgentDown(killed));
+			handle(new RouterEvent.AttemptChunk(lastDispatch().attempt(), 0, "two words"));
+			handle(new RouterEvent.AgentDown(killed));
 			assertThat(last(RouterAction.Send.class).agent()).isEqualTo(refusing);
-			assertThat(sent().resume()).isEqualTo("two words");
+			assertThat(lastDispatch().resume()).isEqualTo("two words");
 			assertThat(all(RouterAction.Refuse.class)).isEmpty();
 		}
 
@@ -211,21 +213,22 @@
 		 * caller a wrong answer that looks whole.
 		 */
 		@Test
-		void missingPartBreaksTheAttemptAndIsNotSplicedOver() {
-			arrives(chat("basic"));
-			AttemptId first = sent().attempt();
-			happens(new RouterEvent.AttemptChunk(first, 0, "one "));
-			happens(new RouterEvent.AttemptChunk(first, 8, "three"));
+		void missingChunkBreaksOffTheAttempt() {
+			arrive(chat("basic"));
+			AttemptId first = lastDispatch().attempt();
+			handle(new RouterEvent.AttemptChunk(first, 0, "one "));
+			handle(new RouterEvent.AttemptChunk(first, 8, "three"));
 			assertThat(last(RouterAction.Cancel.class).attempt()).isEqualTo(first);
-			assertThat(sent().resume()).isEqualTo("one ");
+			assertThat(lastDispatch().resume()).isEqualTo("one ");
 		}
 
 		@Test
-		void callerThatLeavesStopsItsAttempt() {
-			arrives(chat("basic"));
-			happens(new RouterEvent.CallerDisconnected(REQUEST));
-			assertThat(last(RouterAction.Cancel.class).attempt()).isEqualTo(sent().attempt());
-			happens(new RouterEvent.AttemptFailed(sent().attempt(), Verdict.MAY_HAVE_RUN, false, new Usage(5, 7)));
+		void disconnectedCallerCancelsItsAttempt() {
+			arrive(chat("basic"));
+			handle(new RouterEvent.CallerDisconnected(REQUEST));
+			assertThat(last(RouterAction.Cancel.class).attempt()).isEqualTo(lastDispatch().attempt());
+			handle(new RouterEvent.AttemptFailed(lastDispatch().attempt(), Verdict.MAY_HAVE_RUN, false,
+					new Usage(5, 7)));
 			assertThat(last(RouterAction.WriteRecord.class).record().costMicros()).isEqualTo(7);
 		}
 
@@ -237,13 +240,13 @@
 		@ParameterizedTest
 		@CsvSource({ "overloaded, true", "backend-leaving, true", "version-forbidden, true",
 				"deadline-exceeded, false" })
-		void refusedAttemptIsTriedElsewhereWhereThatHelps(String reason, boolean again) {
-			arrives(chat("basic"));
+		void refusedAttemptIsRetriedElsewhereUnlessItsDeadlinePassed(String reason, boolean again) {
+			arrive(chat("basic"));
 			RefusalReason why = Arrays.stream(RefusalReason.values())
 				.filter((each) -> each.toString().equals(reason))
 				.findFirst()
 				.orElseThrow();
-			happens(new RouterEvent.AttemptRefused(sent().attempt(), Refusal.notRun(why, 100)));
+			handle(new RouterEvent.AttemptRefused(lastDispatch().attempt(), Refusal.notRun(why, 100)));
 			assertThat(all(RouterAction.Send.class)).hasSize(again ? 2 : 1);
 			if (!again) {
 				assertThat(last(RouterAction.Refuse.class).refusal().verdict()).isEqualTo(Verdict.NOT_RUN);
@@ -251,10 +254,10 @@
 		}
 
 		@Test
-		void finalAnswerComesAtOnceAndTellsWhenToComeBack() {
-			happens(new RouterEvent.AgentDown(new NodeId("agent-1")));
-			happens(new RouterEvent.AgentDown(new NodeId("agent-2")));
-			arrives(chat("basic"));
+		void requestWithoutAgentsIsRefusedAtOnceWithRetryAfter() {
+			handle(new RouterEvent.AgentDown(new NodeId("agent-1")));
+			handle(new RouterEvent.AgentDown(new NodeId("agent-2")));
+			arrive(chat("basic"));
 			Refusal refusal = last(RouterAction.Refuse.class).refusal();
 			assertThat(refusal.reason()).isEqualTo(RefusalReason.NO_VERSION);
 			assertThat(refusal.verdict()).isEqualTo(Verdict.NOT_RUN);
@@ -262,10 +265,10 @@
 		}
 
 		@Test
-		void deadlineGivesAFinalAnswerThatDoesNotDenyWhatMayRun() {
-			arrives(chat("basic"));
+		void requestThatRunsAtItsDeadlineMayHaveRun() {
+			arrive(chat("basic"));
 			RouterTests.this.now += 1000;
-			happens(new RouterEvent.Tick());
+			handle(new RouterEvent.Tick());
 			assertThat(last(RouterAction.Refuse.class).refusal().reason()).isEqualTo(RefusalReason.DEADLINE);
 			assertThat(last(RouterAction.Refuse.class).refusal().verdict()).isEqualTo(Verdict.MAY_HAVE_RUN);
 			assertThat(all(RouterAction.Cancel.class)).hasSize(1);
@@ -276,15 +279,17 @@
 		 * times, and the load would feed itself.
 		 */
 		@Test
-		void retriesStayASmallShareWhenEverythingFails() {
+		void retryBudgetBoundsRetriesWhenEveryAttemptFails() {
 			for (int i = 0; i < 500; i++) {
 				RequestId id = new RequestId("many-" + i);
-				happens(new RouterEvent.RequestArrived(
+				handle(new RouterEvent.RequestArrived(
 						IncomingRequest.builder(id, new TeamId("basic"), Templates.ASSISTANT_NAME)
 							.deadline(5000)
 							.build()));
-				while (sent().attempt().request().equals(id) && RouterTests.this.router.openRequestCount() > 0) {
-					happens(new RouterEvent.AttemptFailed(sent().attempt(), Verdict.MAY_HAVE_RUN, false, Usage.NONE));
+				while (lastDispatch().attempt().request().equals(id)
+						&& RouterTests.this.router.openRequestCount() > 0) {
+					handle(new RouterEvent.AttemptFailed(lastDispatch().attempt(), Verdict.MAY_HAVE_RUN, false,
+							Usage.NONE));
 				}
 			}
 			assertThat(all(RouterAction.Send.class).size()).isBetween(500, 500 + 50 + 10);
@@ -293,21 +298,21 @@
 	}
 
 	@Nested
-	class OnceOnly {
+	class AtMostOnce {
 
 		@BeforeEach
-		void order() {
-			arrives(chat("basic").atMostOnce("key-1"));
+		void arriveWithKey() {
+			arrive(chat("basic").atMostOnce("key-1"));
 		}
 
-		private void claimed(ClaimResult answer) {
-			happens(new RouterEvent.ClaimCompleted(REQUEST, answer));
+		private void completeClaim(ClaimResult answer) {
+			handle(new RouterEvent.ClaimCompleted(REQUEST, answer));
 		}
 
 		@Test
 		void nothingIsSentBeforeTheKeyIsClaimed() {
 			assertThat(all(RouterAction.Send.class)).isEmpty();
-			claimed(new ClaimResult.Granted());
+			completeClaim(new ClaimResult.Granted());
 			assertThat(all(RouterAction.Send.class)).hasSize(1);
 		}
 
@@ -318,28 +323,28 @@
 		@ParameterizedTest
 		@CsvSource({ "no-link, NOT_RUN, true", "refused, NOT_RUN, true", "cut, MAY_HAVE_RUN, false",
 				"failed, MAY_HAVE_RUN, false", "deadline, MAY_HAVE_RUN, false" })
-		void faultAfterTheClaim(String fault, Verdict verdict, boolean released) {
-			claimed(new ClaimResult.Granted());
+		void faultAfterTheClaimDecidesVerdictAndRelease(String fault, Verdict verdict, boolean released) {
+			completeClaim(new ClaimResult.Granted());
 			for (int i = 0; i < 4 && all(RouterAction.Refuse.class).isEmpty(); i++) {
-				breakOff(fault);
+				injectFault(fault);
 			}
 			assertThat(last(RouterAction.Refuse.class).refusal().verdict()).isEqualTo(verdict);
 			assertThat(all(RouterAction.ReleaseClaim.class)).hasSize(released ? 1 : 0);
 			assertThat(all(RouterAction.Send.class).size()).isEqualTo((verdict == Verdict.NOT_RUN) ? 2 : 1);
 		}
 
-		private void breakOff(String fault) {
-			AttemptId attempt = sent().attempt();
+		private void injectFault(String fault) {
+			AttemptId attempt = lastDispatch().attempt();
 			switch (fault) {
-				case "no-link" -> happens(new RouterEvent.AttemptFailed(attempt, Verdict.NOT_RUN, false, Usage.NONE));
+				case "no-link" -> handle(new RouterEvent.AttemptFailed(attempt, Verdict.NOT_RUN, false, Usage.NONE));
 				case "refused" ->
-					happens(new RouterEvent.AttemptRefused(attempt, Refusal.notRun(RefusalReason.LEAVING, 10)));
-				case "cut" -> happens(new RouterEvent.AgentDown(last(RouterAction.Send.class).agent()));
+					handle(new RouterEvent.AttemptRefused(attempt, Refusal.notRun(RefusalReason.LEAVING, 10)));
+				case "cut" -> handle(new RouterEvent.AgentDown(last(RouterAction.Send.class).agent()));
 				case "failed" ->
-					happens(new RouterEvent.AttemptFailed(attempt, Verdict.MAY_HAVE_RUN, false, Usage.NONE));
+					handle(new RouterEvent.AttemptFailed(attempt, Verdict.MAY_HAVE_RUN, false, Usage.NONE));
 				default -> {
 					RouterTests.this.now += 1000;
-					happens(new RouterEvent.Tick());
+					handle(new RouterEvent.Tick());
 				}
 			}
 		}
@@ -347,23 +352,23 @@
 		@ParameterizedTest
 		@CsvSource({ "in-use, KEY_IN_USE, MAY_HAVE_RUN", "differs, KEY_REUSED, NOT_RUN",
 				"unavailable, STORE_UNAVAILABLE, NOT_RUN" })
-		void claimThatIsNotGranted(String answer, RefusalReason reason, Verdict verdict) {
+		void requestWhoseClaimIsNotGrantedIsRefused(String answer, RefusalReason reason, Verdict verdict) {
 			ClaimResult given = switch (answer) {
 				case "in-use" -> new ClaimResult.InUse();
 				case "differs" -> new ClaimResult.ContentDiffers();
 				default -> new ClaimResult.Unavailable();
 			};
-			claimed(given);
+			completeClaim(given);
 			assertThat(last(RouterAction.Refuse.class).refusal().reason()).isEqualTo(reason);
 			assertThat(last(RouterAction.Refuse.class).refusal().verdict()).isEqualTo(verdict);
 			assertThat(all(RouterAction.Send.class)).isEmpty();
 		}
 
 		@Test
-		void callSentAgainGetsTheAnswerOfTheFirst() {
-			booked();
+		void repeatedCallGetsTheStoredAnswer() {
+			completeClaimWithStoredAnswer();
 			assertThat(all(RouterAction.Deliver.class)).isEmpty();
-			happens(new RouterEvent.RecordStored(REQUEST));
+			handle(new RouterEvent.RecordStored(REQUEST));
 			assertThat(last(RouterAction.Deliver.class).text()).isEqualTo("booked");
 			assertThat(last(RouterAction.Complete.class).costMicros()).isZero();
 			assertThat(all(RouterAction.Send.class)).isEmpty();
@@ -374,27 +379,27 @@
 		 * caller is told that it may have run, and the answer does not follow.
 		 */
 		@Test
-		void callSentAgainWhoseRecordIsNotKeptInTimeMayHaveRun() {
-			booked();
+		void repeatedCallWhoseRecordIsNotStoredInTimeMayHaveRun() {
+			completeClaimWithStoredAnswer();
 			RouterTests.this.now += 1000;
-			happens(new RouterEvent.Tick());
-			happens(new RouterEvent.RecordStored(REQUEST));
+			handle(new RouterEvent.Tick());
+			handle(new RouterEvent.RecordStored(REQUEST));
 			assertThat(last(RouterAction.Refuse.class).refusal().reason()).isEqualTo(RefusalReason.DEADLINE);
 			assertThat(last(RouterAction.Refuse.class).refusal().verdict()).isEqualTo(Verdict.MAY_HAVE_RUN);
 			assertThat(all(RouterAction.Complete.class)).isEmpty();
 		}
 
 		@Test
-		void callSentAgainWhoseCallerLeavesGetsNothing() {
-			booked();
-			happens(new RouterEvent.CallerDisconnected(REQUEST));
-			happens(new RouterEvent.RecordStored(REQUEST));
+		void repeatedCallWhoseCallerDisconnectsGetsNoAnswer() {
+			completeClaimWithStoredAnswer();
+			handle(new RouterEvent.CallerDisconnected(REQUEST));
+			handle(new RouterEvent.RecordStored(REQUEST));
 			assertThat(all(RouterAction.Deliver.class)).isEmpty();
 			assertThat(last(RouterAction.WriteRecord.class).record().outcome()).isEqualTo("caller-gone");
 		}
 
-		private void booked() {
-			claimed(new ClaimResult.Finished(new CallOutcome(new RequestId("r0"), "small@v1", STOP, "booked")));
+		private void completeClaimWithStoredAnswer() {
+			completeClaim(new ClaimResult.Finished(new CallOutcome(new RequestId("r0"), "small@v1", STOP, "booked")));
 		}
 
 		/**
@@ -403,13 +408,13 @@
 		 * it asks again.
 		 */
 		@Test
-		void lateAnswerIsKeptWholeForTheCallSentAgain() {
-			claimed(new ClaimResult.Granted());
-			AttemptId attempt = sent().attempt();
-			happens(new RouterEvent.AttemptChunk(attempt, 0, "boo"));
-			breakOff("deadline");
-			happens(new RouterEvent.AttemptChunk(attempt, 3, "ked"));
-			happens(new RouterEvent.AttemptDone(attempt, STOP, 6));
+		void lateAnswerIsStoredWholeForARepeatedCall() {
+			completeClaim(new ClaimResult.Granted());
+			AttemptId attempt = lastDispatch().attempt();
+			handle(new RouterEvent.AttemptChunk(attempt, 0, "boo"));
+			injectFault("deadline");
+			handle(new RouterEvent.AttemptChunk(attempt, 3, "ked"));
+			handle(new RouterEvent.AttemptDone(attempt, STOP, 6));
 			assertThat(last(RouterAction.CompleteClaim.class).outcome().text()).isEqualTo("booked");
 			assertThat(all(RouterAction.Cancel.class)).isEmpty();
 		}
@@ -419,11 +424,11 @@
 		 * The order must not be sent any more, and its key is given back.
 		 */
 		@Test
-		void claimGrantedTooLateIsGivenBack() {
+		void claimGrantedAfterTheRefusalSendsNothing() {
 			RouterTests.this.now += 1000;
-			happens(new RouterEvent.Tick());
+			handle(new RouterEvent.Tick());
 			assertThat(last(RouterAction.Refuse.class).refusal().verdict()).isEqualTo(Verdict.NOT_RUN);
-			claimed(new ClaimResult.Granted());
+			completeClaim(new ClaimResult.Granted());
 			assertThat(all(RouterAction.Send.class)).isEmpty();
 		}
 
@@ -432,8 +437,8 @@
 	@Nested
 	class Sessions {
 
-		private void turn(String request, ModelVersion token) {
-			happens(new RouterEvent.RequestArrived(
+		private void arriveInSession(String request, ModelVersion token) {
+			handle(new RouterEvent.RequestArrived(
 					IncomingRequest.builder(new RequestId(request), new TeamId("gold"), Templates.ASSISTANT_NAME)
 						.session(new SessionId("s1"))
 						.pinnedVersion(token)
@@ -442,33 +447,33 @@
 		}
 
 		@Test
-		void tokenDecidesWithoutTheStore() {
-			turn("r1", LARGE);
-			assertThat(sent().version()).isEqualTo(LARGE);
-			assertThat(sent().pinned()).isTrue();
+		void sessionTokenPinsTheVersionWithoutTheStore() {
+			arriveInSession("r1", LARGE);
+			assertThat(lastDispatch().version()).isEqualTo(LARGE);
+			assertThat(lastDispatch().pinned()).isTrue();
 			assertThat(all(RouterAction.PinSession.class)).isEmpty();
 		}
 
 		@Test
-		void sessionRunsDirectlyOnTheVersionThatTheStoreTells() {
-			turn("r1", null);
-			happens(new RouterEvent.PinCompleted(new RequestId("r1"), Optional.of(SMALL)));
-			assertThat(sent().version()).isEqualTo(SMALL);
+		void sessionRunsOnTheVersionPinnedInTheStore() {
+			arriveInSession("r1", null);
+			handle(new RouterEvent.PinCompleted(new RequestId("r1"), Optional.of(SMALL)));
+			assertThat(lastDispatch().version()).isEqualTo(SMALL);
 		}
 
 		@Test
-		void unknownVersionRefusesAndTakesNoOther() {
-			turn("r1", null);
-			happens(new RouterEvent.PinCompleted(new RequestId("r1"), Optional.empty()));
+		void sessionWhoseVersionIsUnknownIsRefused() {
+			arriveInSession("r1", null);
+			handle(new RouterEvent.PinCompleted(new RequestId("r1"), Optional.empty()));
 			assertThat(last(RouterAction.Refuse.class).refusal().reason()).isEqualTo(RefusalReason.STORE_UNAVAILABLE);
 			assertThat(all(RouterAction.Send.class)).isEmpty();
 		}
 
 		@Test
-		void withdrawnVersionIsReplacedOnce() {
+		void withdrawnVersionOfASessionIsReplaced() {
 			Template changed = RouterTests.this.template.withState(SMALL, VersionState.WITHDRAWN);
-			happens(new RouterEvent.TemplateChanged(Templates.revision(2, changed)));
-			turn("r1", SMALL);
+			handle(new RouterEvent.TemplateChanged(Templates.revision(2, changed)));
+			arriveInSession("r1", SMALL);
 			assertThat(last(RouterAction.PinSession.class).replaced()).isEqualTo(SMALL);
 			assertThat(last(RouterAction.PinSession.class).proposed()).isEqualTo(LARGE);
 		}
@@ -476,28 +481,28 @@
 	}
 
 	@Nested
-	class Failures {
+	class Ejection {
 
 		/**
 		 * One backend server fails everything at once, and so always looks empty. Without
 		 * being left out for a while it would draw all work to itself.
 		 */
 		@Test
-		void serverThatFailsInARowIsLeftOut() {
+		void agentWithConsecutiveFailuresIsEjected() {
 			for (int i = 0; i < 40; i++) {
 				RequestId id = new RequestId("r-" + i);
-				happens(new RouterEvent.RequestArrived(
+				handle(new RouterEvent.RequestArrived(
 						IncomingRequest.builder(id, new TeamId("basic"), Templates.ASSISTANT_NAME)
 							.prefixHash(i)
 							.deadline(1000)
 							.build()));
 				while (RouterTests.this.router.openRequestCount() > 0) {
-					AttemptId attempt = sent().attempt();
+					AttemptId attempt = lastDispatch().attempt();
 					if (last(RouterAction.Send.class).agent().value().equals("agent-1")) {
-						happens(new RouterEvent.AttemptFailed(attempt, Verdict.MAY_HAVE_RUN, false, Usage.NONE));
+						handle(new RouterEvent.AttemptFailed(attempt, Verdict.MAY_HAVE_RUN, false, Usage.NONE));
 					}
 					else {
-						answers(attempt, "ok");
+						answer(attempt, "ok");
 					}
 				}
 			}
@@ -509,13 +514,13 @@
 	}
 
 	@Nested
-	class Leaving {
+	class AgentsAndConfiguration {
 
 		@Test
-		void leavingBackendServerGetsNoNewWork() {
-			happens(new RouterEvent.AgentLeaving(new NodeId("agent-1")));
+		void leavingAgentGetsNoNewWork() {
+			handle(new RouterEvent.AgentLeaving(new NodeId("agent-1")));
 			for (int i = 0; i < 20; i++) {
-				happens(new RouterEvent.RequestArrived(
+				handle(new RouterEvent.RequestArrived(
 						IncomingRequest.builder(new RequestId("r-" + i), new TeamId("basic"), Templates.ASSISTANT_NAME)
 							.prefixHash(i)
 							.deadline(1000)
@@ -525,11 +530,11 @@
 		}
 
 		@Test
-		void cutOffNodeRefusesForTeamsThatSaySo() {
+		void cutOffNodeRefusesTeamsThatAskForIt() {
 			Template strict = Templates.parse(Templates.ASSISTANT.replace("basic: {", "basic: {cutOff: refuse, "));
-			happens(new RouterEvent.TemplateChanged(Templates.revision(2, strict)));
-			happens(new RouterEvent.FreshnessChanged(true));
-			arrives(chat("basic"));
+			handle(new RouterEvent.TemplateChanged(Templates.revision(2, strict)));
+			handle(new RouterEvent.FreshnessChanged(true));
+			arrive(chat("basic"));
 			assertThat(last(RouterAction.Refuse.class).refusal().reason()).isEqualTo(RefusalReason.FORBIDDEN);
 		}
 
