--- a/core/src/main/java/org/gullsaddle/route/AgentState.java
+++ b/core/src/main/java/org/gullsaddle/route/AgentState.java
@@ -9,7 +9,8 @@
 import org.gullsaddle.serve.Ejection;
 
 /**
- * What the router knows of one agent.
+ * An agent as the router sees it: its versions, its reported load and the attempts
+ * outstanding there.
  */
 final class AgentState {
 
@@ -68,7 +69,7 @@
 	}
 
 	/**
-	 * Notes a failure; true if it is the first since a success.
+	 * Records a failure. Returns whether it is the first since a success.
 	 */
 	boolean recordFailure(long now) {
 		return this.ejection.failed(now);
@@ -79,7 +80,8 @@
 	}
 
 	/**
-	 * Returns how full the backend server is likely to be; 1 is as many as it can run.
+	 * Returns the estimated load of the backend server, as a ratio of the requests it can
+	 * run at once.
 	 */
 	double loadRatio() {
 		return (this.outstandingAttempts.size() + this.peerLoad.requests()) / this.load.slots();
--- a/core/src/main/java/org/gullsaddle/route/LoadBalancer.java
+++ b/core/src/main/java/org/gullsaddle/route/LoadBalancer.java
@@ -20,12 +20,16 @@
 import org.gullsaddle.base.NodeId;
 
 /**
- * Knows the agents and picks one for an attempt: near before far, the one that likely has
- * the prompt's prefix cached while that has room, otherwise the emptiest.
+ * Chooses the agent for an attempt among those that are connected. The same data center
+ * comes before the same region, and that before other regions. Among agents of equal
+ * distance it prefers the one that is likely to have the prompt's prefix cached, as long
+ * as that has capacity, otherwise the one with the least load.
  */
 final class LoadBalancer {
 
-	/** Up to where a backend server is sure to have room, whatever the others send it. */
+	/**
+	 * Up to this load ratio a backend server has capacity even if peers send to it too.
+	 */
 	private static final double SAFE_LOAD_RATIO = 0.5;
 
 	private final Map<NodeId, AgentState> agents = new TreeMap<>();
@@ -69,7 +73,7 @@
 	}
 
 	/**
-	 * Forgets an agent and returns the attempts that were lost with it.
+	 * Removes an agent and returns its outstanding attempts, which are lost.
 	 */
 	Set<AttemptId> onAgentDown(NodeId agent) {
 		AgentState state = this.agents.remove(agent);
@@ -88,9 +92,9 @@
 	}
 
 	/**
-	 * Notes the end of an attempt, also of one whose request had its end before: left
-	 * out, it would count as running for ever, and its server would get less work after
-	 * each.
+	 * Handles the end of an attempt, also of one whose request has ended before.
+	 * Otherwise it would count as running for ever, and its backend server would get less
+	 * work after each such attempt.
 	 */
 	void onAttemptEnded(AttemptId attempt) {
 		AgentState state = this.agentsByAttempt.remove(attempt);
@@ -107,21 +111,24 @@
 	}
 
 	/**
-	 * Notes that an agent's backend server failed an attempt.
-	 * @return true if that tells against the version too: the first failure of this agent
-	 * since a success, or one of the only agent that serves the version
+	 * Records that an agent's backend server failed an attempt.
+	 * @param now the time in milliseconds
+	 * @param agent the agent
+	 * @param version the version that the attempt ran on
+	 * @return true if the failure counts against the version too: it is the first of this
+	 * agent since a success, or at most one agent serves the version
 	 */
 	boolean recordFailure(long now, NodeId agent, ModelVersion version) {
 		AgentState state = this.agents.get(agent);
-		boolean first = state != null && state.recordFailure(now);
-		return first || this.agents.values()
+		boolean isFirstFailure = state != null && state.recordFailure(now);
+		return isFirstFailure || this.agents.values()
 			.stream()
 			.filter((other) -> other.info().versions().contains(version))
 			.count() <= 1;
 	}
 
 	/**
-	 * Returns the versions that an agent serves which is not leaving.
+	 * Returns the versions served by agents that are not leaving.
 	 */
 	Set<ModelVersion> servedVersions() {
 		Set<ModelVersion> versions = new HashSet<>();
@@ -134,38 +141,38 @@
 	}
 
 	/**
-	 * Picks an agent.
+	 * Chooses an agent for an attempt. Ejected agents are used only if no other is left.
 	 * @param now the time in milliseconds
-	 * @param version the version it must serve
-	 * @param prefixHash the hash of the prompt's start
-	 * @param tried agents that refused or failed the request already
+	 * @param version the version that the agent must serve
+	 * @param prefixHash the hash of the start of the prompt
+	 * @param excluded agents that refused or failed the request already
 	 * @return the agent, or empty if none is left
 	 */
-	Optional<NodeId> chooseAgent(long now, ModelVersion version, long prefixHash, Set<NodeId> tried) {
-		List<AgentState> able = this.agents.values()
+	Optional<NodeId> chooseAgent(long now, ModelVersion version, long prefixHash, Set<NodeId> excluded) {
+		List<AgentState> candidates = this.agents.values()
 			.stream()
 			.filter((agent) -> !agent.isLeaving())
 			.filter((agent) -> agent.info().versions().contains(version))
-			.filter((agent) -> !tried.contains(agent.info().id()))
+			.filter((agent) -> !excluded.contains(agent.info().id()))
 			.toList();
-		List<AgentState> sound = able.stream().filter((agent) -> !agent.isEjected(now)).toList();
-		List<AgentState> near = nearestWithCapacity(sound.isEmpty() ? able : sound);
-		if (near.isEmpty()) {
+		List<AgentState> healthy = candidates.stream().filter((agent) -> !agent.isEjected(now)).toList();
+		List<AgentState> nearest = nearestWithCapacity(healthy.isEmpty() ? candidates : healthy);
+		if (nearest.isEmpty()) {
 			return Optional.empty();
 		}
-		AgentState cached = near.stream()
+		AgentState cached = nearest.stream()
 			.max(Comparator.comparingLong((agent) -> rendezvousScore(agent, prefixHash)))
 			.get();
-		double mean = near.stream().mapToDouble(AgentState::loadRatio).average().orElse(0);
+		double mean = nearest.stream().mapToDouble(AgentState::loadRatio).average().orElse(0);
 		if (cached.loadRatio() <= Math.max(mean, SAFE_LOAD_RATIO) && cached.loadRatio() < 1) {
 			return Optional.of(cached.info().id());
 		}
-		return Optional.of(leastLoaded(near).info().id());
+		return Optional.of(leastLoaded(nearest).info().id());
 	}
 
 	/**
-	 * Picks the emptiest of all, beginning anywhere, so that entries that see the same do
-	 * not all take the first of the emptiest.
+	 * Returns the agent with the least load. The search begins at a random agent, so that
+	 * entries with the same view do not all choose the same one among equals.
 	 */
 	private AgentState leastLoaded(List<AgentState> agents) {
 		int start = this.random.nextInt(agents.size());
@@ -180,21 +187,22 @@
 	}
 
 	/**
-	 * Returns the agents of the nearest ring that has room, or all if none has.
+	 * Returns the agents up to the smallest distance at which one has capacity, or all if
+	 * none has.
 	 */
-	private List<AgentState> nearestWithCapacity(List<AgentState> able) {
-		List<AgentState> ring = new ArrayList<>();
+	private List<AgentState> nearestWithCapacity(List<AgentState> candidates) {
+		List<AgentState> nearest = new ArrayList<>();
 		for (int distance = 0; distance <= 2; distance++) {
-			for (AgentState agent : able) {
+			for (AgentState agent : candidates) {
 				if (distance(agent) == distance) {
-					ring.add(agent);
+					nearest.add(agent);
 				}
 			}
-			if (ring.stream().anyMatch((agent) -> agent.loadRatio() < 1)) {
-				return ring;
+			if (nearest.stream().anyMatch((agent) -> agent.loadRatio() < 1)) {
+				return nearest;
 			}
 		}
-		return ring;
+		return nearest;
 	}
 
 	private int distance(AgentState agent) {
--- a/core/src/main/java/org/gullsaddle/route/Planner.java
+++ b/core/src/main/java/org/gullsaddle/route/Planner.java
@@ -17,16 +17,17 @@
 import org.gullsaddle.template.VersionRule;
 
 /**
- * Chooses the cheapest plan that is expected to meet a team's quality target.
+ * Chooses the cheapest plan that is expected to meet a team's quality target. A plan is
+ * one version or a cascade of two or three, from cheap to expensive.
  */
 final class Planner {
 
-	/** The usage that plans are compared by. */
+	/** The token usage for which the costs of plans are compared. */
 	private static final Usage TYPICAL_USAGE = new Usage(500, 300);
 
 	private static final double PASS_THRESHOLD_BELOW_TARGET = 0.15;
 
-	/** How far above its target a team's mean is aimed at. */
+	/** How far above the target the mean quality of a team is planned. */
 	private static final double TARGET_MARGIN = 0.005;
 
 	private final QualityTracker quality;
@@ -43,29 +44,30 @@
 	 * @param template the template
 	 * @param team the team
 	 * @param served the versions that some backend server serves
-	 * @param unit a number from 0 to 1 that spreads requests over a model's versions
-	 * @param cascades whether answers can be rated now
-	 * @param dice a random number from 0 to 1
-	 * @return the plan, or empty if the team can have no version
+	 * @param spreadUnit a number from 0 to 1 that spreads requests over the versions of a
+	 * model
+	 * @param canRate whether answers can be rated now, which cascades need
+	 * @param random a random number from 0 to 1 for mixing two options
+	 * @return the plan, or empty if no version is available to the team
 	 */
-	Optional<Plan> plan(Template template, TeamId team, Set<ModelVersion> served, double unit, boolean cascades,
-			double dice) {
+	Optional<Plan> plan(Template template, TeamId team, Set<ModelVersion> served, double spreadUnit, boolean canRate,
+			double random) {
 		TeamRule rule = template.team(team).orElse(null);
 		if (rule == null) {
 			return Optional.empty();
 		}
-		Set<ModelVersion> good = new HashSet<>(served);
-		good.removeAll(this.versionGuard.halted(template.name()));
-		List<VersionRule> candidates = candidateVersions(template, team, good, unit);
+		Set<ModelVersion> active = new HashSet<>(served);
+		active.removeAll(this.versionGuard.halted(template.name()));
+		List<VersionRule> candidates = candidateVersions(template, team, active, spreadUnit);
 		if (candidates.isEmpty()) {
-			// With nothing else left, a doubtful answer is worth more than none.
-			candidates = candidateVersions(template, team, served, unit);
+			// Only halted versions are left: a doubtful answer is worth more than none.
+			candidates = candidateVersions(template, team, served, spreadUnit);
 		}
 		List<Option> options = new ArrayList<>();
 		for (VersionRule version : candidates) {
 			options.add(directOption(template, team, rule, version));
 		}
-		if (cascades && template.kind() == TemplateKind.CHAT) {
+		if (canRate && template.kind() == TemplateKind.CHAT) {
 			candidates.sort(Comparator.comparingDouble(Planner::typicalCostMicros));
 			for (int first = 0; first < candidates.size(); first++) {
 				for (int second = first + 1; second < candidates.size(); second++) {
@@ -78,39 +80,42 @@
 				}
 			}
 		}
-		return chooseOption(options, rule.qualityTarget(), dice).map(Option::plan);
+		return chooseOption(options, rule.qualityTarget(), random).map(Option::plan);
 	}
 
 	/**
-	 * Chooses the one version that a session is to have.
+	 * Chooses the version that a new session is to be pinned to.
 	 */
-	Optional<Plan> planSession(Template template, TeamId team, Set<ModelVersion> served, double unit) {
-		return plan(template, team, served, unit, false, 1);
+	Optional<Plan> planSession(Template template, TeamId team, Set<ModelVersion> served, double spreadUnit) {
+		return plan(template, team, served, spreadUnit, false, 1);
 	}
 
 	/**
-	 * Takes the cheapest way to the target: one option for all, or for a part of the
-	 * requests a cheaper one that alone would miss the target, so that the mean just
-	 * meets it.
+	 * Chooses the cheapest way to the target: either one option for all requests, or a
+	 * random mix of one that meets the target and a cheaper one that does not, such that
+	 * their mean just meets it. If no option meets the target, the one of the highest
+	 * quality is chosen.
 	 */
-	private static Optional<Option> chooseOption(List<Option> options, double target, double dice) {
-		double aim = target + TARGET_MARGIN;
+	private static Optional<Option> chooseOption(List<Option> options, double target, double random) {
+		double minQuality = target + TARGET_MARGIN;
 		Option chosen = null;
-		double least = Double.MAX_VALUE;
+		double lowestCost = Double.MAX_VALUE;
 		for (Option good : options) {
-			if (good.expectedQuality() < aim) {
+			if (good.expectedQuality() < minQuality) {
 				continue;
 			}
-			if (good.costMicros() < least) {
-				least = good.costMicros();
+			if (good.costMicros() < lowestCost) {
+				lowestCost = good.costMicros();
 				chosen = good;
 			}
 			for (Option cheap : options) {
-				double part = (good.expectedQuality() - aim) / (good.expectedQuality() - cheap.expectedQuality());
-				double mixed = part * cheap.costMicros() + (1 - part) * good.costMicros();
-				if (cheap.expectedQuality() < aim && cheap.costMicros() < good.costMicros() && mixed < least) {
-					least = mixed;
-					chosen = (dice < part) ? cheap : good;
+				double cheapRatio = (good.expectedQuality() - minQuality)
+						/ (good.expectedQuality() - cheap.expectedQuality());
+				double mixedCost = cheapRatio * cheap.costMicros() + (1 - cheapRatio) * good.costMicros();
+				if (cheap.expectedQuality() < minQuality && cheap.costMicros() < good.costMicros()
+						&& mixedCost < lowestCost) {
+					lowestCost = mixedCost;
+					chosen = (random < cheapRatio) ? cheap : good;
 				}
 			}
 		}
@@ -119,55 +124,58 @@
 	}
 
 	private Option directOption(Template template, TeamId team, TeamRule rule, VersionRule version) {
-		double bound = this.quality.lowerBound(ratingKey(template, team, version, null), version.quality());
-		String reason = "direct, expected quality " + round(bound) + " for target " + round(rule.qualityTarget());
+		double quality = this.quality.lowerBound(ratingKey(template, team, version, null), version.quality());
+		String reason = "direct, expected quality " + round(quality) + " for target " + round(rule.qualityTarget());
 		return new Option(new Plan(List.of(version.version()), passThreshold(rule), reason), typicalCostMicros(version),
-				bound);
+				quality);
 	}
 
 	private Option cascadeOption(Template template, TeamId team, TeamRule rule, List<VersionRule> stages) {
-		double bar = passThreshold(rule);
-		double reached = 1;
+		double threshold = passThreshold(rule);
+		double reachedRatio = 1;
 		double expected = 0;
 		double cost = 0;
-		VersionRule before = null;
+		VersionRule previous = null;
 		for (VersionRule stage : stages) {
-			QualityTracker.RatingKey subject = ratingKey(template, team, stage, before);
-			cost += reached * typicalCostMicros(stage);
+			QualityTracker.RatingKey subject = ratingKey(template, team, stage, previous);
+			cost += reachedRatio * typicalCostMicros(stage);
 			if (stage.equals(stages.get(stages.size() - 1))) {
-				expected += reached * this.quality.lowerBound(subject, stage.quality());
+				expected += reachedRatio * this.quality.lowerBound(subject, stage.quality());
 			}
 			else {
-				double pass = this.quality.passRatio(subject, stage.quality());
-				expected += reached * pass * this.quality.meanPassingRating(subject, stage.quality(), bar);
-				reached *= 1 - pass;
+				double passRatio = this.quality.passRatio(subject, stage.quality());
+				expected += reachedRatio * passRatio
+						* this.quality.meanPassingRating(subject, stage.quality(), threshold);
+				reachedRatio *= 1 - passRatio;
 			}
-			before = stage;
+			previous = stage;
 		}
-		String reason = "cascade, " + round(1 - reached) + " expected to pass at " + round(bar) + ", expected quality "
-				+ round(expected) + " for target " + round(rule.qualityTarget());
+		String reason = "cascade, " + round(1 - reachedRatio) + " expected to pass at " + round(threshold)
+				+ ", expected quality " + round(expected) + " for target " + round(rule.qualityTarget());
 		List<ModelVersion> versions = stages.stream().map(VersionRule::version).toList();
-		return new Option(new Plan(versions, bar, reason), cost, expected);
+		return new Option(new Plan(versions, threshold, reason), cost, expected);
 	}
 
 	/**
-	 * Returns the rating that ends a cascade: below the target, as the answers that reach
-	 * it lie above it in the mean.
+	 * Returns the rating at which a cascade ends. It is below the target, as the mean of
+	 * the answers that reach it is higher.
 	 */
 	static double passThreshold(TeamRule rule) {
 		return Math.max(0, rule.qualityTarget() - PASS_THRESHOLD_BELOW_TARGET);
 	}
 
 	private static QualityTracker.RatingKey ratingKey(Template template, TeamId team, VersionRule version,
-			VersionRule before) {
+			VersionRule previous) {
 		return new QualityTracker.RatingKey(template.name(), team, version.version(),
-				(before != null) ? before.version() : null);
+				(previous != null) ? previous.version() : null);
 	}
 
 	/**
-	 * Returns one version of each model, spread by share.
+	 * Returns one version of each model that the team may use, chosen by the shares of
+	 * the model's versions.
 	 */
-	private List<VersionRule> candidateVersions(Template template, TeamId team, Set<ModelVersion> served, double unit) {
+	private List<VersionRule> candidateVersions(Template template, TeamId team, Set<ModelVersion> served,
+			double spreadUnit) {
 		List<VersionRule> chosen = new ArrayList<>();
 		for (String model : template.models()) {
 			List<VersionRule> usable = template.versions()
@@ -176,16 +184,16 @@
 				.filter((rule) -> template.allows(team, rule.version(), false))
 				.filter((rule) -> served.contains(rule.version()))
 				.toList();
-			chooseByShare(usable, unit).ifPresent(chosen::add);
+			chooseByShare(usable, spreadUnit).ifPresent(chosen::add);
 		}
 		return chosen;
 	}
 
-	private static Optional<VersionRule> chooseByShare(List<VersionRule> usable, double unit) {
-		double rest = unit * usable.stream().mapToDouble(VersionRule::share).sum();
+	private static Optional<VersionRule> chooseByShare(List<VersionRule> usable, double spreadUnit) {
+		double remainingShare = spreadUnit * usable.stream().mapToDouble(VersionRule::share).sum();
 		for (VersionRule rule : usable) {
-			rest -= rule.share();
-			if (rest < 0) {
+			remainingShare -= rule.share();
+			if (remainingShare < 0) {
 				return Optional.of(rule);
 			}
 		}
--- a/core/src/main/java/org/gullsaddle/route/RequestState.java
+++ b/core/src/main/java/org/gullsaddle/route/RequestState.java
@@ -21,7 +21,8 @@
 import org.gullsaddle.template.VersionRule;
 
 /**
- * An open request: what was decided, what is outstanding and what came back.
+ * The state of an open request: its plan, the outstanding attempt, the text received so
+ * far, and what its record needs. Stamps are of the hybrid clock.
  */
 final class RequestState {
 
@@ -77,11 +78,11 @@
 
 	private CallOutcome replayedOutcome;
 
-	RequestState(IncomingRequest request, TemplateRevision revision, double unit, long admitted) {
+	RequestState(IncomingRequest request, TemplateRevision revision, double spreadUnit, long admittedStamp) {
 		this.request = request;
 		this.revision = revision;
-		this.spreadUnit = unit;
-		this.admittedStamp = admitted;
+		this.spreadUnit = spreadUnit;
+		this.admittedStamp = admittedStamp;
 	}
 
 	IncomingRequest request() {
@@ -108,13 +109,18 @@
 		return this.revision;
 	}
 
-	void updateRevision(TemplateRevision newest) {
-		this.revision = newest;
+	void updateRevision(TemplateRevision newRevision) {
+		this.revision = newRevision;
 	}
 
-	void plan(Plan newPlan, boolean fromPin) {
+	/**
+	 * Starts a plan at its first stage, with every agent to be tried again.
+	 * @param newPlan the plan
+	 * @param isFromPin whether the plan is the version that the session is pinned to
+	 */
+	void plan(Plan newPlan, boolean isFromPin) {
 		this.plan = newPlan;
-		this.pinned = fromPin;
+		this.pinned = isFromPin;
 		this.stage = 0;
 		this.triedAgents.clear();
 		this.failedAgents.clear();
@@ -129,7 +135,8 @@
 	}
 
 	/**
-	 * Marks that the session's version was replaced; true the first time only.
+	 * Marks that a new version is requested for the session. Returns true the first time
+	 * only, so that a request replaces the version at most once.
 	 */
 	boolean markPinReplaced() {
 		boolean first = !this.pinReplaced;
@@ -142,11 +149,11 @@
 	}
 
 	/**
-	 * Returns what a rating of the current stage's answer is about.
+	 * Returns the key under which a rating of the current stage's answer is recorded.
 	 */
 	QualityTracker.RatingKey ratingKey() {
-		ModelVersion before = (this.stage > 0) ? this.plan.stages().get(this.stage - 1) : null;
-		return new QualityTracker.RatingKey(this.request.template(), team(), version(), before);
+		ModelVersion previous = (this.stage > 0) ? this.plan.stages().get(this.stage - 1) : null;
+		return new QualityTracker.RatingKey(this.request.template(), team(), version(), previous);
 	}
 
 	/**
@@ -176,7 +183,7 @@
 	}
 
 	/**
-	 * Returns the agents where an attempt ran, or may have, and was not completed.
+	 * Returns the agents where an attempt of this stage ran, or may have run.
 	 */
 	Set<NodeId> failedAgents() {
 		return this.failedAgents;
@@ -200,7 +207,7 @@
 	}
 
 	/**
-	 * Closes the outstanding attempt and keeps its line.
+	 * Closes the outstanding attempt and adds its line to the record.
 	 */
 	OutstandingAttempt closeAttempt(Verdict attemptVerdict, String attemptOutcome, Usage usage, long costMicros,
 			long stamp) {
@@ -220,7 +227,7 @@
 	}
 
 	/**
-	 * Notes that the outstanding attempt is at its agent.
+	 * Marks that the agent has accepted the outstanding attempt.
 	 */
 	void markReachedAgent() {
 		this.reached = true;
@@ -252,7 +259,7 @@
 	}
 
 	/**
-	 * Keeps the answer of the current stage, in case no later one gives any.
+	 * Saves the answer of the current stage, to be delivered if no later stage completes.
 	 */
 	void saveFallback() {
 		this.fallback = new Fallback(version(), this.receivedText.toString(), this.ratedCompletion);
@@ -263,7 +270,7 @@
 	}
 
 	/**
-	 * Says whether the current stage's answer was rated on its way.
+	 * Returns whether the answer of the current stage is rated before it is delivered.
 	 */
 	boolean isRatedBeforeDelivery() {
 		return !isLastStage();
@@ -282,7 +289,7 @@
 	}
 
 	/**
-	 * Returns the verdict for the caller: what is outstanding may have run.
+	 * Returns the verdict for the caller. An outstanding attempt may have run.
 	 */
 	Verdict verdict() {
 		return (this.outstanding != null) ? this.verdict.and(Verdict.MAY_HAVE_RUN) : this.verdict;
@@ -292,17 +299,18 @@
 		return this.outcome != null;
 	}
 
-	void markAnswered(String finalOutcome, long stamp, long recordTime) {
+	void markAnswered(String finalOutcome, long stamp, long recordDue) {
 		this.outcome = finalOutcome;
 		this.finishedStamp = stamp;
-		this.recordDueMillis = recordTime;
+		this.recordDueMillis = recordDue;
 	}
 
 	/**
-	 * Notes an answer of an earlier run that waits for this request's record.
+	 * Keeps the stored answer of an earlier call, to be replayed once the record of this
+	 * request is stored.
 	 */
-	void replayAfterRecord(CallOutcome outcomeBefore) {
-		this.replayedOutcome = outcomeBefore;
+	void replayAfterRecord(CallOutcome storedOutcome) {
+		this.replayedOutcome = storedOutcome;
 	}
 
 	Optional<CallOutcome> replayedOutcome() {
@@ -325,13 +333,13 @@
 	}
 
 	/**
-	 * An answer that a caller has not been given.
+	 * A whole answer of an earlier stage that has not been delivered.
 	 */
 	record Fallback(ModelVersion version, String text, Completion completion) {
 	}
 
 	/**
-	 * The attempt that an agent has.
+	 * An attempt that was sent to an agent and has not ended.
 	 */
 	record OutstandingAttempt(AttemptId attempt, NodeId agent, ModelVersion version, long revision, boolean alone,
 			long sentStamp) {
--- a/core/src/main/java/org/gullsaddle/route/Router.java
+++ b/core/src/main/java/org/gullsaddle/route/Router.java
@@ -26,12 +26,12 @@
 import org.gullsaddle.template.TemplateRevision;
 
 /**
- * Decides what happens to the requests of an entry. Single-threaded: hand it one event at
- * a time, with the time, and carry out the actions it returns in their order.
+ * Decides what happens to the requests of an entry. Not thread-safe: pass it one event at
+ * a time, with the time of the event, and carry out the returned actions in order.
  *
  * <pre>
- * Router router = new Router(RouterSettings.in("north", "north-1").build(), random);
- * for (RouterAction action : router.handle(moment, new RouterEvent.Arrived(request))) {
+ * Router router = new Router(RouterSettings.builder("north", "north-1").build(), random);
+ * for (RouterAction action : router.handle(now, new RouterEvent.RequestArrived(request))) {
  *     carryOut(action);
  * }
  * </pre>
@@ -77,8 +77,8 @@
 	private long cascadesPausedUntilMillis = Long.MIN_VALUE;
 
 	/**
-	 * Makes a router that knows no template and no agent.
-	 * @param settings its settings
+	 * Creates a router that knows no templates and no agents.
+	 * @param settings the settings
 	 * @param random the source of every random choice; seed it to replay a run
 	 */
 	public Router(RouterSettings settings, RandomGenerator random) {
@@ -93,10 +93,10 @@
 	}
 
 	/**
-	 * Decides on an event.
-	 * @param now when it happened
+	 * Handles an event.
+	 * @param now when the event happened
 	 * @param event the event
-	 * @return what to do, in order
+	 * @return the actions to carry out, in order
 	 */
 	public List<RouterAction> handle(Moment now, RouterEvent event) {
 		switch (event) {
@@ -112,28 +112,30 @@
 			case RouterEvent.AttemptRefused refused -> onAttemptRefused(now, refused);
 			case RouterEvent.AttemptFailed failed -> onAttemptFailed(now, failed);
 			case RouterEvent.AnswerRated rated -> onAnswerRated(now, rated);
-			case RouterEvent.CallerDisconnected gone -> onCallerDisconnected(now, gone.request());
+			case RouterEvent.CallerDisconnected caller -> onCallerDisconnected(now, caller.request());
 			case RouterEvent.TemplateChanged changed -> onTemplateChanged(changed.revision());
-			case RouterEvent.HaltAnnounced learned -> this.versionGuard.learn(learned.halt());
+			case RouterEvent.HaltAnnounced announced -> this.versionGuard.learn(announced.halt());
 			case RouterEvent.FreshnessChanged freshness -> this.admission.setCutOff(freshness.cutOff());
-			case RouterEvent.SuspectAnnounced learned -> onSuspectAnnounced(learned.suspicion());
+			case RouterEvent.SuspectAnnounced announced -> onSuspectAnnounced(announced.suspicion());
 			case RouterEvent.AttemptAccepted accepted -> this.openRequests.onAttemptAccepted(accepted.attempt());
-			case RouterEvent.RecordStored kept -> onRecordStored(kept.request());
+			case RouterEvent.RecordStored stored -> onRecordStored(stored.request());
 			case RouterEvent.Tick tick -> onTick(now);
 		}
 		return this.actions.takeAll();
 	}
 
 	/**
-	 * Returns how many requests are not at their end yet, late ends included.
-	 * @return the number
+	 * Returns the number of requests whose record is not written yet, those that are
+	 * answered and wait for the end of their last attempt included.
+	 * @return the number of requests
 	 */
 	public int openRequestCount() {
 		return this.openRequests.size();
 	}
 
 	/**
-	 * Returns what is remembered of crashes, to tell an entry that has just been linked.
+	 * Returns the contents suspected of crashing backend servers, to be sent to an entry
+	 * that has just connected.
 	 * @return the suspicions
 	 */
 	public List<Suspicion> suspects() {
@@ -166,7 +168,8 @@
 	private void onClaimCompleted(Moment now, RouterEvent.ClaimCompleted event) {
 		RequestState state = this.openRequests.find(event.request());
 		if (state == null || state.isAnswered()) {
-			// The caller was told "not run" already; the claim must not stay behind.
+			// The caller has already been told that the request was not run, so the
+			// claim is released.
 			if (state != null && event.result() instanceof ClaimResult.Granted) {
 				state.markClaimed();
 				this.actions.releaseClaim(state);
@@ -188,6 +191,10 @@
 		}
 	}
 
+	/**
+	 * Plans the request and sends its first stage. A request of a session runs on the
+	 * version in its session token, or asks the store for the session's version first.
+	 */
 	private void planAndSend(Moment now, RequestState state) {
 		if (state.request().session().isEmpty()) {
 			Optional<Plan> plan = choosePlan(now, state);
@@ -224,9 +231,9 @@
 			return;
 		}
 		if (event.version().isEmpty()) {
-			// The session may have a version that this entry cannot read now. Taking
-			// another
-			// would change it in mid-session; a caller with a token does not come here.
+			// The session may have a version that this entry cannot read now. Another
+			// one would change the version within the session. Requests with a
+			// session token do not depend on the store and do not come here.
 			this.finisher.giveUp(now, state,
 					this.retryAfter.notRun(RefusalReason.STORE_UNAVAILABLE, STORE_RETRY_AFTER_MILLIS));
 			return;
@@ -256,7 +263,8 @@
 	}
 
 	/**
-	 * Sends the current stage to an agent, under the newest revision known.
+	 * Sends the current stage to an agent, under the newest known revision of the
+	 * template. Refuses the request if that is not possible.
 	 */
 	private void sendStage(Moment now, RequestState state) {
 		updateRevision(state);
@@ -275,7 +283,7 @@
 		}
 		if (this.suspects.suspected(request.fingerprint())
 				&& this.openRequests.hasOutstandingAttempt(request.fingerprint())) {
-			// Two copies, each alone on its backend server, would kill two at once.
+			// Two copies, each alone on its backend server, could crash two at once.
 			this.finisher.giveUp(now, state, this.retryAfter.notRun(RefusalReason.POISON, RETRY_AFTER_MILLIS));
 			return;
 		}
@@ -294,8 +302,10 @@
 	}
 
 	/**
-	 * Picks an agent that the request has not been at. One that refused it before its
-	 * answer began may take it by now, and for half an answer there is nothing better.
+	 * Chooses an agent that has not been tried for this stage. If none is left and a part
+	 * of the answer is delivered already, agents that refused the request without running
+	 * it are tried again: they may accept it now, and the answer can only be resumed on
+	 * the same version.
 	 */
 	private Optional<NodeId> chooseAgent(Moment now, RequestState state) {
 		long prefix = state.request().prefixHash();
@@ -308,7 +318,8 @@
 
 	private void replan(Moment now, RequestState state) {
 		if (state.isDelivering()) {
-			// Half of the answer is out; another version would splice on a different one.
+			// A part of the answer is delivered; another version would continue it with
+			// a different answer.
 			this.finisher.giveUp(now, state, this.retryAfter.notRun(RefusalReason.BACKEND_FAILED, RETRY_AFTER_MILLIS));
 		}
 		else if (state.isPinned()) {
@@ -334,7 +345,7 @@
 			return;
 		}
 		if (event.offset() > state.receivedText().length()) {
-			// A part is missing: what follows would be spliced to the wrong place.
+			// A chunk is missing: the text would be appended at the wrong offset.
 			breakOffAttempt(now, state);
 			return;
 		}
@@ -403,20 +414,24 @@
 		decideOnRating(now, state, event.score());
 	}
 
+	/**
+	 * Delivers the answer if its rating reaches the threshold of the plan, otherwise
+	 * sends the next stage. A missing rating pauses cascades for all requests.
+	 */
 	private void decideOnRating(Moment now, RequestState state, OptionalDouble score) {
 		state.endRating();
-		double bar = state.plan().passThreshold();
+		double threshold = state.plan().passThreshold();
 		ModelVersion version = state.version();
 		if (score.isPresent()) {
 			double expected = state.expectedRating(version);
-			this.quality.recordRating(state.ratingKey(), expected, score.getAsDouble(), bar);
+			this.quality.recordRating(state.ratingKey(), expected, score.getAsDouble(), threshold);
 			announceHalt(this.versionGuard.rated(state.request().template(), version, expected, score.getAsDouble()));
 		}
 		else {
 			this.cascadesPausedUntilMillis = now.millis() + CASCADE_PAUSE_MILLIS;
 		}
 		state.saveFallback();
-		if (score.isPresent() && score.getAsDouble() >= bar) {
+		if (score.isPresent() && score.getAsDouble() >= threshold) {
 			this.finisher.deliverFallback(now, state, RequestFinisher.SERVED);
 			return;
 		}
@@ -448,6 +463,10 @@
 		}
 	}
 
+	/**
+	 * Returns whether the request may be tried again, and takes the retry from the
+	 * budget. Refusals of an agent that leaves, stops or forbids the version are free.
+	 */
 	private boolean takeRetry(RequestState state, RefusalReason reason) {
 		if (state.attemptCount() >= this.settings.maxAttempts()) {
 			return false;
@@ -498,7 +517,7 @@
 	}
 
 	/**
-	 * Treats the current attempt's answer as broken off, and has its agent stop it.
+	 * Treats the outstanding attempt as failed and cancels it at its agent.
 	 */
 	private void breakOffAttempt(Moment now, RequestState state) {
 		if (state.isAnswered()) {
@@ -511,8 +530,8 @@
 
 	private void onAgentDown(Moment now, NodeId agent) {
 		for (AttemptId attempt : this.balancer.onAgentDown(agent)) {
-			// The link tells nothing of what the backend server did; it may be running
-			// it.
+			// A lost connection does not show what the backend server did; the attempt
+			// may still be running.
 			onAttemptFailed(now, new RouterEvent.AttemptFailed(attempt, Verdict.MAY_HAVE_RUN, true, Usage.NONE));
 		}
 	}
@@ -529,7 +548,8 @@
 
 	private void onSuspectAnnounced(Suspicion suspicion) {
 		if (this.suspects.learn(suspicion)) {
-			// The node that told may have told no other, and may be dying.
+			// The sender may fail before it has reached any other node, so what is new
+			// is passed on.
 			this.actions.add(new RouterAction.AnnounceSuspect(suspicion));
 		}
 	}
@@ -560,6 +580,9 @@
 		}
 	}
 
+	/**
+	 * Checks an open request whose deadline, rating timeout or record is due.
+	 */
 	private void onTimer(Moment now, RequestState state) {
 		if (state.isAnswered()) {
 			if (now.millis() >= state.recordDueMillis()) {
@@ -568,7 +591,7 @@
 		}
 		else if (now.millis() >= state.request().deadline()) {
 			if (state.isAwaitingRating()) {
-				// An unrated answer in time is worth more to the caller than none.
+				// An answer without a rating is worth more to the caller than none.
 				state.endRating();
 				state.saveFallback();
 			}
@@ -592,8 +615,8 @@
 	}
 
 	/**
-	 * Returns a number from 0 to 1 that is the same for a session's requests at every
-	 * entry, so that they agree on a version before the store has been asked.
+	 * Returns a number from 0 to 1 that is the same for all requests of a session at
+	 * every entry, so that entries propose the same version before the store is asked.
 	 */
 	private static double spreadUnit(IncomingRequest request) {
 		String key = request.session().map((session) -> request.team() + "/" + session).orElse(request.id().value());
