--- a/core/src/main/java/org/gullsaddle/route/ActionBuffer.java
+++ b/core/src/main/java/org/gullsaddle/route/ActionBuffer.java
@@ -11,8 +11,8 @@
 import org.gullsaddle.template.TeamRule;
 
 /**
- * Gathers the actions that an event leads to, and words those that several decisions
- * share.
+ * Collects the actions that an event leads to, and builds those that are needed in
+ * several places.
  */
 final class ActionBuffer {
 
@@ -23,9 +23,9 @@
 	}
 
 	List<RouterAction> takeAll() {
-		List<RouterAction> taken = List.copyOf(this.actions);
+		List<RouterAction> all = List.copyOf(this.actions);
 		this.actions.clear();
-		return taken;
+		return all;
 	}
 
 	void send(RequestState state, NodeId agent, AttemptId attempt, boolean alone) {
@@ -39,8 +39,8 @@
 	}
 
 	/**
-	 * Has the agent stop what is outstanding, unless it is a call that must not be cut
-	 * off half-way.
+	 * Cancels the outstanding attempt, unless the request may run only once: such a call
+	 * must not be interrupted.
 	 */
 	void cancel(RequestState state) {
 		if (state.outstanding() != null && state.request().isRepeatable()) {
--- a/core/src/main/java/org/gullsaddle/route/ClaimResult.java
+++ b/core/src/main/java/org/gullsaddle/route/ClaimResult.java
@@ -1,38 +1,38 @@
 package org.gullsaddle.route;
 
 /**
- * What the claim on an idempotency key came to.
+ * The result of claiming an idempotency key.
  */
 public sealed interface ClaimResult {
 
 	/**
-	 * The key is this request's; it may be dispatched.
+	 * The request holds the key and may be sent to an agent.
 	 */
 	record Granted() implements ClaimResult {
 	}
 
 	/**
-	 * An earlier request has the key, and its end is not known.
+	 * An earlier request holds the key, and its outcome is not known.
 	 */
 	record InUse() implements ClaimResult {
 	}
 
 	/**
-	 * An earlier request with the same content ended, and this was its answer.
+	 * An earlier request with the same content was answered.
 	 *
-	 * @param outcome the answer
+	 * @param outcome its answer
 	 */
 	record Finished(CallOutcome outcome) implements ClaimResult {
 	}
 
 	/**
-	 * An earlier request used the key for another content.
+	 * An earlier request used the key with different content.
 	 */
 	record ContentDiffers() implements ClaimResult {
 	}
 
 	/**
-	 * The store could not be asked, or did not answer in time.
+	 * The store was unavailable or did not answer in time.
 	 */
 	record Unavailable() implements ClaimResult {
 	}
--- a/core/src/main/java/org/gullsaddle/route/IncomingRequest.java
+++ b/core/src/main/java/org/gullsaddle/route/IncomingRequest.java
@@ -11,7 +11,7 @@
 import org.gullsaddle.base.TemplateName;
 
 /**
- * A caller's request as it is handed to the router.
+ * A caller's request as it is passed to the router.
  */
 public final class IncomingRequest {
 
@@ -50,15 +50,15 @@
 		this.deadline = builder.deadline;
 		this.prefixHash = builder.prefixHash;
 		Check.that(this.repeatable || this.idempotencyKey != null,
-				"a request that may not be repeated needs an idempotency key");
+				"a request that may run only once needs an idempotency key");
 	}
 
 	/**
-	 * Starts a request.
-	 * @param id its id
+	 * Returns a builder of a request.
+	 * @param id the id of the request
 	 * @param team its team
 	 * @param template the template it names
-	 * @return a builder; the request is repeatable until told otherwise
+	 * @return a builder of a repeatable request without a session
 	 */
 	public static Builder builder(RequestId id, TeamId team, TemplateName template) {
 		return new Builder(id, team, template);
@@ -97,8 +97,8 @@
 	}
 
 	/**
-	 * Returns the version that a signed token says its session has.
-	 * @return the version, or empty if no valid token came
+	 * Returns the version that its signed session token names.
+	 * @return the version, or empty if it had no valid token
 	 */
 	public Optional<ModelVersion> pinnedVersion() {
 		return Optional.ofNullable(this.pinnedVersion);
@@ -113,8 +113,8 @@
 	}
 
 	/**
-	 * Says whether it may run more than once.
-	 * @return true if it may
+	 * Returns whether it may run more than once.
+	 * @return true if it may run more than once
 	 */
 	public boolean isRepeatable() {
 		return this.repeatable;
@@ -122,7 +122,7 @@
 
 	/**
 	 * Returns when it must be answered.
-	 * @return the time in milliseconds on the clock of the events
+	 * @return the time in milliseconds, on the clock of the events
 	 */
 	public long deadline() {
 		return this.deadline;
@@ -137,8 +137,8 @@
 	}
 
 	/**
-	 * Returns the hash of the start of its prompt, equal for prompts that share a cached
-	 * prefix.
+	 * Returns the hash of the start of its prompt. It is equal for prompts that can share
+	 * a cached prefix.
 	 * @return the hash
 	 */
 	public long prefixHash() {
@@ -146,7 +146,7 @@
 	}
 
 	/**
-	 * Returns what is handed to the backend server.
+	 * Returns the body that is sent to the backend server.
 	 * @return the body
 	 */
 	public String body() {
@@ -198,7 +198,7 @@
 		}
 
 		/**
-		 * Says which version the session has by a signed token.
+		 * Sets the version that the signed session token names.
 		 * @param version the version, or null for none
 		 * @return this builder
 		 */
@@ -208,7 +208,7 @@
 		}
 
 		/**
-		 * Makes the request one that may not be repeated.
+		 * Makes the request one that may run only once.
 		 * @param key its idempotency key
 		 * @return this builder
 		 */
@@ -220,16 +220,16 @@
 
 		/**
 		 * Sets when the request must be answered.
-		 * @param time milliseconds on the clock of the events
+		 * @param deadline the time in milliseconds, on the clock of the events
 		 * @return this builder
 		 */
-		public Builder deadline(long time) {
-			this.deadline = time;
+		public Builder deadline(long deadline) {
+			this.deadline = deadline;
 			return this;
 		}
 
 		/**
-		 * Sets the hash of team and content; the id stands in if none is set.
+		 * Sets the hash of team and content. The default is the id of the request.
 		 * @param fingerprint the hash
 		 * @return this builder
 		 */
@@ -249,7 +249,7 @@
 		}
 
 		/**
-		 * Sets what is handed to the backend server.
+		 * Sets the body that is sent to the backend server.
 		 * @param body the body
 		 * @return this builder
 		 */
@@ -261,7 +261,7 @@
 		/**
 		 * Builds the request.
 		 * @return the request
-		 * @throws IllegalArgumentException if something needed is missing
+		 * @throws IllegalArgumentException if something required is missing
 		 */
 		public IncomingRequest build() {
 			return new IncomingRequest(this);
--- a/core/src/main/java/org/gullsaddle/route/OpenRequests.java
+++ b/core/src/main/java/org/gullsaddle/route/OpenRequests.java
@@ -12,7 +12,8 @@
 import org.gullsaddle.base.RequestId;
 
 /**
- * The requests that are not at their end, and when each is to be looked at again.
+ * The requests whose record is not written yet, by id, with the timers at which they are
+ * checked.
  */
 final class OpenRequests {
 
@@ -37,8 +38,8 @@
 	}
 
 	/**
-	 * Returns the request whose outstanding attempt this is, or null for an attempt that
-	 * no longer counts.
+	 * Returns the request whose outstanding attempt this is, or null if the attempt has
+	 * ended or was replaced.
 	 */
 	RequestState findByOutstandingAttempt(AttemptId attempt) {
 		RequestState state = this.states.get(attempt.request());
@@ -53,7 +54,7 @@
 	}
 
 	/**
-	 * Says whether an attempt is known to have reached its agent.
+	 * Returns whether the agent is known to have accepted an attempt that is outstanding.
 	 */
 	boolean hasReachedAgent(AttemptId attempt) {
 		RequestState state = findByOutstandingAttempt(attempt);
@@ -61,7 +62,7 @@
 	}
 
 	/**
-	 * Says whether an agent has an attempt of a content.
+	 * Returns whether an attempt with the given content is outstanding at an agent.
 	 */
 	boolean hasOutstandingAttempt(Fingerprint fingerprint) {
 		return this.states.values()
@@ -69,12 +70,12 @@
 			.anyMatch((state) -> state.outstanding() != null && state.request().fingerprint().equals(fingerprint));
 	}
 
-	void scheduleCheck(long time, RequestId request) {
-		this.timers.add(new Timer(time, request));
+	void scheduleCheck(long dueMillis, RequestId request) {
+		this.timers.add(new Timer(dueMillis, request));
 	}
 
 	/**
-	 * Takes out the requests whose time has come.
+	 * Removes the timers that are due and returns the open requests they belong to.
 	 */
 	List<RequestState> takeDue(long now) {
 		List<RequestState> due = new ArrayList<>();
--- a/core/src/main/java/org/gullsaddle/route/PeerLoadEstimate.java
+++ b/core/src/main/java/org/gullsaddle/route/PeerLoadEstimate.java
@@ -3,12 +3,12 @@
 import org.gullsaddle.base.LoadReport;
 
 /**
- * How much of a backend server's load comes from other nodes.
+ * Estimates how much of a backend server's load comes from peers.
  * <p>
- * A report is old when it arrives, and every node that trusts it sends to the same idle
- * server until the next one comes. What a node has outstanding itself it knows exactly;
- * only the part of the others is taken from reports, and smoothed, as its moves are old
- * news.
+ * A report is old when it arrives, and nodes that rely on it alone all send to the same
+ * idle backend server until the next report. A node knows its own outstanding requests
+ * exactly, so only the load from peers is taken from reports. It is smoothed, as the
+ * reported changes are out of date.
  */
 final class PeerLoadEstimate {
 
@@ -17,18 +17,18 @@
 	private double requests;
 
 	/**
-	 * Takes in a report.
-	 * @param report what the server says
-	 * @param own how many requests this node has there
+	 * Handles a load report.
+	 * @param report the reported load
+	 * @param ownRequests how many requests this node has outstanding there
 	 */
-	void onLoadReport(LoadReport report, int own) {
-		double notOurs = report.running() + report.waiting() - own;
-		this.requests += SMOOTHING_FACTOR * (notOurs - this.requests);
+	void onLoadReport(LoadReport report, int ownRequests) {
+		double peerRequests = report.running() + report.waiting() - ownRequests;
+		this.requests += SMOOTHING_FACTOR * (peerRequests - this.requests);
 	}
 
 	/**
-	 * Returns how many requests of others are likely to be there.
-	 * @return the number, 0 or more
+	 * Returns the estimated number of requests of peers.
+	 * @return the number of requests, 0 or more
 	 */
 	double requests() {
 		return Math.max(0, this.requests);
--- a/core/src/main/java/org/gullsaddle/route/Plan.java
+++ b/core/src/main/java/org/gullsaddle/route/Plan.java
@@ -6,12 +6,12 @@
 import org.gullsaddle.base.ModelVersion;
 
 /**
- * The versions to try in turn; the answer of each but the last is rated, and the next is
- * asked only if the rating misses the bar.
+ * The versions to try in order. The answer of each stage but the last is rated, and the
+ * next stage runs only if the rating is below the threshold.
  *
- * @param stages at least one version
- * @param passThreshold the rating that ends the cascade
- * @param reason why this plan, for the trace
+ * @param stages the versions, at least one
+ * @param passThreshold the rating at which the cascade ends
+ * @param reason why this plan was chosen, for the trace
  */
 record Plan(List<ModelVersion> stages, double passThreshold, String reason) {
 
--- a/core/src/main/java/org/gullsaddle/route/QualityTracker.java
+++ b/core/src/main/java/org/gullsaddle/route/QualityTracker.java
@@ -8,68 +8,71 @@
 import org.gullsaddle.base.TemplateName;
 
 /**
- * What ratings have shown of each version, per template and team, started from the
- * operator's expectation.
+ * Tracks the ratings of each version per template and team, starting from the quality
+ * that the operator expects.
  */
 final class QualityTracker {
 
-	/** How many ratings the operator's expectation counts for. */
+	/** How many ratings the operator's expectation is worth. */
 	private static final double PRIOR_RATINGS = 20;
 
-	/** Older ratings fade, so that a drift shows within a few hundred ratings. */
+	/** Limits the weight of older ratings, so that drift shows within a few hundred. */
 	private static final double MAX_RATINGS = 400;
 
 	private static final double PRIOR_VARIANCE = 0.04;
 
 	/**
-	 * What is left of a version's promise on prompts that a cheaper one answered badly.
+	 * Which part of its expected quality a version reaches on prompts that a cheaper one
+	 * answered badly.
 	 */
 	private static final double HARDER_PROMPTS_FACTOR = 0.8;
 
-	/** One-sided 90 % normal quantile for the lower bound. */
+	/** The one-sided 90 % quantile of the normal distribution, for the lower bound. */
 	private static final double NORMAL_QUANTILE_90 = 1.28;
 
 	private final Map<RatingKey, RatingStatistics> statistics = new HashMap<>();
 
 	/**
-	 * Returns the value that the version's mean rating exceeds with 90 % confidence.
+	 * Returns a lower bound of the version's mean rating, with 90 % confidence once as
+	 * many ratings were seen as the prior is worth.
 	 */
-	double lowerBound(RatingKey subject, double expected) {
-		RatingStatistics r = statistics(subject, expected);
-		// The operator's word is trusted as it stands until ratings contradict it.
-		double margin = NORMAL_QUANTILE_90 * Math.sqrt(r.variance() / r.weight)
-				* Math.min(1, r.ratingsSeen / PRIOR_RATINGS);
-		return r.mean - margin;
+	double lowerBound(RatingKey ratingKey, double expected) {
+		RatingStatistics known = statistics(ratingKey, expected);
+		// The margin grows with the ratings seen, as the operator's expectation is
+		// trusted until ratings contradict it.
+		double margin = NORMAL_QUANTILE_90 * Math.sqrt(known.variance() / known.weight)
+				* Math.min(1, known.ratingsSeen / PRIOR_RATINGS);
+		return known.mean - margin;
 	}
 
 	/**
-	 * Returns the part of answers that reached the bar.
+	 * Returns the ratio of answers whose rating reached the threshold.
 	 */
-	double passRatio(RatingKey subject, double expected) {
-		return statistics(subject, expected).passRatio();
+	double passRatio(RatingKey ratingKey, double expected) {
+		return statistics(ratingKey, expected).passRatio();
 	}
 
 	/**
-	 * Returns the mean rating of the answers that reached the bar.
+	 * Returns the mean rating of the answers that reached the threshold.
 	 */
-	double meanPassingRating(RatingKey subject, double expected, double bar) {
-		return Math.max(bar, statistics(subject, expected).meanPassingRating());
+	double meanPassingRating(RatingKey ratingKey, double expected, double threshold) {
+		return Math.max(threshold, statistics(ratingKey, expected).meanPassingRating());
 	}
 
-	void recordRating(RatingKey subject, double expected, double score, double bar) {
-		statistics(subject, expected).add(score, bar);
+	void recordRating(RatingKey ratingKey, double expected, double score, double threshold) {
+		statistics(ratingKey, expected).add(score, threshold);
 	}
 
-	private RatingStatistics statistics(RatingKey subject, double expected) {
-		double hoped = (subject.previousVersion() != null) ? expected * HARDER_PROMPTS_FACTOR : expected;
-		return this.statistics.computeIfAbsent(subject, (key) -> new RatingStatistics(hoped));
+	private RatingStatistics statistics(RatingKey ratingKey, double expected) {
+		double prior = (ratingKey.previousVersion() != null) ? expected * HARDER_PROMPTS_FACTOR : expected;
+		return this.statistics.computeIfAbsent(ratingKey, (key) -> new RatingStatistics(prior));
 	}
 
 	/**
-	 * What is rated: a version on a team's prompts, or on those of them that another
-	 * version answered badly before, which are harder.
+	 * What a rating is about: a version on a team's prompts, or only on those that
+	 * another version answered badly before, which are harder.
 	 *
-	 * @param after the version before, or null
+	 * @param previousVersion the version that answered before in the cascade, or null
 	 */
 	record RatingKey(TemplateName template, TeamId team, ModelVersion version, ModelVersion previousVersion) {
 	}
@@ -95,20 +98,20 @@
 			this.passedRatingSum = this.passedWeight * Math.sqrt(expected);
 		}
 
-		void add(double score, double bar) {
+		void add(double score, double threshold) {
 			if (this.weight >= MAX_RATINGS) {
-				double keep = 1 - 1 / MAX_RATINGS;
-				this.weight *= keep;
-				this.squaredDeviations *= keep;
-				this.passedWeight *= keep;
-				this.passedRatingSum *= keep;
+				double decay = 1 - 1 / MAX_RATINGS;
+				this.weight *= decay;
+				this.squaredDeviations *= decay;
+				this.passedWeight *= decay;
+				this.passedRatingSum *= decay;
 			}
 			this.ratingsSeen++;
 			this.weight++;
 			double delta = score - this.mean;
 			this.mean += delta / this.weight;
 			this.squaredDeviations += delta * (score - this.mean);
-			if (score >= bar) {
+			if (score >= threshold) {
 				this.passedWeight++;
 				this.passedRatingSum += score;
 			}
--- a/core/src/main/java/org/gullsaddle/route/RequestAdmission.java
+++ b/core/src/main/java/org/gullsaddle/route/RequestAdmission.java
@@ -11,7 +11,7 @@
 import org.gullsaddle.template.TemplateBook;
 
 /**
- * Refuses at once what need not be tried.
+ * Checks whether a new request may be tried, or is refused at once.
  */
 final class RequestAdmission {
 
@@ -29,11 +29,12 @@
 
 	private boolean setCutOff;
 
-	RequestAdmission(RouterSettings settings, TemplateBook templates, SuspectBook suspects, RetryAfterJitter comeBack) {
+	RequestAdmission(RouterSettings settings, TemplateBook templates, SuspectBook suspects,
+			RetryAfterJitter retryAfter) {
 		this.settings = settings;
 		this.templates = templates;
 		this.suspects = suspects;
-		this.retryAfter = comeBack;
+		this.retryAfter = retryAfter;
 	}
 
 	void setCutOff(boolean isCutOff) {
@@ -41,16 +42,20 @@
 	}
 
 	/**
-	 * Returns the refusal of a request that is not to be let in, or empty.
+	 * Checks a new request.
+	 * @param now the time of its arrival
+	 * @param request the request
+	 * @param openCount the number of open requests
+	 * @return the refusal, or empty if the request may be tried
 	 */
-	Optional<Refusal> check(Moment now, IncomingRequest request, int open) {
+	Optional<Refusal> check(Moment now, IncomingRequest request, int openCount) {
 		TeamRule team = this.templates.get(request.template())
 			.flatMap((revision) -> revision.template().team(request.team()))
 			.orElse(null);
 		if (team == null) {
 			return Optional.of(Refusal.notRun(RefusalReason.NO_TEMPLATE, 0));
 		}
-		if (open >= this.settings.maxOpenRequests()) {
+		if (openCount >= this.settings.maxOpenRequests()) {
 			return Optional.of(this.retryAfter.notRun(RefusalReason.OVERLOADED, RETRY_AFTER_MILLIS));
 		}
 		if (this.setCutOff && team.cutOff() == CutOffBehaviour.REFUSE) {
--- a/core/src/main/java/org/gullsaddle/route/RequestFinisher.java
+++ b/core/src/main/java/org/gullsaddle/route/RequestFinisher.java
@@ -8,7 +8,8 @@
 import org.gullsaddle.clock.Moment;
 
 /**
- * Gives each request its one final answer, and its record once nothing more will happen.
+ * Gives each request its one final answer, and writes its record once its last attempt
+ * has ended or the wait for that end is over.
  */
 final class RequestFinisher {
 
@@ -22,10 +23,10 @@
 
 	private final SpotChecks spotChecks;
 
-	RequestFinisher(RouterSettings settings, OpenRequests open, ActionBuffer outbox, SpotChecks spotChecks) {
+	RequestFinisher(RouterSettings settings, OpenRequests openRequests, ActionBuffer actions, SpotChecks spotChecks) {
 		this.settings = settings;
-		this.openRequests = open;
-		this.actions = outbox;
+		this.openRequests = openRequests;
+		this.actions = actions;
 		this.spotChecks = spotChecks;
 	}
 
@@ -47,21 +48,30 @@
 		complete(now, state, fallback.version(), fallback.completion(), outcome);
 	}
 
+	/**
+	 * Ends a request that cannot be served: delivers the saved answer of an earlier stage
+	 * if there is one, otherwise refuses the request.
+	 */
 	void giveUp(Moment now, RequestState state, Refusal refusal) {
 		if (state.fallback() != null && !state.isDelivering()) {
-			// An answer that missed the bar, or was not rated, is worth more than none.
+			// An answer below the threshold, or without a rating, is worth more than
+			// none.
 			deliverFallback(now, state, "served-below-target");
 			return;
 		}
-		Refusal told = new Refusal(refusal.reason(), state.verdict().and(refusal.verdict()),
+		Refusal finalRefusal = new Refusal(refusal.reason(), state.verdict().and(refusal.verdict()),
 				refusal.retryAfterMillis());
-		this.actions.add(new RouterAction.Refuse(state.id(), told));
-		finish(now, state, told.reason().toString());
+		this.actions.add(new RouterAction.Refuse(state.id(), finalRefusal));
+		finish(now, state, finalRefusal.reason().toString());
 	}
 
+	/**
+	 * Marks a request as answered. Its record waits for the end of an outstanding
+	 * attempt, up to a time limit.
+	 */
 	void finish(Moment now, RequestState state, String outcome) {
-		long recordBy = now.millis() + this.settings.attemptEndTimeoutMillis();
-		state.markAnswered(outcome, now.stamp(), recordBy);
+		long recordDue = now.millis() + this.settings.attemptEndTimeoutMillis();
+		state.markAnswered(outcome, now.stamp(), recordDue);
 		if (state.outstanding() == null) {
 			if (state.verdict() == Verdict.NOT_RUN) {
 				this.actions.releaseClaim(state);
@@ -69,7 +79,7 @@
 			writeRecord(state);
 		}
 		else {
-			this.openRequests.scheduleCheck(recordBy, state.id());
+			this.openRequests.scheduleCheck(recordDue, state.id());
 		}
 	}
 
@@ -79,12 +89,13 @@
 	}
 
 	/**
-	 * Gives a call that was sent again the answer of its first run, once the store has
-	 * the record.
+	 * Answers a repeated call with the stored answer of the first one, once the record of
+	 * this request is stored.
 	 * <p>
-	 * No agent takes part, so that the record is on this node alone: were the caller
-	 * answered first and the node lost then, it would have been served without a trace.
-	 * The answer waits for one write to the ledger, and at most until the deadline.
+	 * No agent holds a line of this request, so the record exists on this node alone. If
+	 * the caller were answered first and the node lost then, the request would be served
+	 * without a record. The answer therefore waits for one write to the ledger, at most
+	 * until the deadline.
 	 */
 	void replay(Moment now, RequestState state, CallOutcome outcome) {
 		state.replayAfterRecord(outcome);
@@ -93,8 +104,8 @@
 	}
 
 	/**
-	 * Gives the answer that waited for its record. Its record is written a second time;
-	 * bills count it once.
+	 * Delivers the answer that waited for its record. The record is written a second
+	 * time; bills count it once.
 	 */
 	void onRecordStored(RequestState state) {
 		this.actions.replay(state, state.replayedOutcome().orElseThrow());
@@ -102,7 +113,7 @@
 	}
 
 	/**
-	 * Ends a request whose answer still waits for its record.
+	 * Ends a request whose answer still waits for its record, without that answer.
 	 */
 	void abandonReplay(Moment now, RequestState state, RefusalReason reason) {
 		if (reason != RefusalReason.CALLER_GONE) {
@@ -113,7 +124,8 @@
 	}
 
 	/**
-	 * Writes a record that has waited long enough for the end of its last attempt.
+	 * Writes a record whose wait for the end of its last attempt is over, or ends a
+	 * request whose own record was not stored before the deadline.
 	 */
 	void writeOverdueRecord(Moment now, RequestState state) {
 		if (state.replayedOutcome().isPresent()) {
--- a/core/src/main/java/org/gullsaddle/route/RetryAfterJitter.java
+++ b/core/src/main/java/org/gullsaddle/route/RetryAfterJitter.java
@@ -6,8 +6,8 @@
 import org.gullsaddle.base.RefusalReason;
 
 /**
- * Says when to come back, spread out, so that callers refused together do not return
- * together.
+ * Adds jitter to the times after which refused callers may retry, so that callers refused
+ * together do not return together.
  */
 final class RetryAfterJitter {
 
@@ -17,6 +17,10 @@
 		this.random = random;
 	}
 
+	/**
+	 * Returns a refusal of a request that was not run, with a retry time of the given
+	 * length to twice that.
+	 */
 	Refusal notRun(RefusalReason reason, long millis) {
 		return Refusal.notRun(reason, addJitter(millis));
 	}
--- a/core/src/main/java/org/gullsaddle/route/Router.java
+++ b/core/src/main/java/org/gullsaddle/route/Router.java
@@ -27,9 +27,7 @@
 
 /**
  * Decides what happens to the requests of an entry. Not thread-safe: pass it one event at
- * a time, with the time of the event, and carry out the returned actions in order.
- *
- * <pre>
+ * a time, with the time of the event, and carry out the returned actions in order. <pre>
  * Router router = new Router(RouterSettings.builder("north", "north-1").build(), random);
  * for (RouterAction action : router.handle(now, new RouterEvent.RequestArrived(request))) {
  *     carryOut(action);
@@ -125,8 +123,7 @@
 	}
 
 	/**
-	 * Returns the number of requests whose record is not written yet, those that are
-	 * answered and wait for the end of their last attempt included.
+	 * Returns the number of requests whose record is not written yet.
 	 * @return the number of requests
 	 */
 	public int openRequestCount() {
@@ -134,8 +131,7 @@
 	}
 
 	/**
-	 * Returns the contents suspected of crashing backend servers, to be sent to an entry
-	 * that has just connected.
+	 * Returns the known crash suspicions, to be sent to an entry that has just connected.
 	 * @return the suspicions
 	 */
 	public List<Suspicion> suspects() {
@@ -168,8 +164,7 @@
 	private void onClaimCompleted(Moment now, RouterEvent.ClaimCompleted event) {
 		RequestState state = this.openRequests.find(event.request());
 		if (state == null || state.isAnswered()) {
-			// The caller has already been told that the request was not run, so the
-			// claim is released.
+			// The caller was already told "not run", so the claim is released.
 			if (state != null && event.result() instanceof ClaimResult.Granted) {
 				state.markClaimed();
 				this.actions.releaseClaim(state);
@@ -191,10 +186,6 @@
 		}
 	}
 
-	/**
-	 * Plans the request and sends its first stage. A request of a session runs on the
-	 * version in its session token, or asks the store for the session's version first.
-	 */
 	private void planAndSend(Moment now, RequestState state) {
 		if (state.request().session().isEmpty()) {
 			Optional<Plan> plan = choosePlan(now, state);
@@ -231,9 +222,8 @@
 			return;
 		}
 		if (event.version().isEmpty()) {
-			// The session may have a version that this entry cannot read now. Another
-			// one would change the version within the session. Requests with a
-			// session token do not depend on the store and do not come here.
+			// The session may have a version that this entry cannot read now, and must
+			// not change. Requests with a session token do not come here.
 			this.finisher.giveUp(now, state,
 					this.retryAfter.notRun(RefusalReason.STORE_UNAVAILABLE, STORE_RETRY_AFTER_MILLIS));
 			return;
@@ -263,8 +253,7 @@
 	}
 
 	/**
-	 * Sends the current stage to an agent, under the newest known revision of the
-	 * template. Refuses the request if that is not possible.
+	 * Sends the current stage to an agent, under the newest known template revision.
 	 */
 	private void sendStage(Moment now, RequestState state) {
 		updateRevision(state);
@@ -302,10 +291,9 @@
 	}
 
 	/**
-	 * Chooses an agent that has not been tried for this stage. If none is left and a part
-	 * of the answer is delivered already, agents that refused the request without running
-	 * it are tried again: they may accept it now, and the answer can only be resumed on
-	 * the same version.
+	 * Chooses an agent not tried for this stage yet. To resume a partly delivered answer,
+	 * which must stay on its version, agents that refused it are tried again if no other
+	 * is left, as they may accept it now.
 	 */
 	private Optional<NodeId> chooseAgent(Moment now, RequestState state) {
 		long prefix = state.request().prefixHash();
@@ -318,8 +306,7 @@
 
 	private void replan(Moment now, RequestState state) {
 		if (state.isDelivering()) {
-			// A part of the answer is delivered; another version would continue it with
-			// a different answer.
+			// Another version would continue the delivered text with another answer.
 			this.finisher.giveUp(now, state, this.retryAfter.notRun(RefusalReason.BACKEND_FAILED, RETRY_AFTER_MILLIS));
 		}
 		else if (state.isPinned()) {
@@ -414,10 +401,6 @@
 		decideOnRating(now, state, event.score());
 	}
 
-	/**
-	 * Delivers the answer if its rating reaches the threshold of the plan, otherwise
-	 * sends the next stage. A missing rating pauses cascades for all requests.
-	 */
 	private void decideOnRating(Moment now, RequestState state, OptionalDouble score) {
 		state.endRating();
 		double threshold = state.plan().passThreshold();
@@ -463,10 +446,6 @@
 		}
 	}
 
-	/**
-	 * Returns whether the request may be tried again, and takes the retry from the
-	 * budget. Refusals of an agent that leaves, stops or forbids the version are free.
-	 */
 	private boolean takeRetry(RequestState state, RefusalReason reason) {
 		if (state.attemptCount() >= this.settings.maxAttempts()) {
 			return false;
@@ -530,8 +509,7 @@
 
 	private void onAgentDown(Moment now, NodeId agent) {
 		for (AttemptId attempt : this.balancer.onAgentDown(agent)) {
-			// A lost connection does not show what the backend server did; the attempt
-			// may still be running.
+			// The backend server may still be running the attempt.
 			onAttemptFailed(now, new RouterEvent.AttemptFailed(attempt, Verdict.MAY_HAVE_RUN, true, Usage.NONE));
 		}
 	}
@@ -548,8 +526,7 @@
 
 	private void onSuspectAnnounced(Suspicion suspicion) {
 		if (this.suspects.learn(suspicion)) {
-			// The sender may fail before it has reached any other node, so what is new
-			// is passed on.
+			// The sender may fail before it has announced it to any other node.
 			this.actions.add(new RouterAction.AnnounceSuspect(suspicion));
 		}
 	}
@@ -580,9 +557,6 @@
 		}
 	}
 
-	/**
-	 * Checks an open request whose deadline, rating timeout or record is due.
-	 */
 	private void onTimer(Moment now, RequestState state) {
 		if (state.isAnswered()) {
 			if (now.millis() >= state.recordDueMillis()) {
--- a/core/src/main/java/org/gullsaddle/route/RouterAction.java
+++ b/core/src/main/java/org/gullsaddle/route/RouterAction.java
@@ -16,12 +16,12 @@
 import org.gullsaddle.suspect.Suspicion;
 
 /**
- * Something the {@link Router} wants done.
+ * An action that the {@link Router} has decided on, to be carried out by its caller.
  */
 public sealed interface RouterAction {
 
 	/**
-	 * Claim an idempotency key in the store; answered by
+	 * Claim an idempotency key in the store. Answered by
 	 * {@link RouterEvent.ClaimAnswered}.
 	 *
 	 * @param request the request
@@ -33,7 +33,7 @@
 	}
 
 	/**
-	 * Keep the answer under the claimed key, for when the call is sent again.
+	 * Store the answer under the claimed key, for the same call sent again.
 	 *
 	 * @param request the request
 	 * @param team its team
@@ -44,7 +44,7 @@
 	}
 
 	/**
-	 * Give a claimed key back, as the request was not run.
+	 * Release a claimed key, as the request was not run.
 	 *
 	 * @param request the request
 	 * @param team its team
@@ -54,15 +54,15 @@
 	}
 
 	/**
-	 * Settle the version of a session in the store; answered by
+	 * Pin a session to a version in the store. Answered by
 	 * {@link RouterEvent.PinAnswered}.
 	 *
 	 * @param request the request
 	 * @param team its team
 	 * @param template its template
 	 * @param session its session
-	 * @param proposed the version to take if the session has none
-	 * @param replacing the version that the session can no longer have, or null
+	 * @param proposed the version to pin if the session has none
+	 * @param replaced the version that the session can no longer use, or null
 	 */
 	record PinSession(RequestId request, TeamId team, TemplateName template, SessionId session, ModelVersion proposed,
 			ModelVersion replaced) implements RouterAction {
@@ -78,7 +78,7 @@
 	}
 
 	/**
-	 * Tell an agent to stop an attempt.
+	 * Cancel an attempt at its agent.
 	 *
 	 * @param agent the agent
 	 * @param attempt the attempt
@@ -87,30 +87,30 @@
 	}
 
 	/**
-	 * Give the caller a part of its answer.
+	 * Deliver a part of the answer to the caller.
 	 *
 	 * @param request the request
-	 * @param version the version that wrote it
-	 * @param text the part
+	 * @param version the version that generated it
+	 * @param text the text
 	 */
 	record Deliver(RequestId request, ModelVersion version, String text) implements RouterAction {
 	}
 
 	/**
-	 * Close the caller's answer; it is whole.
+	 * End the caller's answer, which is complete.
 	 *
 	 * @param request the request
-	 * @param servedBy what served it: the version, or the earlier request's for a call
-	 * sent again
-	 * @param completion how the answer closed
-	 * @param costMicros what it costs the team, in micro-dollars
+	 * @param servedBy the version that served it; for a repeated call, that of the first
+	 * one
+	 * @param completion how the answer ended
+	 * @param costMicros the cost for the team, in micro-dollars
 	 */
 	record Complete(RequestId request, String servedBy, Completion completion,
 			long costMicros) implements RouterAction {
 	}
 
 	/**
-	 * Give the caller its final refusal, at once.
+	 * Send the final refusal to the caller.
 	 *
 	 * @param request the request
 	 * @param refusal the refusal
@@ -119,10 +119,10 @@
 	}
 
 	/**
-	 * Have an answer rated; answered by {@link RouterEvent.AnswerRated}.
+	 * Have an answer rated. Answered by {@link RouterEvent.AnswerRated}.
 	 *
 	 * @param attempt the attempt that gave the answer
-	 * @param version the version that wrote it
+	 * @param version the version that generated it
 	 * @param prompt the request's body
 	 * @param answer the answer
 	 */
@@ -130,15 +130,17 @@
 	}
 
 	/**
-	 * Tell the other nodes that a request was running when a backend server crashed.
+	 * Announce to the other nodes that a request was running when a backend server
+	 * crashed.
 	 *
-	 * @param suspicion what is known against its content
+	 * @param suspicion the crashes known for its content
 	 */
 	record AnnounceSuspect(Suspicion suspicion) implements RouterAction {
 	}
 
 	/**
-	 * Tell the other nodes that a version gets no new work, and the operators why.
+	 * Announce to the other nodes that a version gets no new work, and to the operators
+	 * why.
 	 *
 	 * @param halt the halt
 	 */
@@ -146,8 +148,8 @@
 	}
 
 	/**
-	 * Write the request's record to the ledger ahead of its answer; answered by
-	 * {@link RouterEvent.RecordKept}.
+	 * Write the request's record to the ledger before its answer is delivered. Answered
+	 * by {@link RouterEvent.RecordKept}.
 	 *
 	 * @param record the record
 	 */
@@ -155,7 +157,7 @@
 	}
 
 	/**
-	 * Write the request's record to the ledger; nothing more of it will happen.
+	 * Write the request's final record to the ledger.
 	 *
 	 * @param record the record
 	 */
--- a/core/src/main/java/org/gullsaddle/route/RouterEvent.java
+++ b/core/src/main/java/org/gullsaddle/route/RouterEvent.java
@@ -18,12 +18,12 @@
 import org.gullsaddle.template.TemplateRevision;
 
 /**
- * Something that happened, for the {@link Router} to decide on.
+ * An event that the {@link Router} handles.
  */
 public sealed interface RouterEvent {
 
 	/**
-	 * A caller's request passed the filters.
+	 * A caller's request arrived and passed the checks of the entry.
 	 *
 	 * @param request the request
 	 */
@@ -31,26 +31,25 @@
 	}
 
 	/**
-	 * The claim on a request's idempotency key was answered.
+	 * The claim of a request's idempotency key has a result.
 	 *
 	 * @param request the request
-	 * @param answer what it came to
+	 * @param result the result
 	 */
 	record ClaimCompleted(RequestId request, ClaimResult result) implements RouterEvent {
 	}
 
 	/**
-	 * The version of a request's session was settled, or could not be.
+	 * The store pinned the session of a request to a version, or was unavailable.
 	 *
 	 * @param request the request
-	 * @param version the version that the session has, or empty if the store could not
-	 * say
+	 * @param version the version of the session, or empty if the store was unavailable
 	 */
 	record PinCompleted(RequestId request, Optional<ModelVersion> version) implements RouterEvent {
 	}
 
 	/**
-	 * A link to an agent came up, or what it serves changed.
+	 * An agent connected, or the versions it serves changed.
 	 *
 	 * @param agent the agent
 	 */
@@ -67,7 +66,7 @@
 	}
 
 	/**
-	 * A backend server takes no new work from now on.
+	 * A backend server takes no new work any more.
 	 *
 	 * @param agent its agent
 	 */
@@ -75,7 +74,7 @@
 	}
 
 	/**
-	 * The link to an agent is gone, and with it all of its attempts.
+	 * The connection to an agent is lost, and all of its attempts with it.
 	 *
 	 * @param agent the agent
 	 */
@@ -83,7 +82,7 @@
 	}
 
 	/**
-	 * An agent has an attempt; it is queued or running.
+	 * An agent accepted an attempt, which is queued or running.
 	 *
 	 * @param attempt the attempt
 	 */
@@ -91,11 +90,11 @@
 	}
 
 	/**
-	 * A part of an answer came.
+	 * A part of an answer was received.
 	 *
 	 * @param attempt the attempt
-	 * @param offset how many characters of the whole answer come before it
-	 * @param text the part
+	 * @param offset the number of characters of the whole answer before it
+	 * @param text the text
 	 */
 	record AttemptChunk(AttemptId attempt, long offset, String text) implements RouterEvent {
 	}
@@ -104,14 +103,14 @@
 	 * An attempt ran to its end.
 	 *
 	 * @param attempt the attempt
-	 * @param completion how its answer closed
-	 * @param length how many characters the whole answer has
+	 * @param completion how its answer ended
+	 * @param length the number of characters of the whole answer
 	 */
 	record AttemptDone(AttemptId attempt, Completion completion, long length) implements RouterEvent {
 	}
 
 	/**
-	 * An agent refused an attempt that it never handed to its backend server.
+	 * An agent refused an attempt without sending it to its backend server.
 	 *
 	 * @param attempt the attempt
 	 * @param refusal why; its verdict is not run
@@ -120,18 +119,18 @@
 	}
 
 	/**
-	 * An attempt was handed to the backend server and did not run to its end.
+	 * An attempt was sent to the backend server and did not run to its end.
 	 *
 	 * @param attempt the attempt
 	 * @param verdict whether it may have run
-	 * @param crashed whether the backend server died
-	 * @param usage the tokens used as far as known
+	 * @param crashed whether the backend server crashed
+	 * @param usage the tokens used, as far as known
 	 */
 	record AttemptFailed(AttemptId attempt, Verdict verdict, boolean crashed, Usage usage) implements RouterEvent {
 	}
 
 	/**
-	 * The rating service rated an answer, or could not.
+	 * The rating service rated an answer, or failed to.
 	 *
 	 * @param attempt the attempt that gave the answer
 	 * @param score 0 to 1, or empty if no rating came in time
@@ -142,13 +141,14 @@
 	/**
 	 * The caller closed its connection.
 	 *
-	 * @param request its request
+	 * @param request the caller's request
 	 */
 	record CallerDisconnected(RequestId request) implements RouterEvent {
 	}
 
 	/**
-	 * A revision of a template arrived; an older one than that in force is ignored.
+	 * A revision of a template arrived. It is ignored if it is older than the one in
+	 * force.
 	 *
 	 * @param revision the revision
 	 */
@@ -156,23 +156,23 @@
 	}
 
 	/**
-	 * The node can, or can no longer, tell that its configuration is the one in force.
+	 * The node became, or stopped being, certain that its configuration is in force.
 	 *
-	 * @param cutOff true if it no longer can
+	 * @param cutOff true if it is no longer certain
 	 */
 	record FreshnessChanged(boolean cutOff) implements RouterEvent {
 	}
 
 	/**
-	 * Another node saw a backend server crash while a request ran.
+	 * Another node announced that a backend server crashed while a request ran.
 	 *
-	 * @param suspicion what it knows
+	 * @param suspicion the crashes it knows of
 	 */
 	record SuspectAnnounced(Suspicion suspicion) implements RouterEvent {
 	}
 
 	/**
-	 * Another node gives a version no new work.
+	 * Another node announced that a version gets no new work.
 	 *
 	 * @param halt the halt
 	 */
@@ -180,7 +180,7 @@
 	}
 
 	/**
-	 * The store has a request's record.
+	 * The record of a request is stored.
 	 *
 	 * @param request the request
 	 */
@@ -188,7 +188,7 @@
 	}
 
 	/**
-	 * Time passed.
+	 * Time has passed; the router checks its timers.
 	 */
 	record Tick() implements RouterEvent {
 	}
--- a/core/src/main/java/org/gullsaddle/route/RouterSettings.java
+++ b/core/src/main/java/org/gullsaddle/route/RouterSettings.java
@@ -3,7 +3,7 @@
 import org.gullsaddle.base.Check;
 
 /**
- * What the {@link Router} is tuned by. All times are in milliseconds.
+ * The settings of the {@link Router}.
  */
 public final class RouterSettings {
 
@@ -38,7 +38,7 @@
 	}
 
 	/**
-	 * Starts settings for a node.
+	 * Returns a builder of settings for a node.
 	 * @param region the node's region
 	 * @param dataCenter the node's data center
 	 * @return a builder with the defaults
@@ -64,7 +64,7 @@
 	}
 
 	/**
-	 * Returns how often one request may be tried.
+	 * Returns the maximum number of attempts of a request.
 	 * @return the number of attempts, the first included
 	 */
 	public int maxAttempts() {
@@ -72,15 +72,15 @@
 	}
 
 	/**
-	 * Returns how many retries are earned by each request.
-	 * @return the share, 0 to 1
+	 * Returns how many retries each request adds to the retry budget.
+	 * @return the ratio, 0 to 1
 	 */
 	public double retryBudgetRatio() {
 		return this.retryBudgetRatio;
 	}
 
 	/**
-	 * Returns how long an answer may be.
+	 * Returns the maximum length of an answer.
 	 * @return the length in characters
 	 */
 	public int maxAnswerLength() {
@@ -88,15 +88,15 @@
 	}
 
 	/**
-	 * Returns how many requests may be open at once.
-	 * @return the number
+	 * Returns the maximum number of open requests.
+	 * @return the number of requests
 	 */
 	public int maxOpenRequests() {
 		return this.maxOpenRequests;
 	}
 
 	/**
-	 * Returns how long to wait for the end of an attempt whose caller was answered,
+	 * Returns how long to wait for the end of an attempt after its caller was answered,
 	 * before the record is written without it.
 	 * @return the time in milliseconds
 	 */
@@ -105,7 +105,7 @@
 	}
 
 	/**
-	 * Returns how long a caller waits for a rating.
+	 * Returns how long to wait for the rating of an answer before it is delivered.
 	 * @return the time in milliseconds
 	 */
 	public long ratingTimeoutMillis() {
@@ -113,8 +113,8 @@
 	}
 
 	/**
-	 * Returns the share of direct answers that are rated after the caller has them.
-	 * @return the share, 0 to 1
+	 * Returns the ratio of directly delivered answers that are rated afterwards.
+	 * @return the ratio, 0 to 1
 	 */
 	public double spotCheckRatio() {
 		return this.spotCheckRatio;
@@ -149,7 +149,7 @@
 		}
 
 		/**
-		 * Sets how often one request may be tried.
+		 * Sets the maximum number of attempts of a request.
 		 * @param attempts the number of attempts, the first included
 		 * @return this builder
 		 */
@@ -159,17 +159,17 @@
 		}
 
 		/**
-		 * Sets how many retries are earned by each request.
-		 * @param share the share, 0 to 1
+		 * Sets how many retries each request adds to the retry budget.
+		 * @param ratio the ratio, 0 to 1
 		 * @return this builder
 		 */
-		public Builder retryBudgetRatio(double share) {
-			this.retryBudgetRatio = share;
+		public Builder retryBudgetRatio(double ratio) {
+			this.retryBudgetRatio = ratio;
 			return this;
 		}
 
 		/**
-		 * Sets how long an answer may be.
+		 * Sets the maximum length of an answer.
 		 * @param length the length in characters
 		 * @return this builder
 		 */
@@ -179,8 +179,8 @@
 		}
 
 		/**
-		 * Sets how many requests may be open at once.
-		 * @param requests the number
+		 * Sets the maximum number of open requests.
+		 * @param requests the number of requests
 		 * @return this builder
 		 */
 		public Builder maxOpenRequests(int requests) {
@@ -189,7 +189,7 @@
 		}
 
 		/**
-		 * Sets how long to wait for the end of an attempt whose caller was answered.
+		 * Sets how long to wait for the end of an attempt after its caller was answered.
 		 * @param millis the time in milliseconds
 		 * @return this builder
 		 */
@@ -199,7 +199,7 @@
 		}
 
 		/**
-		 * Sets how long a caller waits for a rating.
+		 * Sets how long to wait for the rating of an answer before it is delivered.
 		 * @param millis the time in milliseconds
 		 * @return this builder
 		 */
@@ -209,12 +209,12 @@
 		}
 
 		/**
-		 * Sets the share of direct answers that are rated.
-		 * @param share the share, 0 to 1
+		 * Sets the ratio of directly delivered answers that are rated afterwards.
+		 * @param ratio the ratio, 0 to 1
 		 * @return this builder
 		 */
-		public Builder spotCheckRatio(double share) {
-			this.spotCheckRatio = share;
+		public Builder spotCheckRatio(double ratio) {
+			this.spotCheckRatio = ratio;
 			return this;
 		}
 
--- a/core/src/main/java/org/gullsaddle/route/SpotChecks.java
+++ b/core/src/main/java/org/gullsaddle/route/SpotChecks.java
@@ -12,8 +12,8 @@
 import org.gullsaddle.rollout.VersionGuard;
 
 /**
- * Has a share of the answers rated that callers got directly, so that a version whose
- * answers are never rated on the way does not drift unseen.
+ * Has a random sample of the directly delivered answers rated afterwards, so that the
+ * drift of a version is noticed even if its answers are never rated before delivery.
  */
 final class SpotChecks {
 
@@ -34,22 +34,26 @@
 		}
 	};
 
-	SpotChecks(QualityTracker quality, VersionGuard guard, double share, RandomGenerator random) {
+	SpotChecks(QualityTracker quality, VersionGuard versionGuard, double ratio, RandomGenerator random) {
 		this.quality = quality;
-		this.versionGuard = guard;
-		this.ratio = share;
+		this.versionGuard = versionGuard;
+		this.ratio = ratio;
 		this.random = random;
 	}
 
+	/**
+	 * Decides whether a delivered answer is rated. All answers of a version are rated
+	 * while the version guard watches it closely, unless spot checks are off.
+	 */
 	Optional<RouterAction> chooseForRating(RequestState state, ModelVersion version, String answer) {
-		boolean closely = this.versionGuard.closely(state.request().template(), version);
-		if (this.ratio == 0 || (!closely && this.random.nextDouble() >= this.ratio)) {
+		boolean isWatchedClosely = this.versionGuard.closely(state.request().template(), version);
+		if (this.ratio == 0 || (!isWatchedClosely && this.random.nextDouble() >= this.ratio)) {
 			return Optional.empty();
 		}
 		AttemptId attempt = new AttemptId(state.id(), state.attemptCount());
 		double expected = state.expectedRating(version);
-		double bar = state.template().team(state.team()).map(Planner::passThreshold).orElse(0.0);
-		this.pending.put(attempt, new PendingCheck(state.ratingKey(), expected, bar));
+		double threshold = state.template().team(state.team()).map(Planner::passThreshold).orElse(0.0);
+		this.pending.put(attempt, new PendingCheck(state.ratingKey(), expected, threshold));
 		return Optional.of(new RouterAction.RateAnswer(attempt, version, state.request().body(), answer));
 	}
 
