--- a/core/src/main/java/org/gullsaddle/route/OpenRequests.java
+++ b/core/src/main/java/org/gullsaddle/route/OpenRequests.java
@@ -64,7 +64,7 @@
 	/**
 	 * Returns whether an attempt with the given content is outstanding at an agent.
 	 */
-	boolean hasOutstandingAttempt(Fingerprint fingerprint) {
+	boolean isRunning(Fingerprint fingerprint) {
 		return this.states.values()
 			.stream()
 			.anyMatch((state) -> state.outstanding() != null && state.request().fingerprint().equals(fingerprint));
--- a/core/src/main/java/org/gullsaddle/route/RequestState.java
+++ b/core/src/main/java/org/gullsaddle/route/RequestState.java
@@ -50,7 +50,7 @@
 
 	private int attemptCount;
 
-	private OutstandingAttempt outstanding;
+	private SentAttempt outstanding;
 
 	private boolean reached;
 
@@ -192,13 +192,13 @@
 	AttemptId startAttempt(NodeId agent, boolean alone, long stamp) {
 		this.attemptCount++;
 		AttemptId attempt = new AttemptId(id(), this.attemptCount);
-		this.outstanding = new OutstandingAttempt(attempt, agent, version(), this.revision.revision(), alone, stamp);
+		this.outstanding = new SentAttempt(attempt, agent, version(), this.revision.revision(), alone, stamp);
 		this.triedAgents.add(agent);
 		this.reached = false;
 		return attempt;
 	}
 
-	OutstandingAttempt outstanding() {
+	SentAttempt outstanding() {
 		return this.outstanding;
 	}
 
@@ -209,9 +209,8 @@
 	/**
 	 * Closes the outstanding attempt and adds its line to the record.
 	 */
-	OutstandingAttempt closeAttempt(Verdict attemptVerdict, String attemptOutcome, Usage usage, long costMicros,
-			long stamp) {
-		OutstandingAttempt closed = this.outstanding;
+	SentAttempt closeAttempt(Verdict attemptVerdict, String attemptOutcome, Usage usage, long costMicros, long stamp) {
+		SentAttempt closed = this.outstanding;
 		this.outstanding = null;
 		this.verdict = this.verdict.and(attemptVerdict);
 		if (attemptVerdict != Verdict.NOT_RUN) {
@@ -341,7 +340,7 @@
 	/**
 	 * An attempt that was sent to an agent and has not ended.
 	 */
-	record OutstandingAttempt(AttemptId attempt, NodeId agent, ModelVersion version, long revision, boolean alone,
+	record SentAttempt(AttemptId attempt, NodeId agent, ModelVersion version, long revision, boolean alone,
 			long sentStamp) {
 	}
 
--- a/core/src/main/java/org/gullsaddle/route/Router.java
+++ b/core/src/main/java/org/gullsaddle/route/Router.java
@@ -270,8 +270,7 @@
 			this.finisher.giveUp(now, state, Refusal.notRun(RefusalReason.POISON, 0));
 			return;
 		}
-		if (this.suspects.suspected(request.fingerprint())
-				&& this.openRequests.hasOutstandingAttempt(request.fingerprint())) {
+		if (this.suspects.suspected(request.fingerprint()) && this.openRequests.isRunning(request.fingerprint())) {
 			// Two copies, each alone on its backend server, could crash two at once.
 			this.finisher.giveUp(now, state, this.retryAfter.notRun(RefusalReason.POISON, RETRY_AFTER_MILLIS));
 			return;
@@ -363,7 +362,7 @@
 		}
 		Completion completion = event.completion();
 		long cost = costMicros(state, completion.usage());
-		RequestState.OutstandingAttempt closed = state.closeAttempt(Verdict.RAN, "done", completion.usage(), cost,
+		RequestState.SentAttempt closed = state.closeAttempt(Verdict.RAN, "done", completion.usage(), cost,
 				now.stamp());
 		this.balancer.recordSuccess(closed.agent());
 		announceHalt(this.versionGuard.ended(state.request().template(), closed.version(), false));
@@ -429,8 +428,8 @@
 			return;
 		}
 		Refusal refusal = event.refusal();
-		RequestState.OutstandingAttempt closed = state.closeAttempt(Verdict.NOT_RUN, refusal.reason().toString(),
-				Usage.NONE, 0, now.stamp());
+		RequestState.SentAttempt closed = state.closeAttempt(Verdict.NOT_RUN, refusal.reason().toString(), Usage.NONE,
+				0, now.stamp());
 		if (refusal.reason() == RefusalReason.LEAVING || refusal.reason() == RefusalReason.STOPPING) {
 			this.balancer.onAgentLeaving(closed.agent());
 		}
@@ -463,7 +462,7 @@
 			return;
 		}
 		long cost = (state.isAnswered() && !event.crashed()) ? costMicros(state, event.usage()) : 0;
-		RequestState.OutstandingAttempt closed = state.closeAttempt(event.verdict(),
+		RequestState.SentAttempt closed = state.closeAttempt(event.verdict(),
 				event.crashed() ? "backend-crashed" : "backend-failed", event.usage(), cost, now.stamp());
 		if (!state.isAnswered() && event.verdict() != Verdict.NOT_RUN
 				&& this.balancer.recordFailure(now.millis(), closed.agent(), closed.version())) {
