--- a/core/src/main/java/org/gullsaddle/route/Router.java
+++ b/core/src/main/java/org/gullsaddle/route/Router.java
@@ -27,7 +27,9 @@
 
 /**
  * Decides what happens to the requests of an entry. Not thread-safe: pass it one event at
- * a time, with the time of the event, and carry out the returned actions in order. <pre>
+ * a time, with the time of the event, and carry out the returned actions in order.
+ *
+ * <pre>
  * Router router = new Router(RouterSettings.builder("north", "north-1").build(), random);
  * for (RouterAction action : router.handle(now, new RouterEvent.RequestArrived(request))) {
  *     carryOut(action);
@@ -362,24 +364,23 @@
 		}
 		Completion completion = event.completion();
 		long cost = costMicros(state, completion.usage());
-		RequestState.SentAttempt closed = state.closeAttempt(Verdict.RAN, "done", completion.usage(), cost,
-				now.stamp());
-		this.balancer.recordSuccess(closed.agent());
-		announceHalt(this.versionGuard.ended(state.request().template(), closed.version(), false));
-		if (closed.alone()) {
+		RequestState.SentAttempt ended = state.closeAttempt(Verdict.RAN, "done", completion.usage(), cost, now.stamp());
+		this.balancer.recordSuccess(ended.agent());
+		announceHalt(this.versionGuard.ended(state.request().template(), ended.version(), false));
+		if (ended.alone()) {
 			this.suspects.clear(state.request().fingerprint());
 		}
 		if (state.isAnswered()) {
 			if (event.length() == state.receivedText().length()) {
-				this.actions.completeClaim(state, closed.version(), completion);
+				this.actions.completeClaim(state, ended.version(), completion);
 			}
 			this.finisher.writeRecord(state);
 		}
 		else if (state.isLastStage()) {
-			this.finisher.complete(now, state, closed.version(), completion, RequestFinisher.SERVED);
+			this.finisher.complete(now, state, ended.version(), completion, RequestFinisher.SERVED);
 		}
 		else {
-			requestRating(now, state, event.attempt(), closed.version(), completion);
+			requestRating(now, state, event.attempt(), ended.version(), completion);
 		}
 	}
 
