--- a/core/src/main/java/org/gullsaddle/route/Router.java
+++ b/core/src/main/java/org/gullsaddle/route/Router.java
@@ -334,7 +334,7 @@
 		}
 		if (event.offset() > state.receivedText().length()) {
 			// A chunk is missing: the text would be appended at the wrong offset.
-			breakOffAttempt(now, state);
+			failAndCancelAttempt(now, state);
 			return;
 		}
 		if (state.receivedText().length() + event.text().length() > this.settings.maxAnswerLength()) {
@@ -359,7 +359,7 @@
 			return;
 		}
 		if (!state.isAnswered() && event.length() != state.receivedText().length()) {
-			breakOffAttempt(now, state);
+			failAndCancelAttempt(now, state);
 			return;
 		}
 		Completion completion = event.completion();
@@ -498,7 +498,7 @@
 	/**
 	 * Treats the outstanding attempt as failed and cancels it at its agent.
 	 */
-	private void breakOffAttempt(Moment now, RequestState state) {
+	private void failAndCancelAttempt(Moment now, RequestState state) {
 		if (state.isAnswered()) {
 			return;
 		}
