--- a/core/src/main/java/org/gullsaddle/agent/AdmissionAction.java
+++ b/core/src/main/java/org/gullsaddle/agent/AdmissionAction.java
@@ -94,7 +94,7 @@
 	 *
 	 * @param line the line
 	 */
-	record Hold(AgentRecord line) implements AdmissionAction {
+	record HoldLine(AgentRecord line) implements AdmissionAction {
 	}
 
 	/**
@@ -104,7 +104,7 @@
 	 * @param holder the other entry
 	 * @param line the line
 	 */
-	record Copy(NodeId holder, AgentRecord line) implements AdmissionAction {
+	record CopyLine(NodeId holder, AgentRecord line) implements AdmissionAction {
 	}
 
 	/**
--- a/core/src/main/java/org/gullsaddle/route/Outbox.java
+++ b/core/src/main/java/org/gullsaddle/route/ActionBuffer.java
@@ -11,10 +11,10 @@
 import org.gullsaddle.template.TeamRule;
 
 /**
- * Gathers the actions that an event leads to, and words those that several decisions
- * share.
+ * Collects the actions that an event leads to, and builds those that are needed in
+ * several places.
  */
-final class Outbox {
+final class ActionBuffer {
 
 	private final List<RouterAction> actions = new ArrayList<>();
 
@@ -22,50 +22,50 @@
 		this.actions.add(action);
 	}
 
-	List<RouterAction> take() {
-		List<RouterAction> taken = List.copyOf(this.actions);
+	List<RouterAction> takeAll() {
+		List<RouterAction> all = List.copyOf(this.actions);
 		this.actions.clear();
-		return taken;
+		return all;
 	}
 
 	void send(RequestState state, NodeId agent, AttemptId attempt, boolean alone) {
 		IncomingRequest request = state.request();
 		TeamRule rule = state.template().findTeam(state.team()).orElseThrow();
-		String resume = state.lastStage() ? state.received().toString() : "";
+		String resume = state.isLastStage() ? state.receivedText().toString() : "";
 		add(new RouterAction.Send(agent,
 				new Dispatch(attempt, state.team(), request.template(), state.revision().revision(), state.version(),
-						state.pinned(), rule.rank(), rule.weight(), request.deadline(), request.repeatable(), alone,
+						state.isPinned(), rule.rank(), rule.weight(), request.deadline(), request.isRepeatable(), alone,
 						request.fingerprint(), resume, request.body())));
 	}
 
 	/**
-	 * Has the agent stop what is outstanding, unless it is a call that must not be cut
-	 * off half-way.
+	 * Cancels the outstanding attempt, unless the request may run only once: such a call
+	 * must not be interrupted.
 	 */
 	void cancel(RequestState state) {
-		if (state.outstanding() != null && state.request().repeatable()) {
+		if (state.outstanding() != null && state.request().isRepeatable()) {
 			add(new RouterAction.Cancel(state.outstanding().agent(), state.outstanding().attempt()));
 		}
 	}
 
-	void repeat(RequestState state, CallOutcome outcome) {
+	void replay(RequestState state, CallOutcome outcome) {
 		if (!outcome.text().isEmpty()) {
 			add(new RouterAction.Deliver(state.id(), ModelVersion.of(outcome.servedBy()), outcome.text()));
 		}
-		add(new RouterAction.Complete(state.id(), outcome.servedBy(), outcome.completion(), state.cost()));
+		add(new RouterAction.Complete(state.id(), outcome.servedBy(), outcome.completion(), state.totalCostMicros()));
 	}
 
-	void settleClaim(RequestState state, ModelVersion version, Completion completion) {
-		if (state.claimed()) {
+	void completeClaim(RequestState state, ModelVersion version, Completion completion) {
+		if (state.hasClaim()) {
 			CallOutcome outcome = new CallOutcome(state.id(), version.toString(), completion,
-					state.received().toString());
-			add(new RouterAction.SettleClaim(state.id(), state.team(), state.request().idempotencyKey().orElseThrow(),
+					state.receivedText().toString());
+			add(new RouterAction.CompleteClaim(state.id(), state.team(), state.request().idempotencyKey().orElseThrow(),
 					outcome));
 		}
 	}
 
 	void releaseClaim(RequestState state) {
-		if (state.claimed()) {
+		if (state.hasClaim()) {
 			add(new RouterAction.ReleaseClaim(state.id(), state.team(),
 					state.request().idempotencyKey().orElseThrow()));
 		}
--- a/core/src/main/java/org/gullsaddle/route/AgentState.java
+++ b/core/src/main/java/org/gullsaddle/route/AgentState.java
@@ -9,11 +9,12 @@
 import org.gullsaddle.serve.OutlierEjection;
 
 /**
- * What the router knows of one agent.
+ * An agent as the router sees it: its versions, its reported load and the attempts
+ * outstanding there.
  */
 final class AgentState {
 
-	private final Set<AttemptId> outstanding = new HashSet<>();
+	private final Set<AttemptId> outstandingAttempts = new HashSet<>();
 
 	private AgentInfo info;
 
@@ -21,7 +22,7 @@
 
 	private boolean leaving;
 
-	private final OthersLoad others = new OthersLoad();
+	private final PeerLoadEstimate peerLoad = new PeerLoadEstimate();
 
 	private final OutlierEjection ejection = new OutlierEjection();
 
@@ -31,58 +32,59 @@
 
 	void update(AgentInfo newInfo) {
 		this.info = newInfo;
-		report(newInfo.load());
+		onLoadReport(newInfo.load());
 	}
 
-	void report(LoadReport newLoad) {
+	void onLoadReport(LoadReport newLoad) {
 		this.load = newLoad;
-		this.others.report(newLoad, this.outstanding.size());
+		this.peerLoad.onLoadReport(newLoad, this.outstandingAttempts.size());
 	}
 
 	AgentInfo info() {
 		return this.info;
 	}
 
-	boolean leaving() {
+	boolean isLeaving() {
 		return this.leaving;
 	}
 
-	void leave() {
+	void markLeaving() {
 		this.leaving = true;
 	}
 
-	void sent(AttemptId attempt) {
-		this.outstanding.add(attempt);
+	void onAttemptSent(AttemptId attempt) {
+		this.outstandingAttempts.add(attempt);
 	}
 
-	void ended(AttemptId attempt) {
-		this.outstanding.remove(attempt);
+	void onAttemptEnded(AttemptId attempt) {
+		this.outstandingAttempts.remove(attempt);
 	}
 
-	Set<AttemptId> outstanding() {
-		return Set.copyOf(this.outstanding);
+	Set<AttemptId> outstandingAttempts() {
+		return Set.copyOf(this.outstandingAttempts);
 	}
 
-	void succeeded() {
+	void recordSuccess() {
 		this.ejection.onSuccess();
 	}
 
 	/**
-	 * Notes a failure; true if it is the first since a success.
+	 * Records a failure. Returns whether it is the first since a success.
 	 */
-	boolean failed(long now) {
+	boolean recordFailure(long now) {
 		return this.ejection.onFailure(now);
 	}
 
-	boolean ejected(long now) {
+	boolean isEjected(long now) {
 		return this.ejection.isEjected(now);
 	}
 
 	/**
-	 * Returns how full the backend server is likely to be; 1 is as many as it can run.
+	 * Returns the estimated load of the backend server, as a ratio of the requests it can
+	 * run at once.
 	 */
-	double pressure() {
-		return (this.outstanding.size() + this.others.requests()) / this.load.slots();
+	double loadRatio() {
+		return (this.outstandingAttempts.size() + this.peerLoad.requests()) / this.load.slots();
 	}
 
 }
--- a/core/src/main/java/org/gullsaddle/route/OpenRequests.java
+++ b/core/src/main/java/org/gullsaddle/route/OpenRequests.java
@@ -12,19 +12,20 @@
 import org.gullsaddle.base.RequestId;
 
 /**
- * The requests that are not at their end, and when each is to be looked at again.
+ * The requests whose record is not written yet, by id, with the timers at which they are
+ * checked.
  */
 final class OpenRequests {
 
 	private final Map<RequestId, RequestState> states = new LinkedHashMap<>();
 
-	private final PriorityQueue<Timer> timers = new PriorityQueue<>(Comparator.comparingLong(Timer::time));
+	private final PriorityQueue<Timer> timers = new PriorityQueue<>(Comparator.comparingLong(Timer::dueMillis));
 
 	void add(RequestState state) {
 		this.states.put(state.id(), state);
 	}
 
-	RequestState get(RequestId request) {
+	RequestState find(RequestId request) {
 		return this.states.get(request);
 	}
 
@@ -37,48 +38,48 @@
 	}
 
 	/**
-	 * Returns the request whose outstanding attempt this is, or null for an attempt that
-	 * no longer counts.
+	 * Returns the request whose outstanding attempt this is, or null if the attempt has
+	 * ended or was replaced.
 	 */
-	RequestState current(AttemptId attempt) {
+	RequestState findByOutstandingAttempt(AttemptId attempt) {
 		RequestState state = this.states.get(attempt.request());
-		return (state != null && state.isCurrent(attempt)) ? state : null;
+		return (state != null && state.isOutstanding(attempt)) ? state : null;
 	}
 
-	void accepted(AttemptId attempt) {
-		RequestState state = current(attempt);
+	void onAttemptAccepted(AttemptId attempt) {
+		RequestState state = findByOutstandingAttempt(attempt);
 		if (state != null) {
-			state.reach();
+			state.markReachedAgent();
 		}
 	}
 
 	/**
-	 * Says whether an attempt is known to have reached its agent.
+	 * Returns whether the agent is known to have accepted an attempt that is outstanding.
 	 */
-	boolean reached(AttemptId attempt) {
-		RequestState state = current(attempt);
-		return state != null && state.reached();
+	boolean hasReachedAgent(AttemptId attempt) {
+		RequestState state = findByOutstandingAttempt(attempt);
+		return state != null && state.hasReachedAgent();
 	}
 
 	/**
-	 * Says whether an agent has an attempt of a content.
+	 * Returns whether an attempt with the given content is outstanding at an agent.
 	 */
-	boolean underWay(Fingerprint fingerprint) {
+	boolean isRunning(Fingerprint fingerprint) {
 		return this.states.values()
 			.stream()
 			.anyMatch((state) -> state.outstanding() != null && state.request().fingerprint().equals(fingerprint));
 	}
 
-	void wake(long time, RequestId request) {
-		this.timers.add(new Timer(time, request));
+	void scheduleCheck(long dueMillis, RequestId request) {
+		this.timers.add(new Timer(dueMillis, request));
 	}
 
 	/**
-	 * Takes out the requests whose time has come.
+	 * Removes the timers that are due and returns the open requests they belong to.
 	 */
-	List<RequestState> due(long now) {
+	List<RequestState> takeDue(long now) {
 		List<RequestState> due = new ArrayList<>();
-		while (!this.timers.isEmpty() && this.timers.peek().time() <= now) {
+		while (!this.timers.isEmpty() && this.timers.peek().dueMillis() <= now) {
 			RequestState state = this.states.get(this.timers.poll().request());
 			if (state != null) {
 				due.add(state);
@@ -87,7 +88,7 @@
 		return due;
 	}
 
-	private record Timer(long time, RequestId request) {
+	private record Timer(long dueMillis, RequestId request) {
 	}
 
 }
--- a/core/src/main/java/org/gullsaddle/route/Plan.java
+++ b/core/src/main/java/org/gullsaddle/route/Plan.java
@@ -6,21 +6,21 @@
 import org.gullsaddle.base.ModelVersion;
 
 /**
- * The versions to try in turn; the answer of each but the last is rated, and the next is
- * asked only if the rating misses the bar.
+ * The versions to try in order. The answer of each stage but the last is rated, and the
+ * next stage runs only if the rating is below the threshold.
  *
- * @param stages at least one version
- * @param bar the rating that ends the cascade
- * @param reason why this plan, for the trace
+ * @param stages the versions, at least one
+ * @param passThreshold the rating at which the cascade ends
+ * @param reason why this plan was chosen, for the trace
  */
-record Plan(List<ModelVersion> stages, double bar, String reason) {
+record Plan(List<ModelVersion> stages, double passThreshold, String reason) {
 
 	Plan {
 		stages = List.copyOf(stages);
 		Check.that(!stages.isEmpty(), "a plan needs a stage");
 	}
 
-	boolean isLast(int stage) {
+	boolean isLastStage(int stage) {
 		return stage == this.stages.size() - 1;
 	}
 
--- a/core/src/main/java/org/gullsaddle/route/Planner.java
+++ b/core/src/main/java/org/gullsaddle/route/Planner.java
@@ -17,25 +17,26 @@
 import org.gullsaddle.template.VersionRule;
 
 /**
- * Chooses the cheapest plan that is expected to meet a team's quality target.
+ * Chooses the cheapest plan that is expected to meet a team's quality target. A plan is
+ * one version or a cascade of two or three, from cheap to expensive.
  */
 final class Planner {
 
-	/** The usage that plans are compared by. */
-	private static final Usage TYPICAL = new Usage(500, 300);
+	/** The token usage for which the costs of plans are compared. */
+	private static final Usage TYPICAL_USAGE = new Usage(500, 300);
 
-	private static final double BAR_BELOW_TARGET = 0.15;
+	private static final double PASS_THRESHOLD_BELOW_TARGET = 0.15;
 
-	/** How far above its target a team's mean is aimed at. */
-	private static final double MARGIN = 0.005;
+	/** How far above the target the mean quality of a team is planned. */
+	private static final double TARGET_MARGIN = 0.005;
 
-	private final QualityBook quality;
+	private final QualityTracker quality;
 
-	private final VersionGuard guard;
+	private final VersionGuard versionGuard;
 
-	Planner(QualityBook quality, VersionGuard guard) {
+	Planner(QualityTracker quality, VersionGuard guard) {
 		this.quality = quality;
-		this.guard = guard;
+		this.versionGuard = guard;
 	}
 
 	/**
@@ -43,129 +44,138 @@
 	 * @param template the template
 	 * @param team the team
 	 * @param served the versions that some backend server serves
-	 * @param unit a number from 0 to 1 that spreads requests over a model's versions
-	 * @param cascades whether answers can be rated now
-	 * @param dice a random number from 0 to 1
-	 * @return the plan, or empty if the team can have no version
+	 * @param spreadUnit a number from 0 to 1 that spreads requests over the versions of a
+	 * model
+	 * @param canRate whether answers can be rated now, which cascades need
+	 * @param random a random number from 0 to 1 for mixing two options
+	 * @return the plan, or empty if no version is available to the team
 	 */
-	Optional<Plan> plan(Template template, TeamId team, Set<ModelVersion> served, double unit, boolean cascades,
-			double dice) {
+	Optional<Plan> plan(Template template, TeamId team, Set<ModelVersion> served, double spreadUnit, boolean canRate,
+			double random) {
 		TeamRule rule = template.findTeam(team).orElse(null);
 		if (rule == null) {
 			return Optional.empty();
 		}
-		Set<ModelVersion> good = new HashSet<>(served);
-		good.removeAll(this.guard.haltedVersions(template.name()));
-		List<VersionRule> candidates = candidates(template, team, good, unit);
+		Set<ModelVersion> active = new HashSet<>(served);
+		active.removeAll(this.versionGuard.haltedVersions(template.name()));
+		List<VersionRule> candidates = candidateVersions(template, team, active, spreadUnit);
 		if (candidates.isEmpty()) {
-			// With nothing else left, a doubtful answer is worth more than none.
-			candidates = candidates(template, team, served, unit);
+			// Only halted versions are left: a doubtful answer is worth more than none.
+			candidates = candidateVersions(template, team, served, spreadUnit);
 		}
 		List<Option> options = new ArrayList<>();
 		for (VersionRule version : candidates) {
-			options.add(direct(template, team, rule, version));
+			options.add(directOption(template, team, rule, version));
 		}
-		if (cascades && template.kind() == TemplateKind.CHAT) {
-			candidates.sort(Comparator.comparingDouble(Planner::cost));
+		if (canRate && template.kind() == TemplateKind.CHAT) {
+			candidates.sort(Comparator.comparingDouble(Planner::typicalCostMicros));
 			for (int first = 0; first < candidates.size(); first++) {
 				for (int second = first + 1; second < candidates.size(); second++) {
-					options.add(cascade(template, team, rule, List.of(candidates.get(first), candidates.get(second))));
+					options.add(cascadeOption(template, team, rule,
+							List.of(candidates.get(first), candidates.get(second))));
 					for (int third = second + 1; third < candidates.size(); third++) {
-						options.add(cascade(template, team, rule,
+						options.add(cascadeOption(template, team, rule,
 								List.of(candidates.get(first), candidates.get(second), candidates.get(third))));
 					}
 				}
 			}
 		}
-		return best(options, rule.qualityTarget(), dice).map(Option::plan);
+		return chooseOption(options, rule.qualityTarget(), random).map(Option::plan);
 	}
 
 	/**
-	 * Chooses the one version that a session is to have.
+	 * Chooses the version that a new session is to be pinned to.
 	 */
-	Optional<Plan> planSession(Template template, TeamId team, Set<ModelVersion> served, double unit) {
-		return plan(template, team, served, unit, false, 1);
+	Optional<Plan> planSession(Template template, TeamId team, Set<ModelVersion> served, double spreadUnit) {
+		return plan(template, team, served, spreadUnit, false, 1);
 	}
 
 	/**
-	 * Takes the cheapest way to the target: one option for all, or for a part of the
-	 * requests a cheaper one that alone would miss the target, so that the mean just
-	 * meets it.
+	 * Chooses the cheapest way to the target: either one option for all requests, or a
+	 * random mix of one that meets the target and a cheaper one that does not, such that
+	 * their mean just meets it. If no option meets the target, the one of the highest
+	 * quality is chosen.
 	 */
-	private static Optional<Option> best(List<Option> options, double target, double dice) {
-		double aim = target + MARGIN;
+	private static Optional<Option> chooseOption(List<Option> options, double target, double random) {
+		double minQuality = target + TARGET_MARGIN;
 		Option chosen = null;
-		double least = Double.MAX_VALUE;
+		double lowestCost = Double.MAX_VALUE;
 		for (Option good : options) {
-			if (good.quality() < aim) {
+			if (good.expectedQuality() < minQuality) {
 				continue;
 			}
-			if (good.cost() < least) {
-				least = good.cost();
+			if (good.costMicros() < lowestCost) {
+				lowestCost = good.costMicros();
 				chosen = good;
 			}
 			for (Option cheap : options) {
-				double part = (good.quality() - aim) / (good.quality() - cheap.quality());
-				double mixed = part * cheap.cost() + (1 - part) * good.cost();
-				if (cheap.quality() < aim && cheap.cost() < good.cost() && mixed < least) {
-					least = mixed;
-					chosen = (dice < part) ? cheap : good;
+				double cheapRatio = (good.expectedQuality() - minQuality)
+						/ (good.expectedQuality() - cheap.expectedQuality());
+				double mixedCost = cheapRatio * cheap.costMicros() + (1 - cheapRatio) * good.costMicros();
+				if (cheap.expectedQuality() < minQuality && cheap.costMicros() < good.costMicros()
+						&& mixedCost < lowestCost) {
+					lowestCost = mixedCost;
+					chosen = (random < cheapRatio) ? cheap : good;
 				}
 			}
 		}
 		return (chosen != null) ? Optional.of(chosen)
-				: options.stream().max(Comparator.comparingDouble(Option::quality));
+				: options.stream().max(Comparator.comparingDouble(Option::expectedQuality));
 	}
 
-	private Option direct(Template template, TeamId team, TeamRule rule, VersionRule version) {
-		double bound = this.quality.lowerBound(subject(template, team, version, null), version.quality());
-		String reason = "direct, expected quality " + round(bound) + " for target " + round(rule.qualityTarget());
-		return new Option(new Plan(List.of(version.version()), bar(rule), reason), cost(version), bound);
+	private Option directOption(Template template, TeamId team, TeamRule rule, VersionRule version) {
+		double quality = this.quality.lowerBound(ratingKey(template, team, version, null), version.quality());
+		String reason = "direct, expected quality " + round(quality) + " for target " + round(rule.qualityTarget());
+		return new Option(new Plan(List.of(version.version()), passThreshold(rule), reason), typicalCostMicros(version),
+				quality);
 	}
 
-	private Option cascade(Template template, TeamId team, TeamRule rule, List<VersionRule> stages) {
-		double bar = bar(rule);
-		double reached = 1;
+	private Option cascadeOption(Template template, TeamId team, TeamRule rule, List<VersionRule> stages) {
+		double threshold = passThreshold(rule);
+		double reachedRatio = 1;
 		double expected = 0;
 		double cost = 0;
-		VersionRule before = null;
+		VersionRule previous = null;
 		for (VersionRule stage : stages) {
-			QualityBook.Subject subject = subject(template, team, stage, before);
-			cost += reached * cost(stage);
+			QualityTracker.RatingKey subject = ratingKey(template, team, stage, previous);
+			cost += reachedRatio * typicalCostMicros(stage);
 			if (stage.equals(stages.get(stages.size() - 1))) {
-				expected += reached * this.quality.lowerBound(subject, stage.quality());
+				expected += reachedRatio * this.quality.lowerBound(subject, stage.quality());
 			}
 			else {
-				double pass = this.quality.passShare(subject, stage.quality());
-				expected += reached * pass * this.quality.passMean(subject, stage.quality(), bar);
-				reached *= 1 - pass;
+				double passRatio = this.quality.passRatio(subject, stage.quality());
+				expected += reachedRatio * passRatio
+						* this.quality.meanPassingRating(subject, stage.quality(), threshold);
+				reachedRatio *= 1 - passRatio;
 			}
-			before = stage;
+			previous = stage;
 		}
-		String reason = "cascade, " + round(1 - reached) + " expected to pass at " + round(bar) + ", expected quality "
-				+ round(expected) + " for target " + round(rule.qualityTarget());
+		String reason = "cascade, " + round(1 - reachedRatio) + " expected to pass at " + round(threshold)
+				+ ", expected quality " + round(expected) + " for target " + round(rule.qualityTarget());
 		List<ModelVersion> versions = stages.stream().map(VersionRule::version).toList();
-		return new Option(new Plan(versions, bar, reason), cost, expected);
+		return new Option(new Plan(versions, threshold, reason), cost, expected);
 	}
 
 	/**
-	 * Returns the rating that ends a cascade: below the target, as the answers that reach
-	 * it lie above it in the mean.
+	 * Returns the rating at which a cascade ends. It is below the target, as the mean of
+	 * the answers that reach it is higher.
 	 */
-	static double bar(TeamRule rule) {
-		return Math.max(0, rule.qualityTarget() - BAR_BELOW_TARGET);
+	static double passThreshold(TeamRule rule) {
+		return Math.max(0, rule.qualityTarget() - PASS_THRESHOLD_BELOW_TARGET);
 	}
 
-	private static QualityBook.Subject subject(Template template, TeamId team, VersionRule version,
-			VersionRule before) {
-		return new QualityBook.Subject(template.name(), team, version.version(),
-				(before != null) ? before.version() : null);
+	private static QualityTracker.RatingKey ratingKey(Template template, TeamId team, VersionRule version,
+			VersionRule previous) {
+		return new QualityTracker.RatingKey(template.name(), team, version.version(),
+				(previous != null) ? previous.version() : null);
 	}
 
 	/**
-	 * Returns one version of each model, spread by share.
+	 * Returns one version of each model that the team may use, chosen by the shares of
+	 * the model's versions.
 	 */
-	private List<VersionRule> candidates(Template template, TeamId team, Set<ModelVersion> served, double unit) {
+	private List<VersionRule> candidateVersions(Template template, TeamId team, Set<ModelVersion> served,
+			double spreadUnit) {
 		List<VersionRule> chosen = new ArrayList<>();
 		for (String model : template.models()) {
 			List<VersionRule> usable = template.versions()
@@ -174,31 +184,31 @@
 				.filter((rule) -> template.allows(team, rule.version(), false))
 				.filter((rule) -> served.contains(rule.version()))
 				.toList();
-			byShare(usable, unit).ifPresent(chosen::add);
+			chooseByShare(usable, spreadUnit).ifPresent(chosen::add);
 		}
 		return chosen;
 	}
 
-	private static Optional<VersionRule> byShare(List<VersionRule> usable, double unit) {
-		double rest = unit * usable.stream().mapToDouble(VersionRule::share).sum();
+	private static Optional<VersionRule> chooseByShare(List<VersionRule> usable, double spreadUnit) {
+		double remainingShare = spreadUnit * usable.stream().mapToDouble(VersionRule::share).sum();
 		for (VersionRule rule : usable) {
-			rest -= rule.share();
-			if (rest < 0) {
+			remainingShare -= rule.share();
+			if (remainingShare < 0) {
 				return Optional.of(rule);
 			}
 		}
 		return usable.isEmpty() ? Optional.empty() : Optional.of(usable.get(usable.size() - 1));
 	}
 
-	private static double cost(VersionRule version) {
-		return version.price().costOf(TYPICAL);
+	private static double typicalCostMicros(VersionRule version) {
+		return version.price().costOf(TYPICAL_USAGE);
 	}
 
 	private static String round(double number) {
 		return String.valueOf(Math.round(number * 100) / 100.0);
 	}
 
-	private record Option(Plan plan, double cost, double quality) {
+	private record Option(Plan plan, double costMicros, double expectedQuality) {
 	}
 
 }
--- a/core/src/main/java/org/gullsaddle/route/Router.java
+++ b/core/src/main/java/org/gullsaddle/route/Router.java
@@ -26,23 +26,23 @@
 import org.gullsaddle.template.TemplateTable;
 
 /**
- * Decides what happens to the requests of an entry. Single-threaded: hand it one event at
- * a time, with the time, and carry out the actions it returns in their order.
+ * Decides what happens to the requests of an entry. Not thread-safe: pass it one event at
+ * a time, with the time of the event, and carry out the returned actions in order.
  *
  * <pre>
- * Router router = new Router(RouterSettings.in("north", "north-1").build(), random);
- * for (RouterAction action : router.handle(moment, new RouterEvent.Arrived(request))) {
+ * Router router = new Router(RouterSettings.builder("north", "north-1").build(), random);
+ * for (RouterAction action : router.handle(now, new RouterEvent.RequestArrived(request))) {
  *     carryOut(action);
  * }
  * </pre>
  */
 public final class Router {
 
-	private static final long COME_BACK_MILLIS = 1000;
+	private static final long RETRY_AFTER_MILLIS = 1000;
 
-	private static final long STORE_COME_BACK_MILLIS = 5000;
+	private static final long STORE_RETRY_AFTER_MILLIS = 5000;
 
-	private static final long RATER_PAUSE_MILLIS = 5000;
+	private static final long CASCADE_PAUSE_MILLIS = 5000;
 
 	private final RouterSettings settings;
 
@@ -50,546 +50,549 @@
 
 	private final TemplateTable templates = new TemplateTable();
 
-	private final QualityBook quality = new QualityBook();
+	private final QualityTracker quality = new QualityTracker();
 
-	private final VersionGuard guard = new VersionGuard();
+	private final VersionGuard versionGuard = new VersionGuard();
 
-	private final Planner planner = new Planner(this.quality, this.guard);
+	private final Planner planner = new Planner(this.quality, this.versionGuard);
 
 	private final SuspectTracker suspects = new SuspectTracker();
 
-	private final ComeBack comeBack;
+	private final RetryAfterJitter retryAfter;
 
-	private final Gate gate;
+	private final RequestAdmission admission;
 
-	private final FinalAnswers answers;
+	private final RequestFinisher finisher;
 
 	private final SpotChecks spotChecks;
 
-	private final RetryBudget retries;
+	private final RetryBudget retryBudget;
 
-	private final Balancer balancer;
+	private final LoadBalancer balancer;
 
-	private final OpenRequests open = new OpenRequests();
+	private final OpenRequests openRequests = new OpenRequests();
 
-	private final Outbox outbox = new Outbox();
+	private final ActionBuffer actions = new ActionBuffer();
 
-	private long noCascadesUntil = Long.MIN_VALUE;
+	private long cascadesPausedUntilMillis = Long.MIN_VALUE;
 
 	/**
-	 * Makes a router that knows no template and no agent.
-	 * @param settings its settings
+	 * Creates a router that knows no templates and no agents.
+	 * @param settings the settings
 	 * @param random the source of every random choice; seed it to replay a run
 	 */
 	public Router(RouterSettings settings, RandomGenerator random) {
 		this.settings = settings;
 		this.random = random;
-		this.retries = new RetryBudget(settings.retryShare());
-		this.balancer = new Balancer(settings.region(), settings.dataCenter(), random);
-		this.comeBack = new ComeBack(random);
-		this.gate = new Gate(settings, this.templates, this.suspects, this.comeBack);
-		this.spotChecks = new SpotChecks(this.quality, this.guard, settings.ratedShare(), random);
-		this.answers = new FinalAnswers(settings, this.open, this.outbox, this.spotChecks);
+		this.retryBudget = new RetryBudget(settings.retryBudgetRatio());
+		this.balancer = new LoadBalancer(settings.region(), settings.dataCenter(), random);
+		this.retryAfter = new RetryAfterJitter(random);
+		this.admission = new RequestAdmission(settings, this.templates, this.suspects, this.retryAfter);
+		this.spotChecks = new SpotChecks(this.quality, this.versionGuard, settings.spotCheckRatio(), random);
+		this.finisher = new RequestFinisher(settings, this.openRequests, this.actions, this.spotChecks);
 	}
 
 	/**
-	 * Decides on an event.
-	 * @param now when it happened
+	 * Handles an event.
+	 * @param now when the event happened
 	 * @param event the event
-	 * @return what to do, in order
+	 * @return the actions to carry out, in order
 	 */
 	public List<RouterAction> handle(Moment now, RouterEvent event) {
 		switch (event) {
-			case RouterEvent.Arrived arrived -> arrived(now, arrived.request());
-			case RouterEvent.ClaimAnswered claim -> claimAnswered(now, claim);
-			case RouterEvent.PinAnswered pin -> pinAnswered(now, pin);
-			case RouterEvent.AgentUp up -> this.balancer.up(up.agent());
-			case RouterEvent.AgentLoad load -> this.balancer.load(load.agent(), load.load());
-			case RouterEvent.AgentLeaving leaving -> this.balancer.leaving(leaving.agent());
-			case RouterEvent.AgentDown down -> agentDown(now, down.agent());
-			case RouterEvent.AttemptChunk chunk -> chunk(now, chunk);
-			case RouterEvent.AttemptDone done -> done(now, done);
-			case RouterEvent.AttemptRefused refused -> refused(now, refused);
-			case RouterEvent.AttemptFailed failed -> failed(now, failed);
-			case RouterEvent.AnswerRated rated -> rated(now, rated);
-			case RouterEvent.CallerGone gone -> callerGone(now, gone.request());
-			case RouterEvent.TemplateChanged changed -> templateChanged(changed.revision());
-			case RouterEvent.HaltLearned learned -> this.guard.onHalt(learned.halt());
-			case RouterEvent.FreshnessChanged freshness -> this.gate.cutOff(freshness.cutOff());
-			case RouterEvent.SuspectLearned learned -> learn(learned.suspicion());
-			case RouterEvent.AttemptAccepted accepted -> this.open.accepted(accepted.attempt());
-			case RouterEvent.RecordKept kept -> recordKept(kept.request());
-			case RouterEvent.Tick tick -> tick(now);
-		}
-		return this.outbox.take();
+			case RouterEvent.RequestArrived arrived -> onRequestArrived(now, arrived.request());
+			case RouterEvent.ClaimCompleted claim -> onClaimCompleted(now, claim);
+			case RouterEvent.PinCompleted pin -> onPinCompleted(now, pin);
+			case RouterEvent.AgentUp up -> this.balancer.onAgentUp(up.agent());
+			case RouterEvent.AgentLoadReported load -> this.balancer.onLoadReport(load.agent(), load.load());
+			case RouterEvent.AgentLeaving leaving -> this.balancer.onAgentLeaving(leaving.agent());
+			case RouterEvent.AgentDown down -> onAgentDown(now, down.agent());
+			case RouterEvent.AttemptChunk chunk -> onAttemptChunk(now, chunk);
+			case RouterEvent.AttemptDone done -> onAttemptDone(now, done);
+			case RouterEvent.AttemptRefused refused -> onAttemptRefused(now, refused);
+			case RouterEvent.AttemptFailed failed -> onAttemptFailed(now, failed);
+			case RouterEvent.AnswerRated rated -> onAnswerRated(now, rated);
+			case RouterEvent.CallerDisconnected caller -> onCallerDisconnected(now, caller.request());
+			case RouterEvent.TemplateChanged changed -> onTemplateChanged(changed.revision());
+			case RouterEvent.HaltAnnounced announced -> this.versionGuard.onHalt(announced.halt());
+			case RouterEvent.FreshnessChanged freshness -> this.admission.setCutOff(freshness.cutOff());
+			case RouterEvent.SuspectAnnounced announced -> onSuspectAnnounced(announced.suspicion());
+			case RouterEvent.AttemptAccepted accepted -> this.openRequests.onAttemptAccepted(accepted.attempt());
+			case RouterEvent.RecordStored stored -> onRecordStored(stored.request());
+			case RouterEvent.Tick tick -> onTick(now);
+		}
+		return this.actions.takeAll();
 	}
 
 	/**
-	 * Returns how many requests are not at their end yet, late ends included.
-	 * @return the number
+	 * Returns the number of requests whose record is not written yet.
+	 * @return the number of requests
 	 */
-	public int openRequests() {
-		return this.open.size();
+	public int openRequestCount() {
+		return this.openRequests.size();
 	}
 
 	/**
-	 * Returns what is remembered of crashes, to tell an entry that has just been linked.
+	 * Returns the known crash suspicions, to be sent to an entry that has just connected.
 	 * @return the suspicions
 	 */
 	public List<SuspectContent> suspects() {
 		return this.suspects.suspects();
 	}
 
-	private void arrived(Moment now, IncomingRequest request) {
-		Optional<Refusal> refusal = this.gate.check(now, request, this.open.size());
+	private void onRequestArrived(Moment now, IncomingRequest request) {
+		Optional<Refusal> refusal = this.admission.check(now, request, this.openRequests.size());
 		TemplateRevision revision = this.templates.find(request.template()).orElse(null);
-		RequestState state = new RequestState(request, revision, unit(request), now.stamp());
-		this.open.add(state);
+		RequestState state = new RequestState(request, revision, spreadUnit(request), now.stamp());
+		this.openRequests.add(state);
 		if (refusal.isPresent()) {
-			this.answers.giveUp(now, state, refusal.get());
+			this.finisher.giveUp(now, state, refusal.get());
 			return;
 		}
-		this.retries.earn();
-		this.open.wake(request.deadline(), request.id());
-		if (request.repeatable()) {
-			choose(now, state);
+		this.retryBudget.earn();
+		this.openRequests.scheduleCheck(request.deadline(), request.id());
+		if (request.isRepeatable()) {
+			planAndSend(now, state);
 			return;
 		}
-		if (plan(now, state).isEmpty()) {
-			this.answers.giveUp(now, state, this.comeBack.later(RefusalReason.NO_VERSION, COME_BACK_MILLIS));
+		if (choosePlan(now, state).isEmpty()) {
+			this.finisher.giveUp(now, state, this.retryAfter.notRun(RefusalReason.NO_VERSION, RETRY_AFTER_MILLIS));
 			return;
 		}
-		this.outbox.add(new RouterAction.Claim(request.id(), request.team(), request.idempotencyKey().orElseThrow(),
+		this.actions.add(new RouterAction.Claim(request.id(), request.team(), request.idempotencyKey().orElseThrow(),
 				request.fingerprint()));
 	}
 
-	private void claimAnswered(Moment now, RouterEvent.ClaimAnswered event) {
-		RequestState state = this.open.get(event.request());
-		if (state == null || state.answered()) {
-			// The caller was told "not run" already; the claim must not stay behind.
-			if (state != null && event.answer() instanceof ClaimAnswer.Granted) {
-				state.claim();
-				this.outbox.releaseClaim(state);
+	private void onClaimCompleted(Moment now, RouterEvent.ClaimCompleted event) {
+		RequestState state = this.openRequests.find(event.request());
+		if (state == null || state.isAnswered()) {
+			// The caller was already told "not run", so the claim is released.
+			if (state != null && event.result() instanceof ClaimResult.Granted) {
+				state.markClaimed();
+				this.actions.releaseClaim(state);
 			}
 			return;
 		}
-		switch (event.answer()) {
-			case ClaimAnswer.Granted granted -> {
-				state.claim();
-				choose(now, state);
+		switch (event.result()) {
+			case ClaimResult.Granted granted -> {
+				state.markClaimed();
+				planAndSend(now, state);
 			}
-			case ClaimAnswer.InUse inUse -> this.answers.giveUp(now, state,
-					new Refusal(RefusalReason.KEY_IN_USE, Verdict.MAY_HAVE_RUN, this.comeBack.after(COME_BACK_MILLIS)));
-			case ClaimAnswer.Finished finished -> this.answers.repeat(now, state, finished.outcome());
-			case ClaimAnswer.ContentDiffers differs ->
-				this.answers.giveUp(now, state, Refusal.notRun(RefusalReason.KEY_REUSED, 0));
-			case ClaimAnswer.Unavailable unavailable -> this.answers.giveUp(now, state,
-					this.comeBack.later(RefusalReason.STORE_UNAVAILABLE, STORE_COME_BACK_MILLIS));
+			case ClaimResult.InUse inUse -> this.finisher.giveUp(now, state, new Refusal(RefusalReason.KEY_IN_USE,
+					Verdict.MAY_HAVE_RUN, this.retryAfter.addJitter(RETRY_AFTER_MILLIS)));
+			case ClaimResult.Finished finished -> this.finisher.replay(now, state, finished.outcome());
+			case ClaimResult.ContentDiffers differs ->
+				this.finisher.giveUp(now, state, Refusal.notRun(RefusalReason.KEY_REUSED, 0));
+			case ClaimResult.Unavailable unavailable -> this.finisher.giveUp(now, state,
+					this.retryAfter.notRun(RefusalReason.STORE_UNAVAILABLE, STORE_RETRY_AFTER_MILLIS));
 		}
 	}
 
-	private void choose(Moment now, RequestState state) {
+	private void planAndSend(Moment now, RequestState state) {
 		if (state.request().session().isEmpty()) {
-			Optional<Plan> plan = plan(now, state);
+			Optional<Plan> plan = choosePlan(now, state);
 			if (plan.isEmpty()) {
-				this.answers.giveUp(now, state, this.comeBack.later(RefusalReason.NO_VERSION, COME_BACK_MILLIS));
+				this.finisher.giveUp(now, state, this.retryAfter.notRun(RefusalReason.NO_VERSION, RETRY_AFTER_MILLIS));
 				return;
 			}
 			state.plan(plan.get(), false);
-			send(now, state);
+			sendStage(now, state);
 			return;
 		}
-		ModelVersion pinned = state.request().pinned().orElse(null);
+		ModelVersion pinned = state.request().pinnedVersion().orElse(null);
 		if (pinned != null && state.template().allows(state.team(), pinned, true)) {
-			runPinned(now, state, pinned);
+			sendPinned(now, state, pinned);
 			return;
 		}
-		pin(now, state, pinned);
+		requestPin(now, state, pinned);
 	}
 
-	private void pin(Moment now, RequestState state, ModelVersion replacing) {
-		Optional<Plan> plan = this.planner.planSession(state.template(), state.team(), this.balancer.served(),
-				state.unit());
+	private void requestPin(Moment now, RequestState state, ModelVersion replacing) {
+		Optional<Plan> plan = this.planner.planSession(state.template(), state.team(), this.balancer.servedVersions(),
+				state.spreadUnit());
 		if (plan.isEmpty()) {
-			this.answers.giveUp(now, state, this.comeBack.later(RefusalReason.NO_VERSION, COME_BACK_MILLIS));
+			this.finisher.giveUp(now, state, this.retryAfter.notRun(RefusalReason.NO_VERSION, RETRY_AFTER_MILLIS));
 			return;
 		}
-		this.outbox.add(new RouterAction.Pin(state.id(), state.team(), state.request().template(),
+		this.actions.add(new RouterAction.PinSession(state.id(), state.team(), state.request().template(),
 				state.request().session().orElseThrow(), plan.get().stages().get(0), replacing));
 	}
 
-	private void pinAnswered(Moment now, RouterEvent.PinAnswered event) {
-		RequestState state = this.open.get(event.request());
-		if (state == null || state.answered() || state.outstanding() != null) {
+	private void onPinCompleted(Moment now, RouterEvent.PinCompleted event) {
+		RequestState state = this.openRequests.find(event.request());
+		if (state == null || state.isAnswered() || state.outstanding() != null) {
 			return;
 		}
 		if (event.version().isEmpty()) {
-			// The session may have a version that this entry cannot read now. Taking
-			// another
-			// would change it in mid-session; a caller with a token does not come here.
-			this.answers.giveUp(now, state,
-					this.comeBack.later(RefusalReason.STORE_UNAVAILABLE, STORE_COME_BACK_MILLIS));
+			// The session may have a version that this entry cannot read now, and must
+			// not change. Requests with a session token do not come here.
+			this.finisher.giveUp(now, state,
+					this.retryAfter.notRun(RefusalReason.STORE_UNAVAILABLE, STORE_RETRY_AFTER_MILLIS));
 			return;
 		}
-		refresh(state);
+		updateRevision(state);
 		ModelVersion version = event.version().get();
 		if (state.template().allows(state.team(), version, true)) {
-			runPinned(now, state, version);
+			sendPinned(now, state, version);
 		}
-		else if (state.replacePin()) {
-			pin(now, state, version);
+		else if (state.markPinReplaced()) {
+			requestPin(now, state, version);
 		}
 		else {
-			this.answers.giveUp(now, state, this.comeBack.later(RefusalReason.NO_VERSION, COME_BACK_MILLIS));
+			this.finisher.giveUp(now, state, this.retryAfter.notRun(RefusalReason.NO_VERSION, RETRY_AFTER_MILLIS));
 		}
 	}
 
-	private void runPinned(Moment now, RequestState state, ModelVersion version) {
+	private void sendPinned(Moment now, RequestState state, ModelVersion version) {
 		state.plan(new Plan(List.of(version), 0, "session keeps its version"), true);
-		send(now, state);
+		sendStage(now, state);
 	}
 
-	private Optional<Plan> plan(Moment now, RequestState state) {
-		boolean cascades = now.millis() >= this.noCascadesUntil;
-		return this.planner.plan(state.template(), state.team(), this.balancer.served(), state.unit(), cascades,
-				this.random.nextDouble());
+	private Optional<Plan> choosePlan(Moment now, RequestState state) {
+		boolean cascades = now.millis() >= this.cascadesPausedUntilMillis;
+		return this.planner.plan(state.template(), state.team(), this.balancer.servedVersions(), state.spreadUnit(),
+				cascades, this.random.nextDouble());
 	}
 
 	/**
-	 * Sends the current stage to an agent, under the newest revision known.
+	 * Sends the current stage to an agent, under the newest known template revision.
 	 */
-	private void send(Moment now, RequestState state) {
-		refresh(state);
-		if (!state.template().allows(state.team(), state.version(), state.pinned())) {
-			planAgain(now, state);
+	private void sendStage(Moment now, RequestState state) {
+		updateRevision(state);
+		if (!state.template().allows(state.team(), state.version(), state.isPinned())) {
+			replan(now, state);
 			return;
 		}
 		if (now.millis() >= state.request().deadline()) {
-			this.answers.giveUp(now, state, this.comeBack.later(RefusalReason.DEADLINE, COME_BACK_MILLIS));
+			this.finisher.giveUp(now, state, this.retryAfter.notRun(RefusalReason.DEADLINE, RETRY_AFTER_MILLIS));
 			return;
 		}
 		IncomingRequest request = state.request();
 		if (this.suspects.isBlocked(request.fingerprint())) {
-			this.answers.giveUp(now, state, Refusal.notRun(RefusalReason.POISON, 0));
+			this.finisher.giveUp(now, state, Refusal.notRun(RefusalReason.POISON, 0));
 			return;
 		}
-		if (this.suspects.isSuspect(request.fingerprint()) && this.open.underWay(request.fingerprint())) {
-			// Two copies, each alone on its backend server, would kill two at once.
-			this.answers.giveUp(now, state, this.comeBack.later(RefusalReason.POISON, COME_BACK_MILLIS));
+		if (this.suspects.isSuspect(request.fingerprint()) && this.openRequests.isRunning(request.fingerprint())) {
+			// Two copies, each alone on its backend server, could crash two at once.
+			this.finisher.giveUp(now, state, this.retryAfter.notRun(RefusalReason.POISON, RETRY_AFTER_MILLIS));
 			return;
 		}
-		Optional<NodeId> agent = pick(now, state);
+		Optional<NodeId> agent = chooseAgent(now, state);
 		if (agent.isEmpty()) {
-			this.answers.giveUp(now, state, this.comeBack.later(
-					state.tried().isEmpty() ? RefusalReason.NO_VERSION : RefusalReason.OVERLOADED, COME_BACK_MILLIS));
+			this.finisher.giveUp(now, state,
+					this.retryAfter.notRun(
+							state.triedAgents().isEmpty() ? RefusalReason.NO_VERSION : RefusalReason.OVERLOADED,
+							RETRY_AFTER_MILLIS));
 			return;
 		}
 		boolean alone = this.suspects.isSuspect(request.fingerprint());
-		AttemptId attempt = state.sent(agent.get(), alone, now.stamp());
-		this.balancer.sent(agent.get(), attempt);
-		this.outbox.send(state, agent.get(), attempt, alone);
+		AttemptId attempt = state.startAttempt(agent.get(), alone, now.stamp());
+		this.balancer.onAttemptSent(agent.get(), attempt);
+		this.actions.send(state, agent.get(), attempt, alone);
 	}
 
 	/**
-	 * Picks an agent that the request has not been at. One that refused it before its
-	 * answer began may take it by now, and for half an answer there is nothing better.
+	 * Chooses an agent not tried for this stage yet. To resume a partly delivered answer,
+	 * which must stay on its version, agents that refused it are tried again if no other
+	 * is left, as they may accept it now.
 	 */
-	private Optional<NodeId> pick(Moment now, RequestState state) {
+	private Optional<NodeId> chooseAgent(Moment now, RequestState state) {
 		long prefix = state.request().prefixHash();
-		Optional<NodeId> agent = this.balancer.pick(now.millis(), state.version(), prefix, state.tried());
-		if (agent.isEmpty() && state.delivering()) {
-			agent = this.balancer.pick(now.millis(), state.version(), prefix, state.failed());
+		Optional<NodeId> agent = this.balancer.chooseAgent(now.millis(), state.version(), prefix, state.triedAgents());
+		if (agent.isEmpty() && state.isDelivering()) {
+			agent = this.balancer.chooseAgent(now.millis(), state.version(), prefix, state.failedAgents());
 		}
 		return agent;
 	}
 
-	private void planAgain(Moment now, RequestState state) {
-		if (state.delivering()) {
-			// Half of the answer is out; another version would splice on a different one.
-			this.answers.giveUp(now, state, this.comeBack.later(RefusalReason.BACKEND_FAILED, COME_BACK_MILLIS));
+	private void replan(Moment now, RequestState state) {
+		if (state.isDelivering()) {
+			// Another version would continue the delivered text with another answer.
+			this.finisher.giveUp(now, state, this.retryAfter.notRun(RefusalReason.BACKEND_FAILED, RETRY_AFTER_MILLIS));
 		}
-		else if (state.pinned()) {
-			if (state.replacePin()) {
-				pin(now, state, state.version());
+		else if (state.isPinned()) {
+			if (state.markPinReplaced()) {
+				requestPin(now, state, state.version());
 			}
 			else {
-				this.answers.giveUp(now, state, this.comeBack.later(RefusalReason.NO_VERSION, COME_BACK_MILLIS));
+				this.finisher.giveUp(now, state, this.retryAfter.notRun(RefusalReason.NO_VERSION, RETRY_AFTER_MILLIS));
 			}
 		}
 		else {
-			state.received().setLength(0);
-			choose(now, state);
+			state.receivedText().setLength(0);
+			planAndSend(now, state);
 		}
 	}
 
-	private void chunk(Moment now, RouterEvent.AttemptChunk event) {
-		RequestState state = this.open.current(event.attempt());
-		if (state == null || (state.answered() && state.request().repeatable())) {
+	private void onAttemptChunk(Moment now, RouterEvent.AttemptChunk event) {
+		RequestState state = this.openRequests.findByOutstandingAttempt(event.attempt());
+		if (state == null || (state.isAnswered() && state.request().isRepeatable())) {
 			return;
 		}
-		if (event.offset() < state.received().length()) {
+		if (event.offset() < state.receivedText().length()) {
 			return;
 		}
-		if (event.offset() > state.received().length()) {
-			// A part is missing: what follows would be spliced to the wrong place.
-			broken(now, state);
+		if (event.offset() > state.receivedText().length()) {
+			// A chunk is missing: the text would be appended at the wrong offset.
+			failAndCancelAttempt(now, state);
 			return;
 		}
-		if (state.received().length() + event.text().length() > this.settings.maxAnswerLength()) {
-			if (state.answered()) {
+		if (state.receivedText().length() + event.text().length() > this.settings.maxAnswerLength()) {
+			if (state.isAnswered()) {
 				return;
 			}
-			this.outbox.cancel(state);
-			this.answers.giveUp(now, state, Refusal.notRun(RefusalReason.TOO_LARGE, 0));
+			this.actions.cancel(state);
+			this.finisher.giveUp(now, state, Refusal.notRun(RefusalReason.TOO_LARGE, 0));
 			return;
 		}
-		state.received().append(event.text());
-		if (state.lastStage() && !state.answered()) {
-			state.startDelivery();
-			this.outbox.add(new RouterAction.Deliver(state.id(), state.version(), event.text()));
+		state.receivedText().append(event.text());
+		if (state.isLastStage() && !state.isAnswered()) {
+			state.markDelivering();
+			this.actions.add(new RouterAction.Deliver(state.id(), state.version(), event.text()));
 		}
 	}
 
-	private void done(Moment now, RouterEvent.AttemptDone event) {
-		this.balancer.ended(event.attempt());
-		RequestState state = this.open.current(event.attempt());
+	private void onAttemptDone(Moment now, RouterEvent.AttemptDone event) {
+		this.balancer.onAttemptEnded(event.attempt());
+		RequestState state = this.openRequests.findByOutstandingAttempt(event.attempt());
 		if (state == null) {
 			return;
 		}
-		if (!state.answered() && event.length() != state.received().length()) {
-			broken(now, state);
+		if (!state.isAnswered() && event.length() != state.receivedText().length()) {
+			failAndCancelAttempt(now, state);
 			return;
 		}
 		Completion completion = event.completion();
-		long cost = cost(state, completion.usage());
-		RequestState.Outstanding closed = state.close(Verdict.RAN, "done", completion.usage(), cost, now.stamp());
-		this.balancer.succeeded(closed.agent());
-		announce(this.guard.onAttemptEnd(state.request().template(), closed.version(), false));
-		if (closed.alone()) {
+		long cost = costMicros(state, completion.usage());
+		RequestState.SentAttempt ended = state.closeAttempt(Verdict.RAN, "done", completion.usage(), cost, now.stamp());
+		this.balancer.recordSuccess(ended.agent());
+		announceHalt(this.versionGuard.onAttemptEnd(state.request().template(), ended.version(), false));
+		if (ended.alone()) {
 			this.suspects.clear(state.request().fingerprint());
 		}
-		if (state.answered()) {
-			if (event.length() == state.received().length()) {
-				this.outbox.settleClaim(state, closed.version(), completion);
+		if (state.isAnswered()) {
+			if (event.length() == state.receivedText().length()) {
+				this.actions.completeClaim(state, ended.version(), completion);
 			}
-			this.answers.record(state);
+			this.finisher.writeRecord(state);
 		}
-		else if (state.lastStage()) {
-			this.answers.complete(now, state, closed.version(), completion, FinalAnswers.SERVED);
+		else if (state.isLastStage()) {
+			this.finisher.complete(now, state, ended.version(), completion, RequestFinisher.SERVED);
 		}
 		else {
-			rate(now, state, event.attempt(), closed.version(), completion);
+			requestRating(now, state, event.attempt(), ended.version(), completion);
 		}
 	}
 
-	private void rate(Moment now, RequestState state, AttemptId attempt, ModelVersion version, Completion completion) {
+	private void requestRating(Moment now, RequestState state, AttemptId attempt, ModelVersion version,
+			Completion completion) {
 		state.awaitRating(attempt, completion);
-		this.open.wake(now.millis() + this.settings.ratingMillis(), state.id());
-		this.outbox.add(new RouterAction.Rate(attempt, version, state.request().body(), state.received().toString()));
+		this.openRequests.scheduleCheck(now.millis() + this.settings.ratingTimeoutMillis(), state.id());
+		this.actions.add(
+				new RouterAction.RateAnswer(attempt, version, state.request().body(), state.receivedText().toString()));
 	}
 
-	private void rated(Moment now, RouterEvent.AnswerRated event) {
-		RequestState state = this.open.get(event.attempt().request());
-		if (state == null || !state.awaitsRating(event.attempt())) {
-			announce(this.spotChecks.rated(event.attempt(), event.score()));
+	private void onAnswerRated(Moment now, RouterEvent.AnswerRated event) {
+		RequestState state = this.openRequests.find(event.attempt().request());
+		if (state == null || !state.isAwaitingRating(event.attempt())) {
+			announceHalt(this.spotChecks.onRated(event.attempt(), event.score()));
 			return;
 		}
-		judge(now, state, event.score());
+		decideOnRating(now, state, event.score());
 	}
 
-	private void judge(Moment now, RequestState state, OptionalDouble score) {
-		state.ratingDone();
-		double bar = state.plan().bar();
+	private void decideOnRating(Moment now, RequestState state, OptionalDouble score) {
+		state.endRating();
+		double threshold = state.plan().passThreshold();
 		ModelVersion version = state.version();
 		if (score.isPresent()) {
-			double expected = state.expectedQuality(version);
-			this.quality.rated(state.subject(), expected, score.getAsDouble(), bar);
-			announce(this.guard.onRating(state.request().template(), version, expected, score.getAsDouble()));
+			double expected = state.expectedRating(version);
+			this.quality.recordRating(state.ratingKey(), expected, score.getAsDouble(), threshold);
+			announceHalt(this.versionGuard.onRating(state.request().template(), version, expected, score.getAsDouble()));
 		}
 		else {
-			this.noCascadesUntil = now.millis() + RATER_PAUSE_MILLIS;
+			this.cascadesPausedUntilMillis = now.millis() + CASCADE_PAUSE_MILLIS;
 		}
-		state.keepFallback();
-		if (score.isPresent() && score.getAsDouble() >= bar) {
-			this.answers.deliverFallback(now, state, FinalAnswers.SERVED);
+		state.saveFallback();
+		if (score.isPresent() && score.getAsDouble() >= threshold) {
+			this.finisher.deliverFallback(now, state, RequestFinisher.SERVED);
 			return;
 		}
-		state.nextStage();
-		send(now, state);
+		state.advanceStage();
+		sendStage(now, state);
 	}
 
-	private void refused(Moment now, RouterEvent.AttemptRefused event) {
-		this.balancer.ended(event.attempt());
-		RequestState state = this.open.current(event.attempt());
+	private void onAttemptRefused(Moment now, RouterEvent.AttemptRefused event) {
+		this.balancer.onAttemptEnded(event.attempt());
+		RequestState state = this.openRequests.findByOutstandingAttempt(event.attempt());
 		if (state == null) {
 			return;
 		}
 		Refusal refusal = event.refusal();
-		RequestState.Outstanding closed = state.close(Verdict.NOT_RUN, refusal.reason().toString(), Usage.NONE, 0,
-				now.stamp());
+		RequestState.SentAttempt closed = state.closeAttempt(Verdict.NOT_RUN, refusal.reason().toString(), Usage.NONE,
+				0, now.stamp());
 		if (refusal.reason() == RefusalReason.LEAVING || refusal.reason() == RefusalReason.STOPPING) {
-			this.balancer.leaving(closed.agent());
+			this.balancer.onAgentLeaving(closed.agent());
 		}
-		if (state.answered()) {
-			this.outbox.releaseClaim(state);
-			this.answers.record(state);
+		if (state.isAnswered()) {
+			this.actions.releaseClaim(state);
+			this.finisher.writeRecord(state);
 		}
-		else if (refusal.reason() != RefusalReason.DEADLINE && mayRetry(state, refusal.reason())) {
-			send(now, state);
+		else if (refusal.reason() != RefusalReason.DEADLINE && takeRetry(state, refusal.reason())) {
+			sendStage(now, state);
 		}
 		else {
-			this.answers.giveUp(now, state, refusal);
+			this.finisher.giveUp(now, state, refusal);
 		}
 	}
 
-	private boolean mayRetry(RequestState state, RefusalReason reason) {
-		if (state.attempts() >= this.settings.maxAttempts()) {
+	private boolean takeRetry(RequestState state, RefusalReason reason) {
+		if (state.attemptCount() >= this.settings.maxAttempts()) {
 			return false;
 		}
 		return switch (reason) {
 			case LEAVING, STOPPING, FORBIDDEN -> true;
-			default -> this.retries.trySpend();
+			default -> this.retryBudget.trySpend();
 		};
 	}
 
-	private void failed(Moment now, RouterEvent.AttemptFailed event) {
-		this.balancer.ended(event.attempt());
-		RequestState state = this.open.current(event.attempt());
+	private void onAttemptFailed(Moment now, RouterEvent.AttemptFailed event) {
+		this.balancer.onAttemptEnded(event.attempt());
+		RequestState state = this.openRequests.findByOutstandingAttempt(event.attempt());
 		if (state == null) {
 			return;
 		}
-		long cost = (state.answered() && !event.crashed()) ? cost(state, event.usage()) : 0;
-		RequestState.Outstanding closed = state.close(event.verdict(),
+		long cost = (state.isAnswered() && !event.crashed()) ? costMicros(state, event.usage()) : 0;
+		RequestState.SentAttempt closed = state.closeAttempt(event.verdict(),
 				event.crashed() ? "backend-crashed" : "backend-failed", event.usage(), cost, now.stamp());
-		if (!state.answered() && event.verdict() != Verdict.NOT_RUN
-				&& this.balancer.failed(now.millis(), closed.agent(), closed.version())) {
-			announce(this.guard.onAttemptEnd(state.request().template(), closed.version(), true));
+		if (!state.isAnswered() && event.verdict() != Verdict.NOT_RUN
+				&& this.balancer.recordFailure(now.millis(), closed.agent(), closed.version())) {
+			announceHalt(this.versionGuard.onAttemptEnd(state.request().template(), closed.version(), true));
 		}
 		if (event.crashed()) {
-			this.outbox.add(new RouterAction.Suspect(
+			this.actions.add(new RouterAction.AnnounceSuspect(
 					this.suspects.onCrash(state.request().fingerprint(), event.attempt(), closed.alone())));
 		}
-		if (state.answered()) {
+		if (state.isAnswered()) {
 			if (event.verdict() == Verdict.NOT_RUN) {
-				this.outbox.releaseClaim(state);
+				this.actions.releaseClaim(state);
 			}
-			this.answers.record(state);
+			this.finisher.writeRecord(state);
 			return;
 		}
 		if (this.suspects.isBlocked(state.request().fingerprint())) {
-			this.answers.giveUp(now, state, Refusal.notRun(RefusalReason.POISON, 0));
+			this.finisher.giveUp(now, state, Refusal.notRun(RefusalReason.POISON, 0));
 		}
-		else if ((state.request().repeatable() || event.verdict() == Verdict.NOT_RUN)
-				&& mayRetry(state, RefusalReason.BACKEND_FAILED)) {
-			if (!state.delivering()) {
-				state.received().setLength(0);
+		else if ((state.request().isRepeatable() || event.verdict() == Verdict.NOT_RUN)
+				&& takeRetry(state, RefusalReason.BACKEND_FAILED)) {
+			if (!state.isDelivering()) {
+				state.receivedText().setLength(0);
 			}
-			send(now, state);
+			sendStage(now, state);
 		}
 		else {
-			this.answers.giveUp(now, state, this.comeBack.later(RefusalReason.BACKEND_FAILED, COME_BACK_MILLIS));
+			this.finisher.giveUp(now, state, this.retryAfter.notRun(RefusalReason.BACKEND_FAILED, RETRY_AFTER_MILLIS));
 		}
 	}
 
 	/**
-	 * Treats the current attempt's answer as broken off, and has its agent stop it.
+	 * Treats the outstanding attempt as failed and cancels it at its agent.
 	 */
-	private void broken(Moment now, RequestState state) {
-		if (state.answered()) {
+	private void failAndCancelAttempt(Moment now, RequestState state) {
+		if (state.isAnswered()) {
 			return;
 		}
 		AttemptId attempt = state.outstanding().attempt();
-		this.outbox.add(new RouterAction.Cancel(state.outstanding().agent(), attempt));
-		failed(now, new RouterEvent.AttemptFailed(attempt, Verdict.MAY_HAVE_RUN, false, Usage.NONE));
+		this.actions.add(new RouterAction.Cancel(state.outstanding().agent(), attempt));
+		onAttemptFailed(now, new RouterEvent.AttemptFailed(attempt, Verdict.MAY_HAVE_RUN, false, Usage.NONE));
 	}
 
-	private void agentDown(Moment now, NodeId agent) {
-		for (AttemptId attempt : this.balancer.down(agent)) {
-			// The link tells nothing of what the backend server did; it may be running
-			// it.
-			failed(now, new RouterEvent.AttemptFailed(attempt, Verdict.MAY_HAVE_RUN, true, Usage.NONE));
+	private void onAgentDown(Moment now, NodeId agent) {
+		for (AttemptId attempt : this.balancer.onAgentDown(agent)) {
+			// The backend server may still be running the attempt.
+			onAttemptFailed(now, new RouterEvent.AttemptFailed(attempt, Verdict.MAY_HAVE_RUN, true, Usage.NONE));
 		}
 	}
 
-	private void templateChanged(TemplateRevision revision) {
+	private void onTemplateChanged(TemplateRevision revision) {
 		if (this.templates.apply(revision)) {
-			this.guard.onTemplateChange(revision.template().name(), revision.revision());
+			this.versionGuard.onTemplateChange(revision.template().name(), revision.revision());
 		}
 	}
 
-	private void announce(Optional<Halt> halt) {
-		halt.ifPresent((found) -> this.outbox.add(new RouterAction.Announce(found)));
+	private void announceHalt(Optional<Halt> halt) {
+		halt.ifPresent((found) -> this.actions.add(new RouterAction.AnnounceHalt(found)));
 	}
 
-	private void learn(SuspectContent suspicion) {
+	private void onSuspectAnnounced(SuspectContent suspicion) {
 		if (this.suspects.merge(suspicion)) {
-			// The node that told may have told no other, and may be dying.
-			this.outbox.add(new RouterAction.Suspect(suspicion));
+			// The sender may fail before it has announced it to any other node.
+			this.actions.add(new RouterAction.AnnounceSuspect(suspicion));
 		}
 	}
 
-	private void recordKept(RequestId request) {
-		RequestState state = this.open.get(request);
-		if (state != null && state.repeat().isPresent()) {
-			this.answers.recordKept(state);
+	private void onRecordStored(RequestId request) {
+		RequestState state = this.openRequests.find(request);
+		if (state != null && state.replayedOutcome().isPresent()) {
+			this.finisher.onRecordStored(state);
 		}
 	}
 
-	private void callerGone(Moment now, RequestId request) {
-		RequestState state = this.open.get(request);
-		if (state != null && state.repeat().isPresent()) {
-			this.answers.abandonRepeat(now, state, RefusalReason.CALLER_GONE);
+	private void onCallerDisconnected(Moment now, RequestId request) {
+		RequestState state = this.openRequests.find(request);
+		if (state != null && state.replayedOutcome().isPresent()) {
+			this.finisher.abandonReplay(now, state, RefusalReason.CALLER_GONE);
 			return;
 		}
-		if (state == null || state.answered()) {
+		if (state == null || state.isAnswered()) {
 			return;
 		}
-		this.outbox.cancel(state);
-		this.answers.end(now, state, RefusalReason.CALLER_GONE.toString());
+		this.actions.cancel(state);
+		this.finisher.finish(now, state, RefusalReason.CALLER_GONE.toString());
 	}
 
-	private void tick(Moment now) {
-		for (RequestState state : this.open.due(now.millis())) {
-			expire(now, state);
+	private void onTick(Moment now) {
+		for (RequestState state : this.openRequests.takeDue(now.millis())) {
+			onTimer(now, state);
 		}
 	}
 
-	private void expire(Moment now, RequestState state) {
-		if (state.answered()) {
-			if (now.millis() >= state.recordBy()) {
-				this.answers.recordLate(now, state);
+	private void onTimer(Moment now, RequestState state) {
+		if (state.isAnswered()) {
+			if (now.millis() >= state.recordDueMillis()) {
+				this.finisher.writeOverdueRecord(now, state);
 			}
 		}
 		else if (now.millis() >= state.request().deadline()) {
-			if (state.awaitsRating()) {
-				// An unrated answer in time is worth more to the caller than none.
-				state.ratingDone();
-				state.keepFallback();
+			if (state.isAwaitingRating()) {
+				// An answer without a rating is worth more to the caller than none.
+				state.endRating();
+				state.saveFallback();
 			}
-			this.outbox.cancel(state);
-			this.answers.giveUp(now, state, this.comeBack.later(RefusalReason.DEADLINE, COME_BACK_MILLIS));
+			this.actions.cancel(state);
+			this.finisher.giveUp(now, state, this.retryAfter.notRun(RefusalReason.DEADLINE, RETRY_AFTER_MILLIS));
 		}
-		else if (state.awaitsRating()) {
-			judge(now, state, OptionalDouble.empty());
+		else if (state.isAwaitingRating()) {
+			decideOnRating(now, state, OptionalDouble.empty());
 		}
 	}
 
-	private void refresh(RequestState state) {
+	private void updateRevision(RequestState state) {
 		this.templates.find(state.request().template())
 			.filter((newest) -> newest.template().findTeam(state.team()).isPresent())
-			.ifPresent(state::refresh);
+			.ifPresent(state::updateRevision);
 	}
 
-	private long cost(RequestState state, Usage usage) {
+	private long costMicros(RequestState state, Usage usage) {
 		Template template = state.template();
 		return template.findRule(state.outstanding().version()).map((rule) -> rule.price().costOf(usage)).orElse(0L);
 	}
 
 	/**
-	 * Returns a number from 0 to 1 that is the same for a session's requests at every
-	 * entry, so that they agree on a version before the store has been asked.
+	 * Returns a number from 0 to 1 that is the same for all requests of a session at
+	 * every entry, so that entries propose the same version before the store is asked.
 	 */
-	private static double unit(IncomingRequest request) {
+	private static double spreadUnit(IncomingRequest request) {
 		String key = request.session().map((session) -> request.team() + "/" + session).orElse(request.id().value());
 		return KeyHash.toUnitInterval(key);
 	}
