--- a/daemon/src/main/java/org/gullsaddle/gateway/Attempt.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/Attempt.java
@@ -145,14 +145,14 @@
 		}
 		this.response = response;
 		this.answer = this.codec.read(response);
-		boolean ours = this.answer.attemptId().isEmpty() ? !this.answer.success()
+		boolean ours = this.answer.attemptId().isEmpty() ? !this.answer.isSuccess()
 				: this.answer.attemptId().get().equals(this.attemptId);
 		if (!ours) {
 			fail("answer to another request");
 			return;
 		}
 		this.listener.heard(this, this.answer);
-		if (this.answer.success() && (!this.answer.signed() || this.answer.encoded())) {
+		if (this.answer.isSuccess() && (!this.answer.signed() || this.answer.encoded())) {
 			fail("answer is not the replica's");
 			return;
 		}
@@ -241,11 +241,11 @@
 			return;
 		}
 		this.endedWithConnection = !framed(this.response.headers());
-		if (this.answer.closes()) {
+		if (this.answer.closesConnection()) {
 			this.channel.close();
 		}
 		else {
-			this.pool.giveBack(this.channel, this.answer.keepMillis());
+			this.pool.giveBack(this.channel, this.answer.keepAliveMillis());
 		}
 		end(notRun() ? new AttemptEnd.NotRun(false, "refused with " + this.answer.status())
 				: new AttemptEnd.Answered(this.answer.status()));
--- a/daemon/src/main/java/org/gullsaddle/gateway/CallerRequest.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/CallerRequest.java
@@ -11,22 +11,23 @@
  * @param attemptId the caller's id of this attempt, empty if it sent none
  * @param host the host that it names
  * @param path its path without the query
- * @param deadlineMillis how long the caller waits, in milliseconds, if it said so
- * @param key the key that it presents, if any
+ * @param timeoutMillis how long the caller waits, in milliseconds, if it said so
+ * @param apiKey the key that it presents, if any
  * @param model the model that it names, empty if it names none or leaves the choice to
  * the router
  * @param prompt what it says of its prompt
  * @param session the session that it belongs to, if any
- * @param lastEvent the last event of a stream that the caller has, if it goes on with one
+ * @param lastEventId the last event of a stream that the caller has, if it goes on with
+ * one
  */
-public record CallerRequest(Optional<String> attemptId, String host, String path, OptionalLong deadlineMillis,
-		Optional<String> key, String model, Prompt prompt, Optional<String> session, Optional<String> lastEvent) {
+public record CallerRequest(Optional<String> attemptId, String host, String path, OptionalLong timeoutMillis,
+		Optional<String> apiKey, String model, Prompt prompt, Optional<String> session, Optional<String> lastEventId) {
 
 	/**
 	 * Returns what stands for a request that could not be read.
 	 * @return a request that says nothing
 	 */
-	static CallerRequest unread() {
+	static CallerRequest unreadable() {
 		return new CallerRequest(Optional.empty(), "", "", OptionalLong.empty(), Optional.empty(), "", Prompt.NONE,
 				Optional.empty(), Optional.empty());
 	}
--- a/daemon/src/main/java/org/gullsaddle/gateway/ConfigCheck.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/ConfigCheck.java
@@ -109,7 +109,7 @@
 		this.waiting.add(then);
 		if (this.waiting.size() == 1) {
 			this.telemetry.count("config.checks");
-			this.source.configuration().subscribe((changes) -> took(changes, now), (failure) -> failed(failure, now));
+			this.source.readConfig().subscribe((changes) -> took(changes, now), (failure) -> failed(failure, now));
 		}
 	}
 
--- a/daemon/src/main/java/org/gullsaddle/gateway/Decisions.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/Decisions.java
@@ -105,7 +105,7 @@
 	 */
 	void told(long now, Replica replica, ReplicaAnswer answer) {
 		answer.load().ifPresent((load) -> this.picker.report(now, replica, load));
-		answer.pacePercent().ifPresent((percent) -> this.picker.pace(now, replica, percent));
+		answer.slowdownPercent().ifPresent((percent) -> this.picker.pace(now, replica, percent));
 		this.picker.heard(now, replica);
 	}
 
--- a/daemon/src/main/java/org/gullsaddle/gateway/EarlyListener.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/EarlyListener.java
@@ -59,7 +59,7 @@
 	/**
 	 * Hands the socket to the first server that asks; later ones bind their own.
 	 */
-	synchronized NioServerSocketChannel channel() {
+	synchronized NioServerSocketChannel takeChannel() {
 		if (this.taken) {
 			return new NioServerSocketChannel();
 		}
--- a/daemon/src/main/java/org/gullsaddle/gateway/EarlyTransport.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/EarlyTransport.java
@@ -27,7 +27,7 @@
 
 	@Override
 	public ChannelFactory<? extends ServerChannel> serverChannelFactory(boolean domainSocket) {
-		return domainSocket ? this.jdk.serverChannelFactory(true) : this.early::channel;
+		return domainSocket ? this.jdk.serverChannelFactory(true) : this.early::takeChannel;
 	}
 
 	@Override
--- a/daemon/src/main/java/org/gullsaddle/gateway/FleetFeed.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/FleetFeed.java
@@ -123,11 +123,12 @@
 		}
 		boolean whole = this.revision < 0;
 		this.askedAt = Clock.millis();
-		Single<FleetSource.News> call = whole ? this.source.readAll() : this.source.changes(this.revision, WAIT_MILLIS);
+		Single<FleetSource.Update> call = whole ? this.source.readAll()
+				: this.source.awaitChanges(this.revision, WAIT_MILLIS);
 		call.subscribe((news) -> took(news, whole), this::failed);
 	}
 
-	void took(FleetSource.News news, boolean whole) {
+	void took(FleetSource.Update news, boolean whole) {
 		long now = Clock.millis();
 		if (this.failures >= FAILURES_TO_BE_AWAY) {
 			this.log.regained("store", now);
@@ -155,7 +156,7 @@
 		this.vertx.setTimer(pause, (timer) -> next());
 	}
 
-	private void reportSlow(FleetSource.News news, long now) {
+	private void reportSlow(FleetSource.Update news, long now) {
 		long took = Clock.millis() - now;
 		if (took >= SLOW_MILLIS || now - this.askedAt >= WAIT_MILLIS + SLOW_MILLIS) {
 			this.log.slowNews(news.changes().size(), news.revision(), now - this.askedAt, took);
@@ -193,7 +194,7 @@
 		this.failures++;
 		this.log.storeCallFailed((this.revision < 0) ? "read all" : "changes", now - this.askedAt,
 				failure.getMessage());
-		if (failure instanceof HistoryGoneException) {
+		if (failure instanceof HistoryCompactedException) {
 			this.revision = -1;
 		}
 		if (this.failures == FAILURES_TO_BE_AWAY) {
@@ -202,7 +203,7 @@
 			this.state.directory().storeAway(now, true);
 			this.log.lost("store", failure.getMessage(), this.state.age(now));
 		}
-		if (failure instanceof HistoryGoneException) {
+		if (failure instanceof HistoryCompactedException) {
 			next();
 			return;
 		}
--- a/daemon/src/main/java/org/gullsaddle/gateway/FleetSource.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/FleetSource.java
@@ -8,7 +8,7 @@
 
 /**
  * Tells what the platform knows of the deployment. Failures are
- * {@link org.gullsaddle.store.StoreException}s, and {@link HistoryGoneException} if
+ * {@link org.gullsaddle.store.StoreException}s, and {@link HistoryCompactedException} if
  * changes were missed.
  */
 public interface FleetSource {
@@ -17,7 +17,7 @@
 	 * Reads everything.
 	 * @return what stands now
 	 */
-	Single<News> readAll();
+	Single<Update> readAll();
 
 	/**
 	 * Waits for changes.
@@ -25,13 +25,13 @@
 	 * @param waitMillis how long to wait for the first, in milliseconds
 	 * @return the changes in their order, none if there were none
 	 */
-	Single<News> changes(long after, long waitMillis);
+	Single<Update> awaitChanges(long after, long waitMillis);
 
 	/**
 	 * Reads the configuration that stands now, on a new connection.
 	 * @return the configuration, none if there is none yet
 	 */
-	Single<List<FleetChange>> configuration();
+	Single<List<FleetChange>> readConfig();
 
 	/**
 	 * Things that the platform told.
@@ -39,12 +39,12 @@
 	 * @param changes the changes in their order
 	 * @param revision the revision up to which they go
 	 */
-	record News(List<FleetChange> changes, long revision) {
+	record Update(List<FleetChange> changes, long revision) {
 
 		/**
 		 * Copies the changes.
 		 */
-		public News {
+		public Update {
 			changes = List.copyOf(changes);
 		}
 
--- a/daemon/src/main/java/org/gullsaddle/gateway/Gateway.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/Gateway.java
@@ -101,9 +101,9 @@
 		this.vertx = vertx;
 		this.settings = builder.settings;
 		this.codec = builder.codec;
-		this.fleet = new FleetState(this.settings.rollouts());
+		this.fleet = new FleetState(this.settings.rolloutLimits());
 		this.holdings = new Holdings(this.settings.load(), this.log, this.telemetry);
-		this.decisions = new Decisions(this.settings.place(), this.settings.retryShare(),
+		this.decisions = new Decisions(this.settings.place(), this.settings.retryBudgetRatio(),
 				this.settings.load().pressure());
 		this.returns = new Returns(this.settings.load().pressure(), this.telemetry);
 		this.coldPace = new ColdPace(this.settings.node());
@@ -122,9 +122,9 @@
 				this.log);
 		this.dispatcher = new RequestDispatcher(vertx, this);
 		this.feed = new FleetFeed(vertx, builder.source, this.fleet, this.log, this::learned,
-				this.settings.newsMillis(), this.crashes::unsettled);
-		this.configCheck = new ConfigCheck(builder.source, this.fleet, this.settings.newsMillis(), this::learned,
-				this.log, this.telemetry);
+				this.settings.maxPropagationMillis(), this.crashes::unsettled);
+		this.configCheck = new ConfigCheck(builder.source, this.fleet, this.settings.maxPropagationMillis(),
+				this::learned, this.log, this.telemetry);
 	}
 
 	/**
@@ -132,7 +132,7 @@
 	 * @param settings its settings
 	 * @return a builder
 	 */
-	public static Builder with(GatewaySettings settings) {
+	public static Builder builder(GatewaySettings settings) {
 		return new Builder(settings);
 	}
 
@@ -179,7 +179,7 @@
 		this.stalls.look(Clock.millis());
 		this.vertx.setPeriodic(TICK_MILLIS, (timer) -> tick());
 		this.vertx.setPeriodic(TIDY_MILLIS, (timer) -> tidy());
-		return this.server.listen(this.settings.callers().port(), this.settings.callers().host())
+		return this.server.listen(this.settings.callerAddress().port(), this.settings.callerAddress().host())
 			.compose((listening) -> StatusServer.listen(this.vertx, this))
 			.onSuccess((nothing) -> this.log.started(this.settings.node(), this.settings.place().dataCenter()));
 	}
@@ -192,7 +192,7 @@
 	public Future<Void> drain() {
 		Promise<Void> stopped = Promise.promise();
 		this.vertx.runOnContext((nothing) -> {
-			this.stop.begin(Clock.millis(), this.settings.stopMillis());
+			this.stop.begin(Clock.millis(), this.settings.stopTimeoutMillis());
 			this.log.stopping(this.open.size());
 			this.vertx.setTimer(StopPlan.TAKE_ON_MILLIS,
 					(timer) -> this.vertx.setPeriodic(TICK_MILLIS, (tick) -> endIfIdle(stopped)));
@@ -219,7 +219,7 @@
 	 * Notes that the settings were read anew.
 	 * @param what what has changed, for the log
 	 */
-	public void reloaded(String what) {
+	public void onSettingsReloaded(String what) {
 		this.log.reloaded(what);
 	}
 
@@ -227,7 +227,7 @@
 	 * Says whether callers' connections are welcome.
 	 * @return true once the configuration and the replicas are known, until a stop
 	 */
-	public boolean ready() {
+	public boolean isReady() {
 		return !stopping() && this.fleet.config().isPresent() && this.fleet.directory().told();
 	}
 
@@ -236,7 +236,7 @@
 	 * @param replica its id
 	 * @return true if it is
 	 */
-	public boolean knows(String replica) {
+	public boolean knowsReplica(String replica) {
 		return this.fleet.directory().find(new ReplicaId(replica)).isPresent();
 	}
 
@@ -244,7 +244,7 @@
 	 * Returns how old what the node knows of the deployment may be.
 	 * @return the time since the platform last told anything, in milliseconds
 	 */
-	public long knowledgeMillis() {
+	public long fleetAgeMillis() {
 		return this.fleet.age(Clock.millis());
 	}
 
@@ -260,7 +260,7 @@
 	 * Says whether a newer configuration came that cannot be read.
 	 * @return true until one that can be read is in force
 	 */
-	public boolean configUnreadable() {
+	public boolean hasUnreadableConfig() {
 		return this.fleet.configUnreadable();
 	}
 
@@ -269,7 +269,7 @@
 	 * started.
 	 * @return the number
 	 */
-	public int held() {
+	public int heldRequestCount() {
 		return this.dispatcher.held();
 	}
 
@@ -431,7 +431,7 @@
 
 		private Store store;
 
-		private RolloutBoard board;
+		private RolloutStateWriter board;
 
 		private HeaderCodec codec;
 
@@ -445,7 +445,7 @@
 		 * @param newBoard where the state of roll-outs is written
 		 * @return this builder
 		 */
-		public Builder source(FleetSource newSource, RolloutBoard newBoard) {
+		public Builder source(FleetSource newSource, RolloutStateWriter newBoard) {
 			this.source = newSource;
 			this.board = newBoard;
 			return this;
@@ -476,7 +476,7 @@
 		 * @param vertx where it runs, with one event loop
 		 * @return the gateway, not started
 		 */
-		public Gateway on(Vertx vertx) {
+		public Gateway build(Vertx vertx) {
 			return new Gateway(this, vertx);
 		}
 
--- a/daemon/src/main/java/org/gullsaddle/gateway/GatewaySettings.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/GatewaySettings.java
@@ -9,15 +9,16 @@
  *
  * @param node the node's name
  * @param place where it is
- * @param callers where callers connect
- * @param ready where it is asked whether it is ready
- * @param metrics where its metrics are served, port 0 for nowhere
- * @param stopMillis how long a graceful stop may take
- * @param retryShare how many retries each request earns
- * @param newsMillis how soon what the platform tells must be in force
- * @param rollouts what a release may get before it is proved
+ * @param callerAddress where callers connect
+ * @param readinessAddress where it is asked whether it is ready
+ * @param metricsAddress where its metrics are served, port 0 for nowhere
+ * @param stopTimeoutMillis how long a graceful stop may take
+ * @param retryBudgetRatio how many retries each request earns
+ * @param maxPropagationMillis how soon what the platform tells must be in force
+ * @param rolloutLimits what a release may get before it is proved
  * @param load what the deployment says of its load
  */
-public record GatewaySettings(String node, Place place, Address callers, Address ready, Address metrics,
-		long stopMillis, double retryShare, long newsMillis, RolloutLimits rollouts, LoadSettings load) {
+public record GatewaySettings(String node, Place place, Address callerAddress, Address readinessAddress,
+		Address metricsAddress, long stopTimeoutMillis, double retryBudgetRatio, long maxPropagationMillis,
+		RolloutLimits rolloutLimits, LoadSettings load) {
 }
--- a/daemon/src/main/java/org/gullsaddle/gateway/HeaderCodec.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/HeaderCodec.java
@@ -30,7 +30,7 @@
 	 * @param handover what the replica is told besides
 	 * @return the headers
 	 */
-	MultiMap toReplica(MultiMap caller, Handover handover);
+	MultiMap replicaHeaders(MultiMap caller, ForwardingContext handover);
 
 	/**
 	 * Reads the head of a replica's answer.
@@ -45,19 +45,19 @@
 	 * @param replica the replica's headers
 	 * @return the headers
 	 */
-	MultiMap toCaller(MultiMap replica);
+	MultiMap callerHeaders(MultiMap replica);
 
 	/**
 	 * Returns where an engine tells its load.
 	 * @return the path
 	 */
-	String reportPath();
+	String loadReportPath();
 
 	/**
 	 * Reads what an engine tells of its load.
 	 * @param body the body of its answer
 	 * @return its load, or empty if the body cannot be read
 	 */
-	Optional<EngineReport> readReport(Buffer body);
+	Optional<EngineReport> readLoadReport(Buffer body);
 
 }
--- a/daemon/src/main/java/org/gullsaddle/gateway/Holdings.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/Holdings.java
@@ -28,8 +28,9 @@
 	 * than the process may use.
 	 */
 	Holdings(LoadSettings load, DecisionLog log, Telemetry telemetry) {
-		this.budget = (load.pressure() && load.memoryBytes() > 0)
-				? Optional.of(HoldingBudget.ofMemory(Math.min(load.memoryBytes(), Runtime.getRuntime().maxMemory())))
+		this.budget = (load.pressure() && load.memoryLimitBytes() > 0)
+				? Optional
+					.of(HoldingBudget.ofMemory(Math.min(load.memoryLimitBytes(), Runtime.getRuntime().maxMemory())))
 				: Optional.empty();
 		this.log = log;
 		this.telemetry = telemetry;
--- a/daemon/src/main/java/org/gullsaddle/gateway/Intake.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/Intake.java
@@ -132,7 +132,7 @@
 	private void reject(int status, Optional<Long> after, String reason) {
 		this.over = true;
 		CallerAnswerWriter writer = new CallerAnswerWriter(this.request.response(), () -> true);
-		this.gateway.dispatcher().refused(writer, CallerRequest.unread(), status, after, reason);
+		this.gateway.dispatcher().refused(writer, CallerRequest.unreadable(), status, after, reason);
 	}
 
 }
--- a/daemon/src/main/java/org/gullsaddle/gateway/LoadProbe.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/LoadProbe.java
@@ -132,21 +132,21 @@
 	}
 
 	private Future<EngineReport> read(Replica replica, ChannelPool.Channel channel) {
-		RequestOptions options = new RequestOptions().setMethod(HttpMethod.GET).setURI(this.codec.reportPath());
+		RequestOptions options = new RequestOptions().setMethod(HttpMethod.GET).setURI(this.codec.loadReportPath());
 		return channel.connection().request(options).compose(HttpClientRequest::send).compose((response) -> {
 			ReplicaAnswer answer = this.codec.read(response);
 			this.backpressure.heard(replica, answer);
-			answer.pacePercent().ifPresent((percent) -> this.picker.pace(Clock.millis(), replica, percent));
+			answer.slowdownPercent().ifPresent((percent) -> this.picker.pace(Clock.millis(), replica, percent));
 			return response.body().compose((body) -> report(channel, answer, body));
 		});
 	}
 
 	private Future<EngineReport> report(ChannelPool.Channel channel, ReplicaAnswer answer, Buffer body) {
-		Optional<EngineReport> report = answer.success() ? this.codec.readReport(body) : Optional.empty();
+		Optional<EngineReport> report = answer.isSuccess() ? this.codec.readLoadReport(body) : Optional.empty();
 		if (report.isEmpty()) {
 			return Future.failedFuture("no report, but status " + answer.status());
 		}
-		this.pool.giveBack(channel, answer.closes() ? 0 : answer.keepMillis());
+		this.pool.giveBack(channel, answer.closesConnection() ? 0 : answer.keepAliveMillis());
 		return Future.succeededFuture(report.get());
 	}
 
--- a/daemon/src/main/java/org/gullsaddle/gateway/RequestDispatcher.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/RequestDispatcher.java
@@ -94,7 +94,7 @@
 		}
 		Optional<Route> route = config.get().route(caller.host(), caller.path());
 		boolean keyed = config.get().keyed() && route.isPresent() && !route.get().open();
-		Optional<Team> team = keyed ? caller.key().flatMap(config.get()::team) : Optional.empty();
+		Optional<Team> team = keyed ? caller.apiKey().flatMap(config.get()::team) : Optional.empty();
 		boolean allowed = route.isPresent() && !(keyed && team.isEmpty());
 		if (!checked && this.gateway.configCheck().due(allowed)) {
 			this.gateway.configCheck().read(() -> serve(request, caller, body, startedAt, true));
--- a/daemon/src/main/java/org/gullsaddle/gateway/RolloutController.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/RolloutController.java
@@ -52,7 +52,7 @@
 
 	private final Vertx vertx;
 
-	private final RolloutBoard board;
+	private final RolloutStateWriter board;
 
 	private final Store store;
 
@@ -73,7 +73,8 @@
 	/** What was reported last of each roll-out. */
 	private final Map<String, Shown> shown = new HashMap<>();
 
-	RolloutController(Vertx vertx, RolloutBoard board, Store store, String node, FleetState fleet, DecisionLog log) {
+	RolloutController(Vertx vertx, RolloutStateWriter board, Store store, String node, FleetState fleet,
+			DecisionLog log) {
 		this.vertx = vertx;
 		this.board = board;
 		this.store = store;
--- a/daemon/src/main/java/org/gullsaddle/gateway/RolloutBoard.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/RolloutStateWriter.java
@@ -8,7 +8,7 @@
 /**
  * Where the operators read how far a roll-out has come.
  */
-public interface RolloutBoard {
+public interface RolloutStateWriter {
 
 	/**
 	 * Writes a state.
--- a/daemon/src/main/java/org/gullsaddle/gateway/ServedRequest.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/ServedRequest.java
@@ -63,7 +63,7 @@
 		this.body = builder.body;
 		this.startedAt = builder.startedAt;
 		this.service = builder.service;
-		long patience = Math.min(this.caller.deadlineMillis().orElse(this.route.timeoutMillis()),
+		long patience = Math.min(this.caller.timeoutMillis().orElse(this.route.timeoutMillis()),
 				this.route.timeoutMillis());
 		this.endsAt = Math.min(this.startedAt + patience, builder.latest);
 	}
--- a/daemon/src/main/java/org/gullsaddle/gateway/Serving.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/Serving.java
@@ -149,10 +149,10 @@
 		this.replicas.sent(choice.replica());
 		this.gateway.rollouts().sent(choice.replica());
 		Admission admission = this.replicas.admit(choice.replica());
-		Optional<String> lastEvent = this.relay.lastEvent().or(this.request.caller()::lastEvent);
-		Handover handover = Handover.of(this.request, choice.replica().id(), left, model(),
+		Optional<String> lastEvent = this.relay.lastEvent().or(this.request.caller()::lastEventId);
+		ForwardingContext handover = ForwardingContext.of(this.request, choice.replica().id(), left, model(),
 				this.turn.urgency(Clock.millis(), choice, this.task), lastEvent);
-		MultiMap headers = this.gateway.codec().toReplica(this.request.http().headers(), handover);
+		MultiMap headers = this.gateway.codec().replicaHeaders(this.request.http().headers(), handover);
 		this.attempt = new Attempt(choice, admission, this.replicas.coldMillis(choice.replica()), id(),
 				this.gateway.pool(), this.gateway.codec(), this);
 		this.attempt.send(this.request.http().method(), this.request.http().uri(), headers, this.request.body(),
@@ -175,14 +175,14 @@
 		this.gateway.crashes().head(from);
 		this.gateway.decisions().told(Clock.millis(), from.choice().replica(), answer);
 		this.gateway.rollouts().answered(new AnswerKind(route().name(), model()), from, answer);
-		if (answer.success()) {
+		if (answer.isSuccess()) {
 			this.gateway.decisions().picker().began(from.choice(), this.task, from.headAt() - from.startedAt(), true);
 		}
-		this.relay.head(this.gateway.codec().toCaller(headers));
-		if (this.relay.begun() && !answer.success()) {
+		this.relay.head(this.gateway.codec().callerHeaders(headers));
+		if (this.relay.begun() && !answer.isSuccess()) {
 			from.withdraw(new AttemptEnd.Broken("no answer to go on with"));
 		}
-		else if (answer.success() && !this.relay.begun() && !this.request.isTrial()) {
+		else if (answer.isSuccess() && !this.relay.begun() && !this.request.isTrial()) {
 			doubt(from, answer);
 		}
 	}
@@ -418,7 +418,7 @@
 	}
 
 	private boolean streamed(Attempt from) {
-		return this.request.stream() && from.answer() != null && from.answer().success();
+		return this.request.stream() && from.answer() != null && from.answer().isSuccess();
 	}
 
 	/**
--- a/daemon/src/main/java/org/gullsaddle/gateway/StatusServer.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/StatusServer.java
@@ -23,14 +23,14 @@
 	}
 
 	static Future<Void> listen(Vertx vertx, Gateway gateway) {
-		Address ready = gateway.settings().ready();
+		Address ready = gateway.settings().readinessAddress();
 		Future<Void> listening = vertx.createHttpServer(OPTIONS)
 			.requestHandler((request) -> request.response()
-				.setStatusCode(gateway.ready() ? Statuses.OK : Statuses.UNAVAILABLE)
+				.setStatusCode(gateway.isReady() ? Statuses.OK : Statuses.UNAVAILABLE)
 				.end())
 			.listen(ready.port(), ready.host())
 			.mapEmpty();
-		Address metrics = gateway.settings().metrics();
+		Address metrics = gateway.settings().metricsAddress();
 		if (metrics.port() == 0) {
 			return listening;
 		}
--- a/daemon/src/test/java/org/gullsaddle/gateway/FleetFeedTests.java
+++ b/daemon/src/test/java/org/gullsaddle/gateway/FleetFeedTests.java
@@ -31,17 +31,17 @@
 		private static final FleetSource STORE_THAT_NEVER_ANSWERS = new FleetSource() {
 
 			@Override
-			public Single<News> readAll() {
+			public Single<Update> readAll() {
 				return Single.never();
 			}
 
 			@Override
-			public Single<News> changes(long after, long waitMillis) {
+			public Single<Update> awaitChanges(long after, long waitMillis) {
 				return Single.never();
 			}
 
 			@Override
-			public Single<List<FleetChange>> configuration() {
+			public Single<List<FleetChange>> readConfig() {
 				return Single.never();
 			}
 
@@ -99,7 +99,7 @@
 		@Test
 		void newsIsAskedForEverySecondAfterEverythingWasReadAnew() {
 			FleetFeed feed = feed(5000);
-			feed.took(new FleetSource.News(List.of(), 7), true);
+			feed.took(new FleetSource.Update(List.of(), 7), true);
 			long now = Clock.millis();
 			assertThat(feed.everyMillis(now)).isEqualTo(1000);
 			assertThat(feed.everyMillis(now + 5000)).isEqualTo(2500);
--- a/daemon/src/test/java/org/gullsaddle/gateway/NodeRegisterTests.java
+++ b/daemon/src/test/java/org/gullsaddle/gateway/NodeRegisterTests.java
@@ -41,7 +41,7 @@
 	void open() {
 		Address nowhere = new Address("127.0.0.1", 1);
 		GatewaySettings settings = new GatewaySettings(SELF, new Place("a", Map.of("a", "north")), nowhere, nowhere,
-				nowhere, 1, 1, 1, RolloutLimits.USUAL, LoadSettings.USUAL);
+				nowhere, 1, 1, 1, RolloutLimits.USUAL, LoadSettings.DEFAULTS);
 		this.register = new NodeRegister(this.vertx, this.store, settings, () -> this.storeAway);
 	}
 
