--- a/daemon/src/main/java/org/gullsaddle/gateway/AnswerRelay.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/AnswerRelay.java
@@ -15,9 +15,9 @@
 	/** An answer up to this size is held back until it is whole, in bytes. */
 	private static final int MAX_HELD = 262_144;
 
-	private final EventScanner events = new EventScanner();
+	private final ServerSentEventSplitter events = new ServerSentEventSplitter();
 
-	private final AnswerOutlet outlet;
+	private final AnswerSink outlet;
 
 	private final CallerAnswerWriter writer;
 
--- a/daemon/src/main/java/org/gullsaddle/gateway/AnswerOutlet.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/AnswerSink.java
@@ -6,7 +6,7 @@
 /**
  * Where the bytes of a caller's answer go.
  */
-sealed interface AnswerOutlet permits AnswerOutlet.Direct, CallerFlow {
+sealed interface AnswerSink permits AnswerSink.Direct, FlowControlledSink {
 
 	void write(Buffer bytes);
 
@@ -32,7 +32,7 @@
 	 *
 	 * @param response the answer
 	 */
-	record Direct(HttpServerResponse response) implements AnswerOutlet {
+	record Direct(HttpServerResponse response) implements AnswerSink {
 
 		@Override
 		public void write(Buffer bytes) {
--- a/daemon/src/main/java/org/gullsaddle/gateway/Attempt.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/Attempt.java
@@ -38,7 +38,7 @@
 
 	private final String attemptId;
 
-	private final long startedAt = Clock.millis();
+	private final long startedAt = MonotonicClock.millis();
 
 	private ChannelPool.Channel channel;
 
@@ -46,7 +46,7 @@
 
 	private HttpClientResponse response;
 
-	private final Set<Hold> holds = EnumSet.noneOf(Hold.class);
+	private final Set<PauseReason> holds = EnumSet.noneOf(PauseReason.class);
 
 	/** When the answer was last read on that had been held back for its caller. */
 	private long resumedAt = this.startedAt;
@@ -138,7 +138,7 @@
 	}
 
 	private void head(HttpClientResponse response) {
-		this.lastByteAt = Clock.millis();
+		this.lastByteAt = MonotonicClock.millis();
 		this.headAt = this.lastByteAt;
 		if (this.ended) {
 			return;
@@ -158,7 +158,7 @@
 		}
 		response.exceptionHandler((failure) -> lose("answer broke off"));
 		response.handler((bytes) -> {
-			this.lastByteAt = Clock.millis();
+			this.lastByteAt = MonotonicClock.millis();
 			this.bodyAt = (this.bodyAt < 0) ? this.lastByteAt : this.bodyAt;
 			if (!this.ended && !this.notRun()) {
 				this.listener.data(this, bytes);
@@ -178,7 +178,7 @@
 	 * Says whether another process answered than the one that the request was for.
 	 */
 	boolean misdirected() {
-		return this.answer != null && this.answer.status() == Statuses.MISDIRECTED;
+		return this.answer != null && this.answer.status() == HttpStatuses.MISDIRECTED;
 	}
 
 	/**
@@ -280,7 +280,7 @@
 	/**
 	 * Holds the rest of the answer back, once its head has come.
 	 */
-	void pause(Hold reason) {
+	void pause(PauseReason reason) {
 		this.holds.add(reason);
 		this.response.pause();
 	}
@@ -288,10 +288,10 @@
 	/**
 	 * Lets a paused answer go on, unless there is another reason to hold it back.
 	 */
-	void resume(Hold reason) {
+	void resume(PauseReason reason) {
 		this.holds.remove(reason);
-		if (reason == Hold.CALLER) {
-			this.resumedAt = Clock.millis();
+		if (reason == PauseReason.CALLER) {
+			this.resumedAt = MonotonicClock.millis();
 		}
 		if (this.holds.isEmpty()) {
 			this.response.resume();
@@ -302,7 +302,7 @@
 	 * Returns since when the answer has been read without a pause for its caller.
 	 */
 	long readSince() {
-		return this.holds.contains(Hold.CALLER) ? Clock.millis() : this.resumedAt;
+		return this.holds.contains(PauseReason.CALLER) ? MonotonicClock.millis() : this.resumedAt;
 	}
 
 	boolean ended() {
@@ -367,7 +367,7 @@
 	/**
 	 * Why an answer is held back.
 	 */
-	enum Hold {
+	enum PauseReason {
 
 		/** Its model doubts it, and it may be dropped. */
 		DOUBT,
--- a/daemon/src/main/java/org/gullsaddle/gateway/BackpressureController.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/BackpressureController.java
@@ -50,7 +50,7 @@
 
 	private final Telemetry telemetry;
 
-	private final Map<ReplicaId, NodeNote> notes = new HashMap<>();
+	private final Map<ReplicaId, NodeNoteWriter> notes = new HashMap<>();
 
 	/** Replicas of which something is to be told soon. */
 	private final Set<ReplicaId> due = new HashSet<>();
@@ -65,7 +65,7 @@
 		this.log = log;
 		this.telemetry = telemetry;
 		telemetry.gauge("replicas.limited", this.book::countLimited);
-		telemetry.gauge("replicas.resting", () -> this.book.countResting(Clock.millis()));
+		telemetry.gauge("replicas.resting", () -> this.book.countResting(MonotonicClock.millis()));
 	}
 
 	BackpressureBook book() {
@@ -77,8 +77,8 @@
 	 * tells nothing of the replica that was asked.
 	 */
 	void heard(Replica replica, ReplicaAnswer answer) {
-		if (answer.status() != Statuses.MISDIRECTED) {
-			if (answer.leaving() && this.fleet.directory().leave(Clock.millis(), replica)) {
+		if (answer.status() != HttpStatuses.MISDIRECTED) {
+			if (answer.leaving() && this.fleet.directory().leave(MonotonicClock.millis(), replica)) {
 				this.log.leaving(replica.id());
 				this.telemetry.count("replica.leavings.told");
 			}
@@ -86,8 +86,9 @@
 				this.log.rest(replica.id(), answer.backpressure().restMillis());
 				this.telemetry.count("replica.rests.asked");
 			}
-			applyAndLog(replica, "answer", () -> this.news.heard(Clock.millis(), replica, answer.backpressure())
-				.ifPresent((millis) -> tellIn(millis, replica.id())));
+			applyAndLog(replica, "answer",
+					() -> this.news.heard(MonotonicClock.millis(), replica, answer.backpressure())
+						.ifPresent((millis) -> tellIn(millis, replica.id())));
 		}
 	}
 
@@ -104,7 +105,7 @@
 	}
 
 	private void listed(Replica replica) {
-		applyAndLog(replica, "note", () -> this.news.listed(Clock.millis(), replica));
+		applyAndLog(replica, "note", () -> this.news.listed(MonotonicClock.millis(), replica));
 	}
 
 	private void learn(FleetChange.Noted noted) {
@@ -112,7 +113,7 @@
 		Optional<Replica> listed = this.fleet.directory().find(id);
 		try {
 			LimitNote note = Json.read(noted.value(), LimitNote.class);
-			Runnable learn = () -> this.news.learned(Clock.millis(), id, note, listed)
+			Runnable learn = () -> this.news.learned(MonotonicClock.millis(), id, note, listed)
 				.ifPresent((millis) -> this.vertx.setTimer(millis,
 						(timer) -> this.fleet.directory().find(id).ifPresent(this::listed)));
 			listed.ifPresentOrElse((replica) -> applyAndLog(replica, "note", learn), learn);
@@ -143,7 +144,7 @@
 
 	private void tell(ReplicaId id) {
 		this.due.remove(id);
-		NodeNote note = this.notes.computeIfAbsent(id, (key) -> new NodeNote(this.store, NOTES + key));
+		NodeNoteWriter note = this.notes.computeIfAbsent(id, (key) -> new NodeNoteWriter(this.store, NOTES + key));
 		if (note.busy()) {
 			tellIn(AGAIN_MILLIS, id);
 			return;
@@ -158,7 +159,7 @@
 	 * Says whether a replica may be asked for its load.
 	 */
 	boolean mayAsk(Replica replica) {
-		return this.book.mayAsk(Clock.millis(), replica) && !this.fleet.directory().leaving(replica);
+		return this.book.mayAsk(MonotonicClock.millis(), replica) && !this.fleet.directory().leaving(replica);
 	}
 
 	/**
--- a/daemon/src/main/java/org/gullsaddle/gateway/Holdings.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/BufferManager.java
@@ -13,7 +13,7 @@
  * What this node holds for callers and replicas, in a deployment whose callers may read
  * slowly. Confined to the event loop.
  */
-final class Holdings {
+final class BufferManager {
 
 	private final Optional<HoldingBudget> budget;
 
@@ -21,13 +21,13 @@
 
 	private final Telemetry telemetry;
 
-	private final Map<Holder, Party> parties = new LinkedHashMap<>();
+	private final Map<Holder, Transfer> parties = new LinkedHashMap<>();
 
 	/**
 	 * Makes what holds as the settings tell. The bytes lie in the heap, which may be less
 	 * than the process may use.
 	 */
-	Holdings(LoadSettings load, DecisionLog log, Telemetry telemetry) {
+	BufferManager(LoadSettings load, DecisionLog log, Telemetry telemetry) {
 		this.budget = (load.pressure() && load.memoryLimitBytes() > 0)
 				? Optional
 					.of(HoldingBudget.ofMemory(Math.min(load.memoryLimitBytes(), Runtime.getRuntime().maxMemory())))
@@ -58,15 +58,16 @@
 	 * Returns where an answer's bytes go.
 	 * @param giveUp breaks the answer off
 	 */
-	AnswerOutlet outlet(ServedRequest request, Runnable giveUp) {
-		return inForce() ? new CallerFlow(request, this, giveUp) : new AnswerOutlet.Direct(request.http().response());
+	AnswerSink outlet(ServedRequest request, Runnable giveUp) {
+		return inForce() ? new FlowControlledSink(request, this, giveUp)
+				: new AnswerSink.Direct(request.http().response());
 	}
 
 	/**
 	 * Begins to hold.
 	 * @param paceMillis how long the other side may pause and still be on time
 	 */
-	Holder open(String id, long paceMillis, Party party) {
+	Holder open(String id, long paceMillis, Transfer party) {
 		Holder holder = this.budget.orElseThrow().holder(id, paceMillis);
 		this.parties.put(holder, party);
 		return holder;
@@ -89,7 +90,7 @@
 	}
 
 	private void giveUp(Holder holder, long now) {
-		Party party = this.parties.get(holder);
+		Transfer party = this.parties.get(holder);
 		this.log.givenUp(holder, party.what(), holder.secondsToEmpty(now), this.budget.orElseThrow().held());
 		this.telemetry.count("given.up." + party.what());
 		close(holder);
@@ -110,17 +111,19 @@
 	 * read them.
 	 */
 	boolean sending() {
-		return this.parties.values().stream().anyMatch((party) -> party instanceof CallerFlow flow && flow.sending());
+		return this.parties.values()
+			.stream()
+			.anyMatch((party) -> party instanceof FlowControlledSink flow && flow.sending());
 	}
 
 	private long paused() {
-		return this.parties.values().stream().filter(Party::paused).count();
+		return this.parties.values().stream().filter(Transfer::paused).count();
 	}
 
 	/**
 	 * Whose bytes are held.
 	 */
-	sealed interface Party permits CallerFlow, Intake {
+	sealed interface Transfer permits FlowControlledSink, RequestBodyReader {
 
 		/**
 		 * Is called some times a second.
--- a/daemon/src/main/java/org/gullsaddle/gateway/CallerAnswerWriter.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/CallerAnswerWriter.java
@@ -18,17 +18,17 @@
 
 	private final HttpServerResponse response;
 
-	private final AnswerOutlet outlet;
+	private final AnswerSink outlet;
 
 	private final BooleanSupplier stopping;
 
 	private boolean begun;
 
 	CallerAnswerWriter(HttpServerResponse response, BooleanSupplier stopping) {
-		this(response, new AnswerOutlet.Direct(response), stopping);
+		this(response, new AnswerSink.Direct(response), stopping);
 	}
 
-	CallerAnswerWriter(HttpServerResponse response, AnswerOutlet outlet, BooleanSupplier stopping) {
+	CallerAnswerWriter(HttpServerResponse response, AnswerSink outlet, BooleanSupplier stopping) {
 		this.response = response;
 		this.outlet = outlet;
 		this.stopping = stopping;
--- a/daemon/src/main/java/org/gullsaddle/gateway/Cascade.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/Cascade.java
@@ -17,7 +17,7 @@
  */
 final class Cascade {
 
-	private final Decisions decisions;
+	private final SharedRoutingState decisions;
 
 	private final DecisionLog log;
 
@@ -29,7 +29,7 @@
 
 	private final RetryRule rule;
 
-	private final TeamTurn turn;
+	private final RequestPriority turn;
 
 	private String model;
 
@@ -42,7 +42,7 @@
 	/**
 	 * Begins with the model that the caller names, or with the first of the route's.
 	 */
-	Cascade(Gateway gateway, ServedRequest request, RetryRule rule, TeamTurn turn) {
+	Cascade(Gateway gateway, ServedRequest request, RetryRule rule, RequestPriority turn) {
 		this.decisions = gateway.decisions();
 		this.log = gateway.log();
 		this.telemetry = gateway.telemetry();
--- a/daemon/src/main/java/org/gullsaddle/gateway/ChannelPool.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/ChannelPool.java
@@ -62,7 +62,7 @@
 		Deque<Channel> kept = this.idle.get(replica.id());
 		while (!fresh && kept != null && !kept.isEmpty()) {
 			Channel channel = kept.pollLast();
-			if (channel.usable(replica, Clock.millis())) {
+			if (channel.usable(replica, MonotonicClock.millis())) {
 				return Future.succeededFuture(channel);
 			}
 			channel.close();
@@ -95,7 +95,7 @@
 			channel.close();
 			return;
 		}
-		channel.idleUntil = Clock.millis() + Math.min(MAX_IDLE_MILLIS, keepMillis / 2);
+		channel.idleUntil = MonotonicClock.millis() + Math.min(MAX_IDLE_MILLIS, keepMillis / 2);
 		kept.addLast(channel);
 	}
 
@@ -107,7 +107,7 @@
 		for (ReplicaId id : new HashSet<>(this.idle.keySet())) {
 			Deque<Channel> kept = this.idle.get(id);
 			kept.removeIf((channel) -> {
-				boolean over = channel.closed || Clock.millis() > channel.idleUntil || !known.contains(id);
+				boolean over = channel.closed || MonotonicClock.millis() > channel.idleUntil || !known.contains(id);
 				if (over) {
 					channel.close();
 				}
--- a/daemon/src/main/java/org/gullsaddle/gateway/ConfigCheck.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/ConfigRefresher.java
@@ -12,7 +12,7 @@
  * call serves all that wait, and after a failure none is made for a moment. Confined to
  * the event loop.
  */
-final class ConfigCheck {
+final class ConfigRefresher {
 
 	/**
 	 * How old the configuration may be by which a request is refused for good, as a part
@@ -46,7 +46,7 @@
 
 	private final Telemetry telemetry;
 
-	private final SuspendWatch suspends = new SuspendWatch();
+	private final SuspendDetector suspends = new SuspendDetector();
 
 	private final List<Runnable> waiting = new ArrayList<>();
 
@@ -59,8 +59,8 @@
 	 * @param newsMillis how soon a change must be in force here, in milliseconds
 	 * @param learned is told of what is read, after the state has taken it in
 	 */
-	ConfigCheck(FleetSource source, FleetState state, long newsMillis, Consumer<FleetChange> learned, DecisionLog log,
-			Telemetry telemetry) {
+	ConfigRefresher(FleetSource source, FleetState state, long newsMillis, Consumer<FleetChange> learned,
+			DecisionLog log, Telemetry telemetry) {
 		this.source = source;
 		this.state = state;
 		this.newsMillis = newsMillis;
@@ -74,7 +74,7 @@
 	 * @param allowed whether the known one allows the request
 	 */
 	boolean due(boolean allowed) {
-		long now = Clock.millis();
+		long now = MonotonicClock.millis();
 		lookForSuspension(now);
 		long age = this.state.configAge(now);
 		if (allowed) {
@@ -101,7 +101,7 @@
 	 * @param then is run once it was read, or could not be
 	 */
 	void read(Runnable then) {
-		long now = Clock.millis();
+		long now = MonotonicClock.millis();
 		if (this.waiting.size() >= MAX_WAITING || (this.failing && now - this.failedAt < AGAIN_MILLIS)) {
 			then.run();
 			return;
@@ -117,8 +117,8 @@
 		this.failing = false;
 		this.state.configHeard(askedAt);
 		for (FleetChange change : changes) {
-			if (this.state.apply(Clock.millis(), change)) {
-				this.log.learned(change, 0, Clock.millis() - askedAt);
+			if (this.state.apply(MonotonicClock.millis(), change)) {
+				this.log.learned(change, 0, MonotonicClock.millis() - askedAt);
 			}
 			this.learned.accept(change);
 		}
@@ -127,7 +127,7 @@
 
 	private void failed(Throwable failure, long askedAt) {
 		this.failing = true;
-		this.failedAt = Clock.millis();
+		this.failedAt = MonotonicClock.millis();
 		this.telemetry.count("config.checks.failed");
 		this.log.storeCallFailed("configuration", this.failedAt - askedAt, failure.getMessage());
 		release();
--- a/daemon/src/main/java/org/gullsaddle/gateway/CrashController.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/CrashController.java
@@ -68,9 +68,9 @@
 
 	private final ChannelPool pool;
 
-	private final Decisions decisions;
+	private final SharedRoutingState decisions;
 
-	private final NodeRegister nodes;
+	private final NodeRegistry nodes;
 
 	private final DecisionLog log;
 
@@ -78,7 +78,7 @@
 
 	private final String key;
 
-	private final NodeNote note;
+	private final NodeNoteWriter note;
 
 	private final CrashTrials trials;
 
@@ -97,8 +97,8 @@
 
 	private boolean telling;
 
-	CrashController(Vertx vertx, Store store, String node, ChannelPool pool, Decisions decisions, NodeRegister nodes,
-			DecisionLog log, Telemetry telemetry) {
+	CrashController(Vertx vertx, Store store, String node, ChannelPool pool, SharedRoutingState decisions,
+			NodeRegistry nodes, DecisionLog log, Telemetry telemetry) {
 		this.vertx = vertx;
 		this.pool = pool;
 		this.decisions = decisions;
@@ -106,7 +106,7 @@
 		this.log = log;
 		this.telemetry = telemetry;
 		this.key = NOTES + node;
-		this.note = new NodeNote(store, this.key);
+		this.note = new NodeNoteWriter(store, this.key);
 		this.trials = new CrashTrials(store, node, this.book, log, telemetry);
 		telemetry.gauge("traits.refused", this.book::countRefused);
 	}
@@ -119,7 +119,7 @@
 	 * Says whether others' news of crashes are awaited.
 	 */
 	boolean unsettled() {
-		return this.book.unsettled(Clock.millis());
+		return this.book.unsettled(MonotonicClock.millis());
 	}
 
 	/**
@@ -133,7 +133,7 @@
 			then.run();
 			return;
 		}
-		if (this.book.seen(Clock.millis(), traits)) {
+		if (this.book.seen(MonotonicClock.millis(), traits)) {
 			tellIn(GATHER_MILLIS);
 		}
 		this.trials.ask(request, traits, then);
@@ -191,7 +191,7 @@
 
 	private void ended(ServedRequest request, String model, Attempt attempt, CrashWatch.Manner manner) {
 		Replica replica = attempt.choice().replica();
-		this.watch.ended(Clock.millis(), replica, attempt.startedAt(), manner, request.traits(model))
+		this.watch.ended(MonotonicClock.millis(), replica, attempt.startedAt(), manner, request.traits(model))
 			.ifPresent((crash) -> crashed(crash, "more that ran there"));
 		if (manner == CrashWatch.Manner.BROKEN) {
 			askWhetherItLives(replica);
@@ -236,7 +236,7 @@
 	 */
 	private void askIn(long millis, Replica replica, LongConsumer accepted) {
 		this.vertx.setTimer(millis, (timer) -> {
-			long askedAt = Clock.millis();
+			long askedAt = MonotonicClock.millis();
 			this.pool.take(replica, true).onComplete((channel, failure) -> {
 				if (failure == null) {
 					channel.close();
@@ -245,7 +245,7 @@
 				}
 				this.asked.remove(Crash.process(replica));
 				if (ChannelPool.refused(failure)) {
-					this.decisions.picker().unreachable(Clock.millis(), replica);
+					this.decisions.picker().unreachable(MonotonicClock.millis(), replica);
 					down(replica.id(), "refuses connections");
 				}
 			});
@@ -289,9 +289,9 @@
 		switch (change) {
 			case FleetChange.Unlisted unlisted -> {
 				down(unlisted.id(), "is not listed any more");
-				this.watch.leaves(Clock.millis(), unlisted.id());
+				this.watch.leaves(MonotonicClock.millis(), unlisted.id());
 			}
-			case FleetChange.Listed listed -> this.watch.listed(Clock.millis(), listed.replica())
+			case FleetChange.Listed listed -> this.watch.listed(MonotonicClock.millis(), listed.replica())
 				.ifPresent((crash) -> crashed(crash, "another process has its id"));
 			case FleetChange.Noted noted -> {
 				// What this node told in an earlier life is news to it.
@@ -306,11 +306,11 @@
 	}
 
 	private void down(ReplicaId replica, String how) {
-		this.watch.down(Clock.millis(), replica).ifPresent((crash) -> crashed(crash, how));
+		this.watch.down(MonotonicClock.millis(), replica).ifPresent((crash) -> crashed(crash, how));
 	}
 
 	private void crashed(Crash crash, String how) {
-		long now = Clock.millis();
+		long now = MonotonicClock.millis();
 		this.log.replicaEnded(crash, now, how);
 		this.telemetry.count("replicas.ended.under.work");
 		refused(this.book.crashed(now, crash), "this node");
@@ -318,7 +318,7 @@
 	}
 
 	private void sound(List<Trait> traits) {
-		long now = Clock.millis();
+		long now = MonotonicClock.millis();
 		List<Trait> cleared = this.book.sound(now, traits);
 		cleared.forEach((trait) -> this.log.acquitted(trait, "this node"));
 		if (!cleared.isEmpty()) {
@@ -339,7 +339,7 @@
 	private void learn(FleetChange.Noted noted, boolean own) {
 		try {
 			CrashNote told = Json.read(noted.value(), CrashNote.class);
-			long now = Clock.millis();
+			long now = MonotonicClock.millis();
 			long timeOfDay = System.currentTimeMillis();
 			CrashBook.Learned learned = own ? this.book.learnOwn(now, timeOfDay, told)
 					: this.book.learn(now, timeOfDay, told);
@@ -371,7 +371,7 @@
 			tellIn(GATHER_MILLIS);
 			return;
 		}
-		Optional<CrashNote> told = this.book.note(Clock.millis(), System.currentTimeMillis());
+		Optional<CrashNote> told = this.book.note(MonotonicClock.millis(), System.currentTimeMillis());
 		if (told.isPresent()) {
 			this.wrote = true;
 			this.note.write(Json.write(told.get()), () -> tellIn(AGAIN_MILLIS));
--- a/daemon/src/main/java/org/gullsaddle/gateway/CrashTrials.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/CrashTrials.java
@@ -56,7 +56,7 @@
 	 * @param then goes on with it
 	 */
 	void ask(ServedRequest request, List<Trait> traits, Runnable then) {
-		Optional<CrashBook.Trial> trial = this.book.trial(Clock.millis(), traits);
+		Optional<CrashBook.Trial> trial = this.book.trial(MonotonicClock.millis(), traits);
 		if (trial.isEmpty() || !this.asking.add(trial.get().trait())) {
 			then.run();
 			return;
@@ -99,7 +99,7 @@
 
 	private void decided(CrashBook.Trial trial, boolean mine, ServedRequest request, Runnable then) {
 		this.asking.remove(trial.trait());
-		this.book.tried(Clock.millis(), trial);
+		this.book.tried(MonotonicClock.millis(), trial);
 		if (mine) {
 			this.telemetry.count("crash.trials");
 			this.log.trial(trial, request.id());
--- a/daemon/src/main/java/org/gullsaddle/gateway/DecisionLog.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/DecisionLog.java
@@ -179,7 +179,7 @@
 			.log("roll-out share");
 	}
 
-	void attempt(ServedRequest request, Attempt attempt, String model, String end, long millis, StreamClock stream,
+	void attempt(ServedRequest request, Attempt attempt, String model, String end, long millis, StreamTiming stream,
 			boolean failure) {
 		if (allowed(failure)) {
 			Choice choice = attempt.choice();
@@ -376,7 +376,7 @@
 	}
 
 	private boolean allowed(boolean urgent) {
-		long now = Clock.millis();
+		long now = MonotonicClock.millis();
 		if (now - this.windowStart >= SECOND_MILLIS) {
 			this.windowStart = now;
 			this.lines = 0;
--- a/daemon/src/main/java/org/gullsaddle/gateway/StopPlan.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/DrainPolicy.java
@@ -11,7 +11,7 @@
  * streams refused such callers for five seconds, though a call takes a tenth of one.
  * Streams are refused, as nobody knows whether they would end in time.
  */
-final class StopPlan {
+final class DrainPolicy {
 
 	/**
 	 * How long all requests are still taken, in milliseconds: the balancer notices after
--- a/daemon/src/main/java/org/gullsaddle/gateway/FleetFeed.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/FleetPoller.java
@@ -13,7 +13,7 @@
  * Keeps {@link FleetState} up to date: reads everything once, then waits for changes, and
  * reads everything anew when changes were missed.
  */
-final class FleetFeed {
+final class FleetPoller {
 
 	/**
 	 * How long one call waits for changes, in milliseconds. A connection that went silent
@@ -98,7 +98,7 @@
 	 * @param newsMillis how soon a change must be in force here, in milliseconds
 	 * @param crashes says whether others' news of crashes are awaited
 	 */
-	FleetFeed(Vertx vertx, FleetSource source, FleetState state, DecisionLog log, Consumer<FleetChange> listener,
+	FleetPoller(Vertx vertx, FleetSource source, FleetState state, DecisionLog log, Consumer<FleetChange> listener,
 			long newsMillis, BooleanSupplier crashes) {
 		this.vertx = vertx;
 		this.source = source;
@@ -122,14 +122,14 @@
 			return;
 		}
 		boolean whole = this.revision < 0;
-		this.askedAt = Clock.millis();
+		this.askedAt = MonotonicClock.millis();
 		Single<FleetSource.Update> call = whole ? this.source.readAll()
 				: this.source.awaitChanges(this.revision, WAIT_MILLIS);
 		call.subscribe((news) -> took(news, whole), this::failed);
 	}
 
 	void took(FleetSource.Update news, boolean whole) {
-		long now = Clock.millis();
+		long now = MonotonicClock.millis();
 		if (this.failures >= FAILURES_TO_BE_AWAY) {
 			this.log.regained("store", now);
 		}
@@ -157,7 +157,7 @@
 	}
 
 	private void reportSlow(FleetSource.Update news, long now) {
-		long took = Clock.millis() - now;
+		long took = MonotonicClock.millis() - now;
 		if (took >= SLOW_MILLIS || now - this.askedAt >= WAIT_MILLIS + SLOW_MILLIS) {
 			this.log.slowNews(news.changes().size(), news.revision(), now - this.askedAt, took);
 		}
@@ -190,7 +190,7 @@
 	}
 
 	private void failed(Throwable failure) {
-		long now = Clock.millis();
+		long now = MonotonicClock.millis();
 		this.failures++;
 		this.log.storeCallFailed((this.revision < 0) ? "read all" : "changes", now - this.askedAt,
 				failure.getMessage());
--- a/daemon/src/main/java/org/gullsaddle/gateway/CallerFlow.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/FlowControlledSink.java
@@ -14,7 +14,7 @@
  * replica cuts off an answer that stays unread for long; so it is read on after a while,
  * as far as the memory for that lasts.
  */
-final class CallerFlow implements AnswerOutlet, Holdings.Party {
+final class FlowControlledSink implements AnswerSink, BufferManager.Transfer {
 
 	/** After how long a paused replica is read on, in milliseconds. */
 	private static final long READ_ON_MILLIS = 1000;
@@ -26,7 +26,7 @@
 
 	private final HttpServerResponse response;
 
-	private final Holdings holdings;
+	private final BufferManager holdings;
 
 	private final Runnable giveUp;
 
@@ -52,7 +52,7 @@
 	/** Whether the answer was broken off: nothing may make it look whole. */
 	private boolean dropped;
 
-	CallerFlow(ServedRequest request, Holdings holdings, Runnable giveUp) {
+	FlowControlledSink(ServedRequest request, BufferManager holdings, Runnable giveUp) {
 		this.response = request.http().response();
 		this.holdings = holdings;
 		this.giveUp = giveUp;
@@ -106,7 +106,7 @@
 			this.response.write(next);
 		}
 		this.waitingBytes -= sent;
-		this.holder.moved(sent, Clock.millis());
+		this.holder.moved(sent, MonotonicClock.millis());
 		count();
 		if (!this.waiting.isEmpty()) {
 			return;
@@ -140,20 +140,20 @@
 		boolean full = !this.waiting.isEmpty() && !this.readingOn;
 		if ((full || !this.holder.mayRead()) && !this.paused) {
 			this.paused = true;
-			this.pausedAt = Clock.millis();
-			this.from.pause(Attempt.Hold.CALLER);
+			this.pausedAt = MonotonicClock.millis();
+			this.from.pause(Attempt.PauseReason.CALLER);
 		}
 	}
 
 	private void resume() {
 		if (this.paused) {
 			this.paused = false;
-			this.from.resume(Attempt.Hold.CALLER);
+			this.from.resume(Attempt.PauseReason.CALLER);
 		}
 	}
 
 	private void count() {
-		this.holder.holds(this.waitingBytes + this.kept, !this.waiting.isEmpty(), Clock.millis());
+		this.holder.holds(this.waitingBytes + this.kept, !this.waiting.isEmpty(), MonotonicClock.millis());
 	}
 
 	@Override
--- a/daemon/src/main/java/org/gullsaddle/gateway/Gateway.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/Gateway.java
@@ -61,9 +61,9 @@
 
 	private final FleetState fleet;
 
-	private final Decisions decisions;
+	private final SharedRoutingState decisions;
 
-	private final Returns returns;
+	private final RetryAfterAdvisor returns;
 
 	private final ColdPace coldPace;
 
@@ -71,11 +71,11 @@
 
 	private final LoadProbe probe;
 
-	private final FleetFeed feed;
+	private final FleetPoller feed;
 
-	private final ConfigCheck configCheck;
+	private final ConfigRefresher configCheck;
 
-	private final NodeRegister nodes;
+	private final NodeRegistry nodes;
 
 	private final ReplicaRules rules;
 
@@ -85,15 +85,15 @@
 
 	private final BackpressureController backpressure;
 
-	private final Holdings holdings;
+	private final BufferManager holdings;
 
-	private final StallWatch stalls = new StallWatch();
+	private final StallDetector stalls = new StallDetector();
 
-	private final Set<Serving> open = new LinkedHashSet<>();
+	private final Set<RequestExecution> open = new LinkedHashSet<>();
 
 	private HttpServer server;
 
-	private final StopPlan stop = new StopPlan();
+	private final DrainPolicy stop = new DrainPolicy();
 
 	private final RequestDispatcher dispatcher;
 
@@ -102,13 +102,13 @@
 		this.settings = builder.settings;
 		this.codec = builder.codec;
 		this.fleet = new FleetState(this.settings.rolloutLimits());
-		this.holdings = new Holdings(this.settings.load(), this.log, this.telemetry);
-		this.decisions = new Decisions(this.settings.place(), this.settings.retryBudgetRatio(),
+		this.holdings = new BufferManager(this.settings.load(), this.log, this.telemetry);
+		this.decisions = new SharedRoutingState(this.settings.place(), this.settings.retryBudgetRatio(),
 				this.settings.load().pressure());
-		this.returns = new Returns(this.settings.load().pressure(), this.telemetry);
+		this.returns = new RetryAfterAdvisor(this.settings.load().pressure(), this.telemetry);
 		this.coldPace = new ColdPace(this.settings.node());
 		this.pool = new ChannelPool(vertx);
-		this.nodes = new NodeRegister(vertx, builder.store, this.settings, () -> this.fleet.directory().storeAway());
+		this.nodes = new NodeRegistry(vertx, builder.store, this.settings, () -> this.fleet.directory().storeAway());
 		BackpressureBook book = new BackpressureBook(new NodeId(this.settings.node()), this.settings.place(),
 				this.nodes::peers, RandomGenerator.getDefault());
 		this.backpressure = new BackpressureController(vertx, builder.store, this.fleet, book, this.log,
@@ -121,9 +121,9 @@
 		this.rollouts = new RolloutController(vertx, builder.board, builder.store, this.settings.node(), this.fleet,
 				this.log);
 		this.dispatcher = new RequestDispatcher(vertx, this);
-		this.feed = new FleetFeed(vertx, builder.source, this.fleet, this.log, this::learned,
+		this.feed = new FleetPoller(vertx, builder.source, this.fleet, this.log, this::learned,
 				this.settings.maxPropagationMillis(), this.crashes::unsettled);
-		this.configCheck = new ConfigCheck(builder.source, this.fleet, this.settings.maxPropagationMillis(),
+		this.configCheck = new ConfigRefresher(builder.source, this.fleet, this.settings.maxPropagationMillis(),
 				this::learned, this.log, this.telemetry);
 	}
 
@@ -140,14 +140,14 @@
 		this.telemetry.gauge("open.requests", this.open::size);
 		this.telemetry.gauge("held.requests", this.dispatcher::held);
 		this.telemetry.gauge("replicas.known", () -> this.fleet.directory().known().size());
-		this.telemetry.gauge("replicas.cold", () -> this.fleet.directory().countCold(Clock.millis()));
+		this.telemetry.gauge("replicas.cold", () -> this.fleet.directory().countCold(MonotonicClock.millis()));
 		this.telemetry.gauge("replicas.telling.pace", this.decisions.picker()::countPaces);
 		this.telemetry.gauge("data.centers.evacuated", () -> this.fleet.directory().evacuated().size());
 		this.telemetry.gauge("nodes.known", () -> this.nodes.known().orElse(0));
 		this.telemetry.gauge("config.unreadable", () -> this.fleet.configUnreadable() ? 1 : 0);
-		this.telemetry.gauge("config.age.milliseconds", () -> this.fleet.configAge(Clock.millis()));
+		this.telemetry.gauge("config.age.milliseconds", () -> this.fleet.configAge(MonotonicClock.millis()));
 		this.telemetry.gauge("config.version", this::configVersion);
-		this.telemetry.gauge("fleet.age.milliseconds", () -> this.fleet.age(Clock.millis()));
+		this.telemetry.gauge("fleet.age.milliseconds", () -> this.fleet.age(MonotonicClock.millis()));
 		this.telemetry.gauge("log.lines.left.out", this.log::leftOut);
 		this.telemetry.gauge("probes.sent", this.probe::asked);
 		this.telemetry.gauge("probes.failed", this.probe::failed);
@@ -171,12 +171,12 @@
 			.setAcceptBacklog(EarlyListener.BACKLOG);
 		this.server = this.vertx.createHttpServer(options)
 			.connectionHandler(this.dispatcher::connected)
-			.requestHandler((request) -> new Intake(this, request).begin());
+			.requestHandler((request) -> new RequestBodyReader(this, request).begin());
 		showGauges();
 		this.feed.start();
 		this.rollouts.start();
-		this.vertx.setTimer(HeldRequests.HOLD_MILLIS, (timer) -> this.dispatcher.release());
-		this.stalls.look(Clock.millis());
+		this.vertx.setTimer(StartupRequestQueue.HOLD_MILLIS, (timer) -> this.dispatcher.release());
+		this.stalls.look(MonotonicClock.millis());
 		this.vertx.setPeriodic(TICK_MILLIS, (timer) -> tick());
 		this.vertx.setPeriodic(TIDY_MILLIS, (timer) -> tidy());
 		return this.server.listen(this.settings.callerAddress().port(), this.settings.callerAddress().host())
@@ -192,21 +192,21 @@
 	public Future<Void> drain() {
 		Promise<Void> stopped = Promise.promise();
 		this.vertx.runOnContext((nothing) -> {
-			this.stop.begin(Clock.millis(), this.settings.stopTimeoutMillis());
+			this.stop.begin(MonotonicClock.millis(), this.settings.stopTimeoutMillis());
 			this.log.stopping(this.open.size());
-			this.vertx.setTimer(StopPlan.TAKE_ON_MILLIS,
+			this.vertx.setTimer(DrainPolicy.TAKE_ON_MILLIS,
 					(timer) -> this.vertx.setPeriodic(TICK_MILLIS, (tick) -> endIfIdle(stopped)));
 		});
 		return stopped.future();
 	}
 
 	private void endIfIdle(Promise<Void> stopped) {
-		if (stopped.future().isComplete() || (busy() && !this.stop.over(Clock.millis()))) {
+		if (stopped.future().isComplete() || (busy() && !this.stop.over(MonotonicClock.millis()))) {
 			return;
 		}
 		this.stop.end();
 		this.log.stopped(this.open.size());
-		List.copyOf(this.open).forEach(Serving::cutOff);
+		List.copyOf(this.open).forEach(RequestExecution::cutOff);
 		this.feed.stop();
 		stopped.tryComplete();
 	}
@@ -245,7 +245,7 @@
 	 * @return the time since the platform last told anything, in milliseconds
 	 */
 	public long fleetAgeMillis() {
-		return this.fleet.age(Clock.millis());
+		return this.fleet.age(MonotonicClock.millis());
 	}
 
 	/**
@@ -273,13 +273,13 @@
 		return this.dispatcher.held();
 	}
 
-	void opened(Serving serving) {
+	void opened(RequestExecution serving) {
 		this.open.add(serving);
 		this.returns.opened(serving.request());
 		this.rollouts.asked(serving.request());
 	}
 
-	void attemptEnded(Serving serving, Attempt attempt, AttemptEnd end, long now) {
+	void attemptEnded(RequestExecution serving, Attempt attempt, AttemptEnd end, long now) {
 		long millis = now - attempt.startedAt();
 		this.decisions.picker().ended(now, attempt.choice(), end);
 		this.crashes.ended(serving.request(), serving.model(), attempt, end);
@@ -298,9 +298,9 @@
 		}
 	}
 
-	void closed(Serving serving, String outcome, int status, String reason) {
+	void closed(RequestExecution serving, String outcome, int status, String reason) {
 		this.open.remove(serving);
-		long now = Clock.millis();
+		long now = MonotonicClock.millis();
 		DecisionLog.RequestLine line = serving.line(outcome, status, reason, now, this.fleet.age(now));
 		this.log.request(line);
 		this.returns.closed(serving.request(), line.attempts() > 0 && !outcome.equals("refused"));
@@ -319,7 +319,7 @@
 	}
 
 	private void tick() {
-		long now = Clock.millis();
+		long now = MonotonicClock.millis();
 		this.configCheck.lookForSuspension(now);
 		long stalled = this.stalls.look(now);
 		if (stalled > 0) {
@@ -344,7 +344,7 @@
 		return this.stop.begun();
 	}
 
-	StopPlan stop() {
+	DrainPolicy stop() {
 		return this.stop;
 	}
 
@@ -352,11 +352,11 @@
 		return this.fleet;
 	}
 
-	Decisions decisions() {
+	SharedRoutingState decisions() {
 		return this.decisions;
 	}
 
-	Returns returns() {
+	RetryAfterAdvisor returns() {
 		return this.returns;
 	}
 
@@ -364,7 +364,7 @@
 		return this.dispatcher;
 	}
 
-	NodeRegister nodes() {
+	NodeRegistry nodes() {
 		return this.nodes;
 	}
 
@@ -372,11 +372,11 @@
 		return this.rules;
 	}
 
-	StallWatch stalls() {
+	StallDetector stalls() {
 		return this.stalls;
 	}
 
-	ConfigCheck configCheck() {
+	ConfigRefresher configCheck() {
 		return this.configCheck;
 	}
 
@@ -396,7 +396,7 @@
 		return this.log;
 	}
 
-	Holdings holdings() {
+	BufferManager holdings() {
 		return this.holdings;
 	}
 
--- a/daemon/src/main/java/org/gullsaddle/gateway/Statuses.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/HttpStatuses.java
@@ -3,7 +3,7 @@
 /**
  * HTTP statuses and what they tell a caller.
  */
-final class Statuses {
+final class HttpStatuses {
 
 	static final int OK = 200;
 
@@ -31,7 +31,7 @@
 
 	private static final int TOO_MANY = 429;
 
-	private Statuses() {
+	private HttpStatuses() {
 	}
 
 	static boolean success(int status) {
--- a/daemon/src/main/java/org/gullsaddle/gateway/LoadProbe.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/LoadProbe.java
@@ -103,7 +103,7 @@
 		answer.future().onComplete((done) -> this.vertx.cancelTimer(timer));
 		this.pool.take(replica, false).onComplete((channel, unreachable) -> {
 			if (unreachable != null) {
-				this.picker.unreachable(Clock.millis(), replica);
+				this.picker.unreachable(MonotonicClock.millis(), replica);
 				answer.tryFail("unreachable");
 				return;
 			}
@@ -121,7 +121,7 @@
 	}
 
 	private Optional<EngineReport> told(Replica replica, EngineReport report) {
-		this.picker.report(Clock.millis(), replica, report);
+		this.picker.report(MonotonicClock.millis(), replica, report);
 		return Optional.of(report);
 	}
 
@@ -136,7 +136,8 @@
 		return channel.connection().request(options).compose(HttpClientRequest::send).compose((response) -> {
 			ReplicaAnswer answer = this.codec.read(response);
 			this.backpressure.heard(replica, answer);
-			answer.slowdownPercent().ifPresent((percent) -> this.picker.pace(Clock.millis(), replica, percent));
+			answer.slowdownPercent()
+				.ifPresent((percent) -> this.picker.pace(MonotonicClock.millis(), replica, percent));
 			return response.body().compose((body) -> report(channel, answer, body));
 		});
 	}
--- a/daemon/src/main/java/org/gullsaddle/gateway/NodeNote.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/NodeNoteWriter.java
@@ -13,7 +13,7 @@
  * of this node under the same key, that revision is not known; it is read anew, and the
  * note is due again.
  */
-final class NodeNote {
+final class NodeNoteWriter {
 
 	private final Store store;
 
@@ -23,7 +23,7 @@
 
 	private boolean busy;
 
-	NodeNote(Store store, String key) {
+	NodeNoteWriter(Store store, String key) {
 		this.store = store;
 		this.key = key;
 	}
--- a/daemon/src/main/java/org/gullsaddle/gateway/NodeRegister.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/NodeRegistry.java
@@ -24,7 +24,7 @@
  * times, while the store could be reached: what nodes share out by their number is then
  * shared too thinly for a while, never too thickly. Confined to the event loop.
  */
-final class NodeRegister {
+final class NodeRegistry {
 
 	static final String NOTES = "gullsaddle/nodes/";
 
@@ -49,7 +49,7 @@
 
 	private final String place;
 
-	private final NodeNote note;
+	private final NodeNoteWriter note;
 
 	private final BooleanSupplier storeAway;
 
@@ -64,11 +64,11 @@
 
 	private boolean started;
 
-	NodeRegister(Vertx vertx, Store store, GatewaySettings settings, BooleanSupplier storeAway) {
+	NodeRegistry(Vertx vertx, Store store, GatewaySettings settings, BooleanSupplier storeAway) {
 		this.vertx = vertx;
 		this.self = new NodeId(settings.node());
 		this.place = settings.place().dataCenter();
-		this.note = new NodeNote(store, NOTES + this.self);
+		this.note = new NodeNoteWriter(store, NOTES + this.self);
 		this.storeAway = storeAway;
 	}
 
@@ -107,7 +107,7 @@
 	private void seen(Peer peer) {
 		this.missed.put(peer.node(), 0);
 		if (peer.node().equals(this.self) && !registered()) {
-			this.registeredAt = Clock.millis();
+			this.registeredAt = MonotonicClock.millis();
 		}
 		if (!peer.equals(this.nodes.put(peer.node(), peer))) {
 			this.peers = List.copyOf(this.nodes.values());
@@ -160,7 +160,7 @@
 	 * Returns the nodes, or empty while they may not all know each other.
 	 */
 	Optional<List<Peer>> peers() {
-		boolean settled = registered() && Clock.millis() - this.registeredAt >= SETTLE_MILLIS;
+		boolean settled = registered() && MonotonicClock.millis() - this.registeredAt >= SETTLE_MILLIS;
 		return settled ? Optional.of(this.peers) : Optional.empty();
 	}
 
--- a/daemon/src/main/java/org/gullsaddle/gateway/ReplicaChooser.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/ReplicaChooser.java
@@ -58,7 +58,7 @@
 	 * Says why there is no replica for the request.
 	 */
 	ReplicaRules.NoReplica whyNone(String model) {
-		return rules().whyNone(Clock.millis(), wanted(model));
+		return rules().whyNone(MonotonicClock.millis(), wanted(model));
 	}
 
 	/**
@@ -66,7 +66,7 @@
 	 */
 	long comeBackMillis(ReplicaRules.NoReplica why, String model) {
 		if (BY_THE_RULES.contains(why)) {
-			return this.gateway.decisions().comeBackMillis(rules().backMillis(Clock.millis(), wanted(model)));
+			return this.gateway.decisions().comeBackMillis(rules().backMillis(MonotonicClock.millis(), wanted(model)));
 		}
 		return this.gateway.decisions().comeBackMillis(why);
 	}
@@ -75,37 +75,37 @@
 	 * Gives the request to a replica.
 	 */
 	Admission admit(Replica replica) {
-		return this.gateway.backpressure().book().admit(Clock.millis(), replica);
+		return this.gateway.backpressure().book().admit(MonotonicClock.millis(), replica);
 	}
 
 	/**
 	 * Says whether a replica that was given the request may still be sent it.
 	 */
 	boolean stillOpen(Replica chosen, Admission admission, String model) {
-		return !refused(model) && this.gateway.fleet().directory().stillTakes(Clock.millis(), chosen)
-				&& this.gateway.backpressure().book().mayStillSend(Clock.millis(), chosen, admission);
+		return !refused(model) && this.gateway.fleet().directory().stillTakes(MonotonicClock.millis(), chosen)
+				&& this.gateway.backpressure().book().mayStillSend(MonotonicClock.millis(), chosen, admission);
 	}
 
 	/**
 	 * Returns how long a replica stays cold, 0 if it is warm.
 	 */
 	long coldMillis(Replica replica) {
-		return this.gateway.fleet().directory().coldMillis(Clock.millis(), replica.id());
+		return this.gateway.fleet().directory().coldMillis(MonotonicClock.millis(), replica.id());
 	}
 
 	/**
 	 * Notes that the request is sent to a replica.
 	 */
 	void sent(Replica replica) {
-		rules().sent(Clock.millis(), wanted(""), replica);
+		rules().sent(MonotonicClock.millis(), wanted(""), replica);
 	}
 
 	private Set<ReplicaId> leftOut(Set<ReplicaId> tried, String model) {
-		return rules().leftOut(Clock.millis(), wanted(model), tried);
+		return rules().leftOut(MonotonicClock.millis(), wanted(model), tried);
 	}
 
 	private List<Replica> usable(Set<ReplicaId> leftOut, String model) {
-		return rules().usable(Clock.millis(), wanted(model), leftOut);
+		return rules().usable(MonotonicClock.millis(), wanted(model), leftOut);
 	}
 
 	private ReplicaRules.Wanted wanted(String model) {
@@ -132,15 +132,15 @@
 		}
 		List<Replica> asked = toAsk(usable, task, leftOut);
 		if (asked.isEmpty()) {
-			then.accept(picker().pick(Clock.millis(), usable, leftOut, task));
+			then.accept(picker().pick(MonotonicClock.millis(), usable, leftOut, task));
 			return;
 		}
 		this.gateway.probe().ask(asked, (told) -> {
 			Set<ReplicaId> leftOutNow = leftOut(tried, task.model());
 			List<Replica> stillUsable = usable(leftOutNow, task.model());
 			List<Replica> left = withoutSilent(stillUsable, asked, told);
-			then.accept(picker().pick(Clock.millis(), left, leftOutNow, task)
-				.or(() -> picker().pick(Clock.millis(), stillUsable, leftOutNow, task)));
+			then.accept(picker().pick(MonotonicClock.millis(), left, leftOutNow, task)
+				.or(() -> picker().pick(MonotonicClock.millis(), stillUsable, leftOutNow, task)));
 		});
 	}
 
@@ -148,7 +148,7 @@
 	 * Chooses the replica with the fewest requests, which are lost if it crashes.
 	 */
 	private Optional<Choice> emptiest(Task task, List<Replica> usable, Set<ReplicaId> leftOut) {
-		return picker().best(Clock.millis(), usable, leftOut, task, usable.size())
+		return picker().best(MonotonicClock.millis(), usable, leftOut, task, usable.size())
 			.stream()
 			.min(Comparator.comparingDouble((choice) -> choice.load().requests()));
 	}
@@ -158,7 +158,7 @@
 	 * @param tried replicas that are left out
 	 */
 	Optional<Choice> known(Task task, Set<ReplicaId> tried) {
-		long now = Clock.millis();
+		long now = MonotonicClock.millis();
 		Set<ReplicaId> leftOut = new HashSet<>(leftOut(tried, task.model()));
 		List<Replica> usable = usable(leftOut, task.model());
 		usable.stream()
@@ -172,7 +172,7 @@
 	 * of which nothing is known is taken to be as full as the others, tried ones too.
 	 */
 	Delay delayAt(Replica replica, Task task) {
-		return picker().delayAt(Clock.millis(), usable(Set.of(), task.model()), replica, task);
+		return picker().delayAt(MonotonicClock.millis(), usable(Set.of(), task.model()), replica, task);
 	}
 
 	/**
@@ -184,7 +184,7 @@
 				|| !Hopeless.lost(choice, left)) {
 			return false;
 		}
-		long now = Clock.millis();
+		long now = MonotonicClock.millis();
 		// Limited ones are among them: they may take it yet.
 		List<Replica> usable = usable(Set.of(), task.model());
 		List<Choice> all = picker().best(now, usable, Set.of(), task, usable.size());
@@ -201,14 +201,15 @@
 	 * and one that asks for rest is not asked.
 	 */
 	private List<Replica> toAsk(List<Replica> usable, Task task, Set<ReplicaId> leftOut) {
-		return picker().toAsk(Clock.millis(), usable, leftOut, task).stream().filter(this::mayAsk).toList();
+		return picker().toAsk(MonotonicClock.millis(), usable, leftOut, task).stream().filter(this::mayAsk).toList();
 	}
 
 	/**
 	 * Says whether a replica may be asked for its load.
 	 */
 	boolean mayAsk(Replica replica) {
-		return !rules().cold(Clock.millis(), wanted(""), replica) && this.gateway.backpressure().mayAsk(replica);
+		return !rules().cold(MonotonicClock.millis(), wanted(""), replica)
+				&& this.gateway.backpressure().mayAsk(replica);
 	}
 
 	private static List<Replica> withoutSilent(List<Replica> usable, List<Replica> asked, List<Replica> told) {
--- a/daemon/src/main/java/org/gullsaddle/gateway/Intake.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/RequestBodyReader.java
@@ -10,7 +10,7 @@
 /**
  * Reads a caller's request to its end.
  */
-final class Intake implements Holdings.Party {
+final class RequestBodyReader implements BufferManager.Transfer {
 
 	/** What a body may have while no configuration is known, in bytes. */
 	private static final long DEFAULT_BODY_BYTES = 4_194_304;
@@ -22,7 +22,7 @@
 
 	private final HttpServerRequest request;
 
-	private final long startedAt = Clock.millis();
+	private final long startedAt = MonotonicClock.millis();
 
 	private Buffer body = Buffer.buffer();
 
@@ -32,7 +32,7 @@
 
 	private boolean over;
 
-	Intake(Gateway gateway, HttpServerRequest request) {
+	RequestBodyReader(Gateway gateway, HttpServerRequest request) {
 		this.gateway = gateway;
 		this.request = request;
 	}
@@ -43,7 +43,7 @@
 			caller = this.gateway.codec().read(this.request);
 		}
 		catch (BadRequestException ex) {
-			reject(Statuses.BAD_REQUEST, Optional.empty(), ex.getMessage());
+			reject(HttpStatuses.BAD_REQUEST, Optional.empty(), ex.getMessage());
 			return;
 		}
 		long limit = this.gateway.fleet()
@@ -55,7 +55,7 @@
 		this.request.endHandler((nothing) -> {
 			if (!this.over) {
 				this.over = true;
-				this.holder.ifPresent((each) -> each.holds(this.body.length(), false, Clock.millis()));
+				this.holder.ifPresent((each) -> each.holds(this.body.length(), false, MonotonicClock.millis()));
 				this.gateway.dispatcher().take(this.request, caller, this.body, this.startedAt);
 			}
 		});
@@ -66,7 +66,7 @@
 			return;
 		}
 		if (this.body.length() + bytes.length() > limit) {
-			reject(Statuses.TOO_LARGE, Optional.empty(), "the body is larger than " + limit + " bytes");
+			reject(HttpStatuses.TOO_LARGE, Optional.empty(), "the body is larger than " + limit + " bytes");
 			return;
 		}
 		this.body.appendBuffer(bytes);
@@ -80,8 +80,8 @@
 			this.holder = Optional.of(this.gateway.holdings().open(id, PACE_MILLIS, this));
 		}
 		Holder mine = this.holder.get();
-		mine.holds(this.body.length(), true, Clock.millis());
-		mine.moved(bytes, Clock.millis());
+		mine.holds(this.body.length(), true, MonotonicClock.millis());
+		mine.moved(bytes, MonotonicClock.millis());
 		if (this.gateway.holdings().spent() && !mine.mayRead()) {
 			this.paused = true;
 			this.request.pause();
@@ -121,7 +121,7 @@
 	@Override
 	public void giveUp() {
 		this.body = Buffer.buffer();
-		reject(Statuses.UNAVAILABLE, Optional.of(this.gateway.decisions().comeBackMillis()), "sent too slowly");
+		reject(HttpStatuses.UNAVAILABLE, Optional.of(this.gateway.decisions().comeBackMillis()), "sent too slowly");
 		readOn();
 	}
 
--- a/daemon/src/main/java/org/gullsaddle/gateway/RequestDispatcher.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/RequestDispatcher.java
@@ -23,7 +23,7 @@
 
 	private final Gateway gateway;
 
-	private final HeldRequests held = new HeldRequests();
+	private final StartupRequestQueue held = new StartupRequestQueue();
 
 	/** Callers' connections that were opened after the balancer should have noticed. */
 	private final Set<HttpConnection> lateCallers = new HashSet<>();
@@ -37,7 +37,7 @@
 	 * Takes in that a caller has connected.
 	 */
 	void connected(HttpConnection connection) {
-		if (!this.gateway.stop().takesAll(Clock.millis())) {
+		if (!this.gateway.stop().takesAll(MonotonicClock.millis())) {
 			this.lateCallers.add(connection);
 			connection.closeHandler((nothing) -> this.lateCallers.remove(connection));
 		}
@@ -64,7 +64,7 @@
 	 */
 	void take(HttpServerRequest request, CallerRequest caller, Buffer body, long startedAt) {
 		Runnable serve = () -> serve(request, caller, body, startedAt, false);
-		if (this.gateway.stalls().behind(Clock.millis())) {
+		if (this.gateway.stalls().behind(MonotonicClock.millis())) {
 			// A timer that is due may still run in this turn; one that it sets does not.
 			this.vertx.setTimer(1, (first) -> this.vertx.setTimer(1, (second) -> serve.run()));
 		}
@@ -88,7 +88,7 @@
 			return;
 		}
 		if (config.isEmpty()) {
-			refused(writer, caller, Statuses.UNAVAILABLE, Optional.of(this.gateway.decisions().comeBackMillis()),
+			refused(writer, caller, HttpStatuses.UNAVAILABLE, Optional.of(this.gateway.decisions().comeBackMillis()),
 					"no configuration yet");
 			return;
 		}
@@ -104,10 +104,10 @@
 			refuse(writer, caller, route.isEmpty());
 			return;
 		}
-		if (!this.gateway.stop().takes(route.get(), Clock.millis())) {
+		if (!this.gateway.stop().takes(route.get(), MonotonicClock.millis())) {
 			boolean noNodeReady = this.lateCallers.contains(request.connection());
-			long after = noNodeReady ? this.gateway.stop().backMillis(Clock.millis()) : 0;
-			refused(writer, caller, Statuses.UNAVAILABLE,
+			long after = noNodeReady ? this.gateway.stop().backMillis(MonotonicClock.millis()) : 0;
+			refused(writer, caller, HttpStatuses.UNAVAILABLE,
 					Optional.of(after + this.gateway.decisions().comeBackMillis()), "stopping");
 			return;
 		}
@@ -119,11 +119,11 @@
 			.time(startedAt, this.gateway.stop().latest(route.get()))
 			.build();
 		if (this.gateway.holdings().inForce() && !served.fits()) {
-			refused(writer, caller, Statuses.UNAVAILABLE, Optional.of(this.gateway.decisions().comeBackMillis()),
+			refused(writer, caller, HttpStatuses.UNAVAILABLE, Optional.of(this.gateway.decisions().comeBackMillis()),
 					"larger than a replica's memory");
 			return;
 		}
-		new Serving(this.gateway, served).start();
+		new RequestExecution(this.gateway, served).start();
 	}
 
 	/**
@@ -132,14 +132,14 @@
 	 */
 	private void refuse(CallerAnswerWriter writer, CallerRequest caller, boolean noRoute) {
 		if (this.gateway.configCheck().due(false)) {
-			refused(writer, caller, Statuses.UNAVAILABLE, Optional.of(this.gateway.decisions().comeBackMillis()),
+			refused(writer, caller, HttpStatuses.UNAVAILABLE, Optional.of(this.gateway.decisions().comeBackMillis()),
 					"the configuration may have changed");
 		}
 		else if (noRoute) {
-			refused(writer, caller, Statuses.NOT_FOUND, Optional.empty(), "no route");
+			refused(writer, caller, HttpStatuses.NOT_FOUND, Optional.empty(), "no route");
 		}
 		else {
-			refused(writer, caller, Statuses.UNAUTHORIZED, Optional.empty(), "unknown key");
+			refused(writer, caller, HttpStatuses.UNAUTHORIZED, Optional.empty(), "unknown key");
 		}
 	}
 
@@ -152,7 +152,8 @@
 		long version = this.gateway.fleet().config().map(FleetConfig::version).orElse(0L);
 		this.gateway.log()
 			.request(new DecisionLog.RequestLine(caller.attemptId().orElse(""), "", "", "", "refused", status, reason,
-					"not-run", 0, false, after.orElse(-1L), 0, version, this.gateway.fleet().age(Clock.millis()), 0));
+					"not-run", 0, false, after.orElse(-1L), 0, version,
+					this.gateway.fleet().age(MonotonicClock.millis()), 0));
 		this.gateway.telemetry().count("refused." + status);
 	}
 
--- a/daemon/src/main/java/org/gullsaddle/gateway/Serving.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/RequestExecution.java
@@ -27,7 +27,7 @@
 /**
  * Serves one request: from its route to its final answer, over one or more attempts.
  */
-final class Serving implements Attempt.Listener {
+final class RequestExecution implements Attempt.Listener {
 
 	private final Gateway gateway;
 
@@ -45,12 +45,12 @@
 
 	private final Cascade cascade;
 
-	private final Silence silence;
+	private final SilentReplicaHandler silence;
 
 	/** What the attempt under way, or the next one, is to do. */
 	private Task task;
 
-	private final StreamClock clock = new StreamClock();
+	private final StreamTiming clock = new StreamTiming();
 
 	/** Where the next attempt goes, if that is decided already. */
 	private Optional<Choice> chosen = Optional.empty();
@@ -59,19 +59,19 @@
 
 	private boolean promptRead;
 
-	private final TeamTurn turn;
+	private final RequestPriority turn;
 
 	private boolean done;
 
-	Serving(Gateway gateway, ServedRequest request) {
+	RequestExecution(Gateway gateway, ServedRequest request) {
 		this.gateway = gateway;
 		this.request = request;
 		this.rule = new RetryRule(request.route());
 		this.replicas = new ReplicaChooser(gateway, request);
-		this.turn = new TeamTurn(gateway.decisions(), request);
+		this.turn = new RequestPriority(gateway.decisions(), request);
 		this.cascade = new Cascade(gateway, request, this.rule, this.turn);
 		this.relay = new AnswerRelay(request, gateway, this::givenUp);
-		this.silence = new Silence(gateway, this, this.rule, this.replicas, this.relay);
+		this.silence = new SilentReplicaHandler(gateway, this, this.rule, this.replicas, this.relay);
 	}
 
 	void start() {
@@ -91,12 +91,12 @@
 			return;
 		}
 		this.gateway.decisions().earnRetry();
-		this.turn.arrived(Clock.millis());
+		this.turn.arrived(MonotonicClock.millis());
 		tryNext();
 	}
 
 	private void tryNext() {
-		long now = Clock.millis();
+		long now = MonotonicClock.millis();
 		long left = this.request.left(now);
 		if (left <= 0) {
 			refuse("no time left");
@@ -119,7 +119,7 @@
 		if (this.done) {
 			return;
 		}
-		long left = this.request.left(Clock.millis());
+		long left = this.request.left(MonotonicClock.millis());
 		if (left <= 0) {
 			refuse("no time left");
 		}
@@ -144,14 +144,14 @@
 		this.attempts++;
 		this.tried.add(choice.replica().id());
 		this.promptRead = false;
-		this.clock.begin(Clock.millis());
-		this.gateway.decisions().picker().sent(Clock.millis(), choice, this.task);
+		this.clock.begin(MonotonicClock.millis());
+		this.gateway.decisions().picker().sent(MonotonicClock.millis(), choice, this.task);
 		this.replicas.sent(choice.replica());
 		this.gateway.rollouts().sent(choice.replica());
 		Admission admission = this.replicas.admit(choice.replica());
 		Optional<String> lastEvent = this.relay.lastEvent().or(this.request.caller()::lastEventId);
 		ForwardingContext handover = ForwardingContext.of(this.request, choice.replica().id(), left, model(),
-				this.turn.urgency(Clock.millis(), choice, this.task), lastEvent);
+				this.turn.urgency(MonotonicClock.millis(), choice, this.task), lastEvent);
 		MultiMap headers = this.gateway.codec().replicaHeaders(this.request.http().headers(), handover);
 		this.attempt = new Attempt(choice, admission, this.replicas.coldMillis(choice.replica()), id(),
 				this.gateway.pool(), this.gateway.codec(), this);
@@ -173,7 +173,7 @@
 	public void head(Attempt from, ReplicaAnswer answer, MultiMap headers) {
 		readPrompt(from);
 		this.gateway.crashes().head(from);
-		this.gateway.decisions().told(Clock.millis(), from.choice().replica(), answer);
+		this.gateway.decisions().told(MonotonicClock.millis(), from.choice().replica(), answer);
 		this.gateway.rollouts().answered(new AnswerKind(route().name(), model()), from, answer);
 		if (answer.isSuccess()) {
 			this.gateway.decisions().picker().began(from.choice(), this.task, from.headAt() - from.startedAt(), true);
@@ -196,19 +196,19 @@
 		if (larger.isEmpty()) {
 			return;
 		}
-		from.pause(Attempt.Hold.DOUBT);
+		from.pause(Attempt.PauseReason.DOUBT);
 		int confidence = answer.confidence().orElse(0);
 		this.replicas.choose(this.request.task(larger.get()), Set.of(), (choice) -> {
 			if (this.done || from.ended()) {
 				return;
 			}
-			if (this.cascade.drops(confidence, larger.get(), choice, this.request.left(Clock.millis()))) {
+			if (this.cascade.drops(confidence, larger.get(), choice, this.request.left(MonotonicClock.millis()))) {
 				this.tried.remove(from.choice().replica().id());
 				this.chosen = choice;
 				from.withdraw(new AttemptEnd.Dropped(confidence));
 			}
 			else {
-				from.resume(Attempt.Hold.DOUBT);
+				from.resume(Attempt.PauseReason.DOUBT);
 			}
 		});
 	}
@@ -218,19 +218,19 @@
 		if (this.done) {
 			return;
 		}
-		this.gateway.decisions().picker().heard(Clock.millis(), from.choice().replica());
+		this.gateway.decisions().picker().heard(MonotonicClock.millis(), from.choice().replica());
 		this.gateway.crashes().data(this.request, model(), from);
 		if (!streamed(from)) {
 			this.relay.hold(from, bytes);
 		}
 		else if (this.relay.stream(from, bytes)) {
-			this.clock.event(Clock.millis(), from.readSince());
+			this.clock.event(MonotonicClock.millis(), from.readSince());
 		}
 	}
 
 	@Override
 	public void ended(Attempt from, AttemptEnd end) {
-		long now = Clock.millis();
+		long now = MonotonicClock.millis();
 		AttemptEnd counted = end;
 		if (end instanceof AttemptEnd.Answered && streamed(from) && !this.relay.atEventEnd()) {
 			counted = new AttemptEnd.Broken("stream ended within an event");
@@ -297,9 +297,9 @@
 	 * nothing ran.
 	 */
 	private void finish(Attempt from, AttemptEnd.Answered answered) {
-		boolean falsePromise = Statuses.promisesNotRun(answered.status()) && route().kind() != RouteKind.IDEMPOTENT;
+		boolean falsePromise = HttpStatuses.promisesNotRun(answered.status()) && route().kind() != RouteKind.IDEMPOTENT;
 		if (falsePromise && !this.relay.begun()) {
-			this.relay.error(Statuses.BAD_GATEWAY, Optional.empty(), "the backend server gave no definite answer");
+			this.relay.error(HttpStatuses.BAD_GATEWAY, Optional.empty(), "the backend server gave no definite answer");
 		}
 		else {
 			this.relay.end(from.answer().status(), this.request.http().method() == HttpMethod.HEAD);
@@ -328,7 +328,7 @@
 			return;
 		}
 		boolean notRun = this.rule.verdict() == Verdict.NOT_RUN;
-		int status = notRun ? Statuses.UNAVAILABLE : Statuses.BAD_GATEWAY;
+		int status = notRun ? HttpStatuses.UNAVAILABLE : HttpStatuses.BAD_GATEWAY;
 		Optional<Long> after = notRun ? Optional.of(this.gateway.returns().backMillis(this.request, comeBackMillis))
 				: Optional.empty();
 		this.relay.error(status, after, reason);
@@ -358,8 +358,8 @@
 		}
 		withdraw("deadline");
 		if (!this.relay.begun() && this.rule.verdict() != Verdict.NOT_RUN) {
-			this.relay.error(Statuses.TIMED_OUT, Optional.empty(), "deadline");
-			close("failed", Statuses.TIMED_OUT, "deadline");
+			this.relay.error(HttpStatuses.TIMED_OUT, Optional.empty(), "deadline");
+			close("failed", HttpStatuses.TIMED_OUT, "deadline");
 			return;
 		}
 		refuse("deadline");
@@ -440,7 +440,7 @@
 		return this.request.route();
 	}
 
-	StreamClock clock() {
+	StreamTiming clock() {
 		return this.clock;
 	}
 
--- a/daemon/src/main/java/org/gullsaddle/gateway/TeamTurn.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/RequestPriority.java
@@ -11,15 +11,15 @@
  * Whether a generation waits behind others of its rank, as its team has had its share: of
  * the requests, or under pressure of the engines' work.
  */
-final class TeamTurn {
+final class RequestPriority {
 
-	private final Decisions decisions;
+	private final SharedRoutingState decisions;
 
 	private final ServedRequest request;
 
 	private boolean over;
 
-	TeamTurn(Decisions decisions, ServedRequest request) {
+	RequestPriority(SharedRoutingState decisions, ServedRequest request) {
 		this.decisions = decisions;
 		this.request = request;
 	}
@@ -46,7 +46,7 @@
 			double work = WorkShares.work(choice.unreadTokens(), task);
 			this.over = shares.sent(now, id, this.request.rank(), work);
 		}));
-		return OptionalInt.of(Decisions.urgency(this.request.rank(), this.over));
+		return OptionalInt.of(SharedRoutingState.urgency(this.request.rank(), this.over));
 	}
 
 	/**
--- a/daemon/src/main/java/org/gullsaddle/gateway/Returns.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/RetryAfterAdvisor.java
@@ -11,7 +11,7 @@
  * Tells callers when to come back: where they compete for too little room, by the rate at
  * which requests end. Confined to the event loop.
  */
-final class Returns {
+final class RetryAfterAdvisor {
 
 	private final boolean pressure;
 
@@ -19,14 +19,14 @@
 
 	private final ReturnTimes times = new ReturnTimes(RandomGenerator.getDefault());
 
-	Returns(boolean pressure, Telemetry telemetry) {
+	RetryAfterAdvisor(boolean pressure, Telemetry telemetry) {
 		this.pressure = pressure;
 		this.telemetry = telemetry;
 	}
 
 	void opened(ServedRequest request) {
 		if (this.pressure) {
-			this.times.opened(Clock.millis(), request.service(), request.rank());
+			this.times.opened(MonotonicClock.millis(), request.service(), request.rank());
 		}
 	}
 
@@ -36,7 +36,7 @@
 	 */
 	void closed(ServedRequest request, boolean ran) {
 		if (this.pressure) {
-			this.times.closed(Clock.millis(), request.service(), request.rank(), ran);
+			this.times.closed(MonotonicClock.millis(), request.service(), request.rank(), ran);
 		}
 	}
 
@@ -48,7 +48,7 @@
 		if (!this.pressure) {
 			return soonest;
 		}
-		long now = Clock.millis();
+		long now = MonotonicClock.millis();
 		Refused refused = new Refused(request.service(), request.rank(), request.teamName(), request.content());
 		ReturnTime time = this.times.next(now, refused, soonest, request.timeLeft(now));
 		this.telemetry.count(time.hope() ? "returns.told" : "returns.told.without.hope");
--- a/daemon/src/main/java/org/gullsaddle/gateway/RolloutController.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/RolloutController.java
@@ -68,10 +68,10 @@
 
 	private final RolloutTurns turns;
 
-	private final Map<String, Told> told = new HashMap<>();
+	private final Map<String, ReportedNote> told = new HashMap<>();
 
 	/** What was reported last of each roll-out. */
-	private final Map<String, Shown> shown = new HashMap<>();
+	private final Map<String, LoggedShare> shown = new HashMap<>();
 
 	RolloutController(Vertx vertx, RolloutStateWriter board, Store store, String node, FleetState fleet,
 			DecisionLog log) {
@@ -107,7 +107,8 @@
 	void answered(AnswerKind kind, Attempt attempt, ReplicaAnswer answer) {
 		Replica replica = attempt.choice().replica();
 		this.fleet.rollout(replica.service()).ifPresent((rollout) -> {
-			answer.load().ifPresent((load) -> rollout.told(Clock.millis(), replica, load, attempt.startedAt()));
+			answer.load()
+				.ifPresent((load) -> rollout.told(MonotonicClock.millis(), replica, load, attempt.startedAt()));
 			rollout.answered(replica, kind, new AttemptEnd.Answered(answer.status()).failure(), attempt.startedAt(),
 					attempt.headAt() - attempt.startedAt());
 		});
@@ -143,7 +144,7 @@
 
 	private void learn(Rollout rollout, FleetChange.Noted noted) {
 		try {
-			rollout.learn(Clock.millis(), Json.read(noted.value(), RolloutNote.class));
+			rollout.learn(MonotonicClock.millis(), Json.read(noted.value(), RolloutNote.class));
 		}
 		catch (IOException ex) {
 			this.log.unreadable(noted.key(), ex.getMessage());
@@ -151,7 +152,7 @@
 	}
 
 	private void look(Rollout rollout) {
-		long now = Clock.millis();
+		long now = MonotonicClock.millis();
 		rollout.look(now, this.fleet.age(now));
 		reportShare(rollout, rollout.progress(now));
 		rollout.due(now)
@@ -169,7 +170,7 @@
 		}
 		this.board.write(rollout.order(), state, rollout.stateRevision()).subscribe((written) -> {
 			this.writing.remove(service);
-			this.turns.answered(Clock.millis(), rollout, state);
+			this.turns.answered(MonotonicClock.millis(), rollout, state);
 			report(rollout, state, written ? "written" : "another node was first");
 		}, (failure) -> {
 			this.writing.remove(service);
@@ -183,14 +184,14 @@
 	}
 
 	private void reportShare(Rollout rollout, RolloutProgress progress) {
-		Shown shown = new Shown(progress.share(), progress.provedMillis());
+		LoggedShare shown = new LoggedShare(progress.share(), progress.provedMillis());
 		if (!shown.equals(this.shown.put(key(rollout), shown))) {
 			this.log.rolloutShare(rollout, progress);
 		}
 	}
 
 	private void tell(Rollout rollout, long now) {
-		Told last = this.told.computeIfAbsent(key(rollout), (key) -> new Told(this.store, key));
+		ReportedNote last = this.told.computeIfAbsent(key(rollout), (key) -> new ReportedNote(this.store, key));
 		RolloutNote note = rollout.note(now, this.node);
 		last.lowest = Math.min(last.lowest, note.evidence());
 		boolean urgent = note.evidence() - last.lowest >= URGENT_EVIDENCE && now - last.at >= URGENT_NOTE_MILLIS;
@@ -215,12 +216,12 @@
 		return prefix(rollout) + this.node;
 	}
 
-	private record Shown(double share, long provedMillis) {
+	private record LoggedShare(double share, long provedMillis) {
 	}
 
-	private static final class Told {
+	private static final class ReportedNote {
 
-		private final NodeNote note;
+		private final NodeNoteWriter note;
 
 		private long at;
 
@@ -231,8 +232,8 @@
 
 		private long provedMillis;
 
-		Told(Store store, String key) {
-			this.note = new NodeNote(store, key);
+		ReportedNote(Store store, String key) {
+			this.note = new NodeNoteWriter(store, key);
 		}
 
 	}
--- a/daemon/src/main/java/org/gullsaddle/gateway/EventScanner.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/ServerSentEventSplitter.java
@@ -12,7 +12,7 @@
  * whole events leave; the rest of a torn one is dropped, and the next replica sends it
  * again.
  */
-final class EventScanner {
+final class ServerSentEventSplitter {
 
 	private static final String ID_FIELD = "id:";
 
--- a/daemon/src/main/java/org/gullsaddle/gateway/Decisions.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/SharedRoutingState.java
@@ -25,7 +25,7 @@
 /**
  * The state that all requests of a gateway decide by. Confined to the event loop.
  */
-final class Decisions {
+final class SharedRoutingState {
 
 	/** When a refused caller is to come back at the earliest, in milliseconds. */
 	private static final long COME_BACK_MILLIS = 250;
@@ -75,7 +75,7 @@
 
 	private final RandomGenerator random = RandomGenerator.getDefault();
 
-	Decisions(Place here, double retryShare, boolean pressure) {
+	SharedRoutingState(Place here, double retryShare, boolean pressure) {
 		this.work = pressure ? Optional.of(new WorkShares()) : Optional.empty();
 		this.picker = new ReplicaPicker(here);
 		this.budget = new RetryBudget(retryShare);
@@ -185,8 +185,8 @@
 	/**
 	 * Learns from a stream that has ended.
 	 */
-	void streamed(Route route, String model, StreamClock clock) {
-		this.models.answered(route, model, clock.firstMillis(Clock.millis()), clock.longestGap());
+	void streamed(Route route, String model, StreamTiming clock) {
+		this.models.answered(route, model, clock.firstMillis(MonotonicClock.millis()), clock.longestGap());
 	}
 
 	/**
--- a/daemon/src/main/java/org/gullsaddle/gateway/Silence.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/SilentReplicaHandler.java
@@ -22,7 +22,7 @@
  * is certain that another attempt follows: one that is silent may go on, and an answer
  * that is ended for nothing is lost.
  */
-final class Silence {
+final class SilentReplicaHandler {
 
 	private static final AttemptEnd SILENT = new AttemptEnd.Broken("silent");
 
@@ -34,7 +34,7 @@
 
 	private final Gateway gateway;
 
-	private final Serving serving;
+	private final RequestExecution serving;
 
 	private final RetryRule rule;
 
@@ -50,7 +50,8 @@
 
 	private long nextComparison;
 
-	Silence(Gateway gateway, Serving serving, RetryRule rule, ReplicaChooser replicas, AnswerRelay relay) {
+	SilentReplicaHandler(Gateway gateway, RequestExecution serving, RetryRule rule, ReplicaChooser replicas,
+			AnswerRelay relay) {
 		this.gateway = gateway;
 		this.serving = serving;
 		this.rule = rule;
@@ -98,8 +99,9 @@
 		this.gateway.telemetry().count("silent.replicas.asked");
 		this.gateway.probe()
 			.ask(replica, SilencePatience.ANSWER_MILLIS)
-			.onSuccess((told) -> told.ifPresentOrElse((report) -> patience.told(Clock.millis(), replica.id(), report),
-					() -> patience.notTold(Clock.millis(), replica.id())));
+			.onSuccess((told) -> told.ifPresentOrElse(
+					(report) -> patience.told(MonotonicClock.millis(), replica.id(), report),
+					() -> patience.notTold(MonotonicClock.millis(), replica.id())));
 	}
 
 	/**
@@ -138,7 +140,7 @@
 	 * Leaves the replica, unless it has answered while another one was chosen.
 	 */
 	private void leave(Attempt attempt, AttemptEnd end, Optional<Choice> choice) {
-		if (!this.serving.waitsFor(attempt) || !silent(Clock.millis(), attempt)) {
+		if (!this.serving.waitsFor(attempt) || !silent(MonotonicClock.millis(), attempt)) {
 			return;
 		}
 		if (choice.isEmpty()) {
@@ -161,7 +163,7 @@
 		if (this.kept != attempt) {
 			this.kept = attempt;
 			if (end instanceof AttemptEnd.Broken) {
-				picker().silent(Clock.millis(), attempt.choice().replica());
+				picker().silent(MonotonicClock.millis(), attempt.choice().replica());
 			}
 			note(attempt, "kept", why);
 		}
--- a/daemon/src/main/java/org/gullsaddle/gateway/StallWatch.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/StallDetector.java
@@ -8,7 +8,7 @@
  * counted from when the process went on; what is really silent is found one patience
  * later.
  */
-final class StallWatch {
+final class StallDetector {
 
 	/**
 	 * How late a periodic look must be to count as a standstill, in milliseconds: several
--- a/daemon/src/main/java/org/gullsaddle/gateway/HeldRequests.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/StartupRequestQueue.java
@@ -11,7 +11,7 @@
  * that is held is served sooner. Only the first moments count: a node that cannot reach
  * the store refuses at once.
  */
-final class HeldRequests {
+final class StartupRequestQueue {
 
 	/**
 	 * How long after its start a node holds requests, in milliseconds: three times the
--- a/daemon/src/main/java/org/gullsaddle/gateway/StatusServer.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/StatusServer.java
@@ -26,7 +26,7 @@
 		Address ready = gateway.settings().readinessAddress();
 		Future<Void> listening = vertx.createHttpServer(OPTIONS)
 			.requestHandler((request) -> request.response()
-				.setStatusCode(gateway.isReady() ? Statuses.OK : Statuses.UNAVAILABLE)
+				.setStatusCode(gateway.isReady() ? HttpStatuses.OK : HttpStatuses.UNAVAILABLE)
 				.end())
 			.listen(ready.port(), ready.host())
 			.mapEmpty();
--- a/daemon/src/main/java/org/gullsaddle/gateway/StreamClock.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/StreamTiming.java
@@ -3,7 +3,7 @@
 /**
  * Times the events of a stream. All times are in milliseconds.
  */
-final class StreamClock {
+final class StreamTiming {
 
 	private long begunAt;
 
--- a/daemon/src/main/java/org/gullsaddle/gateway/SuspendWatch.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/SuspendDetector.java
@@ -5,7 +5,7 @@
  * then, and the time of day does not. A time of day that was set forward looks the same,
  * and makes knowledge look old that is not.
  */
-final class SuspendWatch {
+final class SuspendDetector {
 
 	/** By how much the clocks must differ to count, in milliseconds. */
 	private static final long APART_MILLIS = 300;
--- a/daemon/src/test/java/org/gullsaddle/gateway/FleetFeedTests.java
+++ b/daemon/src/test/java/org/gullsaddle/gateway/FleetPollerTests.java
@@ -14,7 +14,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-class FleetFeedTests {
+class FleetPollerTests {
 
 	/**
 	 * Many replicas write their heartbeats, so that each call for changes is answered at
@@ -51,7 +51,7 @@
 
 		@Test
 		void nextCallBeginsAnIntervalAfterTheLastOne() {
-			assertThat(FleetFeed.pause(5000, 5004, 1000)).isEqualTo(996);
+			assertThat(FleetPoller.pause(5000, 5004, 1000)).isEqualTo(996);
 		}
 
 		/** Guards against paying for news twice as often as it must be known. */
@@ -66,7 +66,7 @@
 		/** Guards against roll-out notes of other nodes that come too late to act on. */
 		@Test
 		void newsIsAskedForMoreOftenWhileARolloutIsUnderWay() {
-			FleetFeed feed = feed(5000);
+			FleetPoller feed = feed(5000);
 			this.state.apply(0, ORDERED);
 			assertThat(feed.everyMillis(0)).isEqualTo(1600);
 			this.state.apply(0, new FleetChange.Progressed(SERVICE, "v2", RolloutState.RUNNING, 2));
@@ -78,7 +78,7 @@
 		/** Guards against a short roll-out that is over before evidence has travelled. */
 		@Test
 		void newsIsAskedForMoreOftenInAShortRollout() {
-			FleetFeed feed = feed(3000);
+			FleetPoller feed = feed(3000);
 			this.state.apply(0, new FleetChange.Ordered(new RolloutOrder(SERVICE, "v3", 16_000), 2));
 			assertThat(feed.everyMillis(0)).isEqualTo(1000);
 			this.state.apply(0, new FleetChange.Ordered(new RolloutOrder(SERVICE, "v4", 4000), 3));
@@ -87,7 +87,7 @@
 
 		@Test
 		void rolloutDoesNotSlowNewsDown() {
-			FleetFeed feed = feed(3000);
+			FleetPoller feed = feed(3000);
 			this.state.apply(0, ORDERED);
 			assertThat(feed.everyMillis(0)).isEqualTo(1500);
 		}
@@ -98,15 +98,15 @@
 		 */
 		@Test
 		void newsIsAskedForEverySecondAfterEverythingWasReadAnew() {
-			FleetFeed feed = feed(5000);
+			FleetPoller feed = feed(5000);
 			feed.took(new FleetSource.Update(List.of(), 7), true);
-			long now = Clock.millis();
+			long now = MonotonicClock.millis();
 			assertThat(feed.everyMillis(now)).isEqualTo(1000);
 			assertThat(feed.everyMillis(now + 5000)).isEqualTo(2500);
 		}
 
-		private FleetFeed feed(long newsMillis) {
-			return new FleetFeed(null, STORE_THAT_NEVER_ANSWERS, this.state, new DecisionLog(), (change) -> {
+		private FleetPoller feed(long newsMillis) {
+			return new FleetPoller(null, STORE_THAT_NEVER_ANSWERS, this.state, new DecisionLog(), (change) -> {
 			}, newsMillis, () -> false);
 		}
 
@@ -117,8 +117,8 @@
 
 		@Test
 		void nextCallBeginsAtOnce() {
-			assertThat(FleetFeed.pause(5000, 6000, 1000)).isZero();
-			assertThat(FleetFeed.pause(5000, 7500, 1000)).isZero();
+			assertThat(FleetPoller.pause(5000, 6000, 1000)).isZero();
+			assertThat(FleetPoller.pause(5000, 7500, 1000)).isZero();
 		}
 
 	}
--- a/daemon/src/test/java/org/gullsaddle/gateway/NodeRegisterTests.java
+++ b/daemon/src/test/java/org/gullsaddle/gateway/NodeRegistryTests.java
@@ -20,7 +20,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-class NodeRegisterTests {
+class NodeRegistryTests {
 
 	private static final String SELF = "self";
 
@@ -35,14 +35,14 @@
 
 	private boolean storeAway;
 
-	private NodeRegister register;
+	private NodeRegistry register;
 
 	@BeforeEach
 	void open() {
 		Address nowhere = new Address("127.0.0.1", 1);
 		GatewaySettings settings = new GatewaySettings(SELF, new Place("a", Map.of("a", "north")), nowhere, nowhere,
 				nowhere, 1, 1, 1, RolloutLimits.USUAL, LoadSettings.DEFAULTS);
-		this.register = new NodeRegister(this.vertx, this.store, settings, () -> this.storeAway);
+		this.register = new NodeRegistry(this.vertx, this.store, settings, () -> this.storeAway);
 	}
 
 	@AfterEach
@@ -51,7 +51,7 @@
 	}
 
 	private void note(String node, String value) {
-		this.register.learned(new FleetChange.Noted(NodeRegister.NOTES + node, value));
+		this.register.learned(new FleetChange.Noted(NodeRegistry.NOTES + node, value));
 	}
 
 	private void note(String node) {
--- a/daemon/src/test/java/org/gullsaddle/gateway/ReturnsTests.java
+++ b/daemon/src/test/java/org/gullsaddle/gateway/RetryAfterAdvisorTests.java
@@ -6,12 +6,12 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-class ReturnsTests {
+class RetryAfterAdvisorTests {
 
 	/** Guards against other times where callers do not compete for room. */
 	@Test
 	void withoutPressureTheSoonestIsTold() {
-		assertThat(new Returns(false, new Telemetry()).backMillis(null, 300)).isEqualTo(300);
+		assertThat(new RetryAfterAdvisor(false, new Telemetry()).backMillis(null, 300)).isEqualTo(300);
 	}
 
 }
--- a/daemon/src/test/java/org/gullsaddle/gateway/StallWatchTests.java
+++ b/daemon/src/test/java/org/gullsaddle/gateway/StallDetectorTests.java
@@ -4,9 +4,9 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-class StallWatchTests {
+class StallDetectorTests {
 
-	private final StallWatch watch = new StallWatch();
+	private final StallDetector watch = new StallDetector();
 
 	/**
 	 * A node is frozen for three seconds in the middle of a stream, whose events have
--- a/daemon/src/test/java/org/gullsaddle/gateway/SuspendWatchTests.java
+++ b/daemon/src/test/java/org/gullsaddle/gateway/SuspendDetectorTests.java
@@ -4,11 +4,11 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-class SuspendWatchTests {
+class SuspendDetectorTests {
 
 	private static final long NOON = 1_000_000_000;
 
-	private final SuspendWatch watch = new SuspendWatch();
+	private final SuspendDetector watch = new SuspendDetector();
 
 	/**
 	 * Guards against knowledge that is taken for new after the machine was suspended: the
