--- a/daemon/src/main/java/org/gullsaddle/gateway/AnswerRelay.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/AnswerRelay.java
@@ -13,56 +13,56 @@
 final class AnswerRelay {
 
 	/** An answer up to this size is held back until it is whole, in bytes. */
-	private static final int MAX_HELD = 262_144;
+	private static final int MAX_BUFFERED_BYTES = 262_144;
 
 	private final ServerSentEventSplitter events = new ServerSentEventSplitter();
 
-	private final AnswerSink outlet;
+	private final AnswerSink sink;
 
 	private final CallerAnswerWriter writer;
 
-	private Buffer held = Buffer.buffer();
+	private Buffer buffered = Buffer.buffer();
 
 	private MultiMap headers;
 
-	private long toldMillis = -1;
+	private long retryAfterMillis = -1;
 
 	/**
 	 * Makes a relay.
 	 * @param giveUp ends the request, as its caller reads too slowly
 	 */
 	AnswerRelay(ServedRequest request, Gateway gateway, Runnable giveUp) {
-		this.outlet = gateway.holdings().outlet(request, giveUp);
-		this.writer = new CallerAnswerWriter(request.http().response(), this.outlet, gateway::stopping);
+		this.sink = gateway.holdings().outlet(request, giveUp);
+		this.writer = new CallerAnswerWriter(request.http().response(), this.sink, gateway::stopping);
 	}
 
 	/**
 	 * Says whether the caller has got any of an answer.
 	 */
-	boolean begun() {
-		return this.writer.begun();
+	boolean hasBegun() {
+		return this.writer.hasBegun();
 	}
 
 	/**
 	 * Returns the last event that the caller has.
 	 */
-	Optional<String> lastEvent() {
-		return this.events.lastId();
+	Optional<String> lastEventId() {
+		return this.events.lastEventId();
 	}
 
 	/**
 	 * Says whether a stream has come to the end of an event.
 	 */
-	boolean atEventEnd() {
-		return this.events.atEventEnd();
+	boolean isAtEventEnd() {
+		return this.events.isAtEventEnd();
 	}
 
 	/**
 	 * Begins with a replica's answer; what was held of an earlier one is dropped.
 	 */
-	void head(MultiMap newHeaders) {
-		this.held = Buffer.buffer();
-		this.events.dropRest();
+	void onHead(MultiMap newHeaders) {
+		this.buffered = Buffer.buffer();
+		this.events.discardIncomplete();
 		this.headers = newHeaders;
 	}
 
@@ -70,27 +70,27 @@
 	 * Passes a stream's bytes on, as far as they make whole events.
 	 * @return whether the caller got an event
 	 */
-	boolean stream(Attempt from, Buffer bytes) {
+	boolean relayEvents(Attempt from, Buffer bytes) {
 		Buffer whole = this.events.add(bytes);
 		if (whole.length() > 0) {
 			this.writer.begin(from.answer().status(), this.headers);
 			this.writer.write(whole);
 		}
-		this.outlet.read(from, this.events.heldBack());
+		this.sink.onRead(from, this.events.incompleteBytes());
 		return whole.length() > 0;
 	}
 
 	/**
 	 * Holds bytes back, or passes them on if they are too many to hold.
 	 */
-	void hold(Attempt from, Buffer bytes) {
-		this.held.appendBuffer(bytes);
-		if (this.held.length() > MAX_HELD) {
+	void buffer(Attempt from, Buffer bytes) {
+		this.buffered.appendBuffer(bytes);
+		if (this.buffered.length() > MAX_BUFFERED_BYTES) {
 			this.writer.begin(from.answer().status(), this.headers);
-			this.writer.write(this.held);
-			this.held = Buffer.buffer();
+			this.writer.write(this.buffered);
+			this.buffered = Buffer.buffer();
 		}
-		this.outlet.read(from, this.held.length());
+		this.sink.onRead(from, this.buffered.length());
 	}
 
 	/**
@@ -98,31 +98,31 @@
 	 * @param withoutBody whether the caller asked for the head only
 	 */
 	void end(int status, boolean withoutBody) {
-		if (this.writer.begun()) {
-			this.writer.end(this.held);
+		if (this.writer.hasBegun()) {
+			this.writer.end(this.buffered);
 			return;
 		}
 		if (!withoutBody) {
 			this.headers.remove(HttpHeaders.CONTENT_LENGTH);
 		}
-		this.writer.whole(status, this.headers, this.held);
+		this.writer.writeWhole(status, this.headers, this.buffered);
 	}
 
 	/**
 	 * Sends an answer of the router's own instead.
 	 * @param afterMillis when to come back, in milliseconds, if the request was not run
 	 */
-	void error(int status, Optional<Long> afterMillis, String reason) {
-		this.toldMillis = afterMillis.orElse(-1L);
-		this.writer.error(status, afterMillis, reason);
+	void sendError(int status, Optional<Long> afterMillis, String reason) {
+		this.retryAfterMillis = afterMillis.orElse(-1L);
+		this.writer.writeError(status, afterMillis, reason);
 	}
 
 	/**
 	 * Returns when the caller was told to come back, in milliseconds, negative if it was
 	 * not.
 	 */
-	long toldMillis() {
-		return this.toldMillis;
+	long retryAfterMillis() {
+		return this.retryAfterMillis;
 	}
 
 	/**
--- a/daemon/src/main/java/org/gullsaddle/gateway/AnswerSink.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/AnswerSink.java
@@ -18,14 +18,14 @@
 	/**
 	 * Forgets what was not sent, as the answer is broken off.
 	 */
-	void drop();
+	void discard();
 
 	/**
 	 * Notes that bytes were read from a replica.
 	 * @param from the attempt that they are of
 	 * @param kept how many are held back, as they make no event or answer yet
 	 */
-	void read(Attempt from, int kept);
+	void onRead(Attempt from, int kept);
 
 	/**
 	 * Leaves it to the connection what its caller does not take.
@@ -45,12 +45,12 @@
 		}
 
 		@Override
-		public void drop() {
+		public void discard() {
 			// Nothing is held here.
 		}
 
 		@Override
-		public void read(Attempt from, int kept) {
+		public void onRead(Attempt from, int kept) {
 			// The replica is read as fast as it sends.
 		}
 
--- a/daemon/src/main/java/org/gullsaddle/gateway/BufferManager.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/BufferManager.java
@@ -85,16 +85,16 @@
 		if (this.parties.isEmpty()) {
 			return;
 		}
-		List.copyOf(this.parties.values()).forEach((party) -> party.look(now));
+		List.copyOf(this.parties.values()).forEach((party) -> party.check(now));
 		this.budget.flatMap((each) -> each.toGiveUp(now)).ifPresent((holder) -> giveUp(holder, now));
 	}
 
 	private void giveUp(Holder holder, long now) {
 		Transfer party = this.parties.get(holder);
-		this.log.givenUp(holder, party.what(), holder.secondsToEmpty(now), this.budget.orElseThrow().held());
-		this.telemetry.count("given.up." + party.what());
+		this.log.givenUp(holder, party.kind(), holder.secondsToEmpty(now), this.budget.orElseThrow().held());
+		this.telemetry.count("given.up." + party.kind());
 		close(holder);
-		party.giveUp();
+		party.abort();
 	}
 
 	/**
@@ -113,11 +113,11 @@
 	boolean sending() {
 		return this.parties.values()
 			.stream()
-			.anyMatch((party) -> party instanceof FlowControlledSink flow && flow.sending());
+			.anyMatch((party) -> party instanceof FlowControlledSink flow && flow.isSending());
 	}
 
 	private long paused() {
-		return this.parties.values().stream().filter(Transfer::paused).count();
+		return this.parties.values().stream().filter(Transfer::isPaused).count();
 	}
 
 	/**
@@ -128,22 +128,22 @@
 		/**
 		 * Is called some times a second.
 		 */
-		void look(long now);
+		void check(long now);
 
 		/**
 		 * Says whether a replica is not read.
 		 */
-		boolean paused();
+		boolean isPaused();
 
 		/**
 		 * Returns what is held, in a word.
 		 */
-		String what();
+		String kind();
 
 		/**
 		 * Ends what is held for, as there is no memory left for it.
 		 */
-		void giveUp();
+		void abort();
 
 	}
 
--- a/daemon/src/main/java/org/gullsaddle/gateway/CallerAnswerWriter.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/CallerAnswerWriter.java
@@ -18,7 +18,7 @@
 
 	private final HttpServerResponse response;
 
-	private final AnswerSink outlet;
+	private final AnswerSink sink;
 
 	private final BooleanSupplier stopping;
 
@@ -30,14 +30,14 @@
 
 	CallerAnswerWriter(HttpServerResponse response, AnswerSink outlet, BooleanSupplier stopping) {
 		this.response = response;
-		this.outlet = outlet;
+		this.sink = outlet;
 		this.stopping = stopping;
 	}
 
 	/**
 	 * Says whether the caller has got any of the answer.
 	 */
-	boolean begun() {
+	boolean hasBegun() {
 		return this.begun;
 	}
 
@@ -49,31 +49,31 @@
 			return;
 		}
 		this.begun = true;
-		head(status, headers);
+		writeHead(status, headers);
 		this.response.headers().remove(HttpHeaders.CONTENT_LENGTH);
 		this.response.setChunked(true);
 	}
 
 	void write(Buffer bytes) {
 		if (!this.response.closed()) {
-			this.outlet.write(bytes);
+			this.sink.write(bytes);
 		}
 	}
 
 	void end(Buffer rest) {
 		if (!this.response.closed()) {
-			this.outlet.end(rest);
+			this.sink.end(rest);
 		}
 	}
 
 	/**
 	 * Sends a whole answer.
 	 */
-	void whole(int status, MultiMap headers, Buffer body) {
+	void writeWhole(int status, MultiMap headers, Buffer body) {
 		if (!this.response.closed()) {
 			this.begun = true;
-			head(status, headers);
-			this.outlet.end(body);
+			writeHead(status, headers);
+			this.sink.end(body);
 		}
 	}
 
@@ -81,12 +81,12 @@
 	 * Sends an answer of the router's own.
 	 * @param afterMillis when to come back, in milliseconds, if the request was not run
 	 */
-	void error(int status, Optional<Long> afterMillis, String reason) {
+	void writeError(int status, Optional<Long> afterMillis, String reason) {
 		if (this.response.closed()) {
 			return;
 		}
 		this.begun = true;
-		head(status, MultiMap.caseInsensitiveMultiMap());
+		writeHead(status, MultiMap.caseInsensitiveMultiMap());
 		afterMillis.ifPresent((millis) -> this.response.putHeader("Retry-After",
 				String.format(Locale.ROOT, "%.2f", millis / MILLIS_PER_SECOND)));
 		this.response.putHeader(HttpHeaders.CONTENT_TYPE, "application/json");
@@ -98,13 +98,13 @@
 	 * whole.
 	 */
 	void abort() {
-		this.outlet.drop();
+		this.sink.discard();
 		if (!this.response.closed()) {
 			this.response.reset();
 		}
 	}
 
-	private void head(int status, MultiMap headers) {
+	private void writeHead(int status, MultiMap headers) {
 		this.response.setStatusCode(status);
 		this.response.headers().addAll(headers);
 		if (this.stopping.getAsBoolean()) {
--- a/daemon/src/main/java/org/gullsaddle/gateway/FlowControlledSink.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/FlowControlledSink.java
@@ -17,72 +17,72 @@
 final class FlowControlledSink implements AnswerSink, BufferManager.Transfer {
 
 	/** After how long a paused replica is read on, in milliseconds. */
-	private static final long READ_ON_MILLIS = 1000;
+	private static final long MAX_PAUSE_MILLIS = 1000;
 
 	/** What the connection itself may hold, in bytes. */
-	private static final int QUEUE_BYTES = 32_768;
+	private static final int CONNECTION_QUEUE_BYTES = 32_768;
 
 	private static final int SLICE_BYTES = 16_384;
 
 	private final HttpServerResponse response;
 
-	private final BufferManager holdings;
+	private final BufferManager buffers;
 
 	private final Runnable giveUp;
 
 	private final Holder holder;
 
-	private final Deque<Buffer> waiting = new ArrayDeque<>();
+	private final Deque<Buffer> queued = new ArrayDeque<>();
 
-	private long waitingBytes;
+	private long queuedBytes;
 
 	/** What is held back since it makes no event or answer yet, in bytes. */
-	private int kept;
+	private int incompleteBytes;
 
-	private Attempt from;
+	private Attempt source;
 
 	private boolean paused;
 
 	private long pausedAt;
 
-	private boolean readingOn;
+	private boolean readingAhead;
 
 	private boolean ended;
 
 	/** Whether the answer was broken off: nothing may make it look whole. */
-	private boolean dropped;
+	private boolean discarded;
 
 	FlowControlledSink(ServedRequest request, BufferManager holdings, Runnable giveUp) {
 		this.response = request.http().response();
-		this.holdings = holdings;
+		this.buffers = holdings;
 		this.giveUp = giveUp;
-		long pace = Math.max(READ_ON_MILLIS, Math.max(request.route().gapMillis(), request.route().targetMillis()));
+		long pace = Math.max(MAX_PAUSE_MILLIS, Math.max(request.route().gapMillis(), request.route().targetMillis()));
 		this.holder = holdings.open(request.id(), pace, this);
-		this.response.setWriteQueueMaxSize(QUEUE_BYTES);
+		this.response.setWriteQueueMaxSize(CONNECTION_QUEUE_BYTES);
 		this.response.drainHandler((nothing) -> pump());
 	}
 
 	@Override
 	public void write(Buffer bytes) {
-		if (this.dropped) {
+		if (this.discarded) {
 			return;
 		}
-		if (this.waiting.isEmpty() && bytes.length() <= SLICE_BYTES && !this.response.writeQueueFull()) {
+		if (this.queued.isEmpty() && bytes.length() <= SLICE_BYTES && !this.response.writeQueueFull()) {
 			this.response.write(bytes);
 			return;
 		}
 		for (int at = 0; at < bytes.length(); at += SLICE_BYTES) {
-			this.waiting.add(bytes.slice(at, Math.min(bytes.length(), at + SLICE_BYTES)));
+			this.queued.add(bytes.slice(at, Math.min(bytes.length(), at + SLICE_BYTES)));
 		}
-		this.waitingBytes += bytes.length();
+		this.queuedBytes += bytes.length();
 		pump();
 	}
 
 	@Override
 	public void end(Buffer rest) {
 		this.ended = true;
-		this.kept = 0;
-		if (this.waiting.isEmpty() && rest.length() <= SLICE_BYTES) {
+		this.incompleteBytes = 0;
+		if (this.queued.isEmpty() && rest.length() <= SLICE_BYTES) {
 			this.response.end(rest);
 			return;
 		}
@@ -96,22 +96,22 @@
 	 * Sends what the connection takes.
 	 */
 	private void pump() {
-		if (this.dropped || this.response.ended()) {
+		if (this.discarded || this.response.ended()) {
 			return;
 		}
 		long sent = 0;
-		while (!this.waiting.isEmpty() && !this.response.closed() && !this.response.writeQueueFull()) {
-			Buffer next = this.waiting.remove();
+		while (!this.queued.isEmpty() && !this.response.closed() && !this.response.writeQueueFull()) {
+			Buffer next = this.queued.remove();
 			sent += next.length();
 			this.response.write(next);
 		}
-		this.waitingBytes -= sent;
+		this.queuedBytes -= sent;
 		this.holder.moved(sent, MonotonicClock.millis());
-		count();
-		if (!this.waiting.isEmpty()) {
+		updateHolder();
+		if (!this.queued.isEmpty()) {
 			return;
 		}
-		this.readingOn = false;
+		this.readingAhead = false;
 		if (this.ended) {
 			this.response.end();
 		}
@@ -121,49 +121,49 @@
 	}
 
 	@Override
-	public void drop() {
-		this.dropped = true;
-		this.waiting.clear();
-		this.waitingBytes = 0;
-		this.kept = 0;
-		count();
+	public void discard() {
+		this.discarded = true;
+		this.queued.clear();
+		this.queuedBytes = 0;
+		this.incompleteBytes = 0;
+		updateHolder();
 	}
 
 	@Override
-	public void read(Attempt attempt, int keptBytes) {
-		if (this.from != attempt) {
-			this.from = attempt;
+	public void onRead(Attempt attempt, int keptBytes) {
+		if (this.source != attempt) {
+			this.source = attempt;
 			this.paused = false;
 		}
-		this.kept = keptBytes;
-		count();
-		boolean full = !this.waiting.isEmpty() && !this.readingOn;
+		this.incompleteBytes = keptBytes;
+		updateHolder();
+		boolean full = !this.queued.isEmpty() && !this.readingAhead;
 		if ((full || !this.holder.mayRead()) && !this.paused) {
 			this.paused = true;
 			this.pausedAt = MonotonicClock.millis();
-			this.from.pause(Attempt.PauseReason.CALLER);
+			this.source.pause(Attempt.PauseReason.CALLER);
 		}
 	}
 
 	private void resume() {
 		if (this.paused) {
 			this.paused = false;
-			this.from.resume(Attempt.PauseReason.CALLER);
+			this.source.resume(Attempt.PauseReason.CALLER);
 		}
 	}
 
-	private void count() {
-		this.holder.holds(this.waitingBytes + this.kept, !this.waiting.isEmpty(), MonotonicClock.millis());
+	private void updateHolder() {
+		this.holder.holds(this.queuedBytes + this.incompleteBytes, !this.queued.isEmpty(), MonotonicClock.millis());
 	}
 
 	@Override
-	public void look(long now) {
+	public void check(long now) {
 		if (this.response.ended() || this.response.closed()) {
-			drop();
-			this.holdings.close(this.holder);
+			discard();
+			this.buffers.close(this.holder);
 		}
 		else if (this.paused && this.holder.mayRead()) {
-			goOn(now);
+			resumeIfDue(now);
 		}
 	}
 
@@ -171,15 +171,15 @@
 	 * Reads a paused replica on: at once if its caller took all and only memory was
 	 * short.
 	 */
-	private void goOn(long now) {
-		if (this.waiting.isEmpty()) {
+	private void resumeIfDue(long now) {
+		if (this.queued.isEmpty()) {
 			resume();
 		}
-		else if (now - this.pausedAt >= READ_ON_MILLIS) {
-			if (!this.readingOn) {
-				this.holdings.readOn(this.holder, now - this.pausedAt);
+		else if (now - this.pausedAt >= MAX_PAUSE_MILLIS) {
+			if (!this.readingAhead) {
+				this.buffers.readOn(this.holder, now - this.pausedAt);
 			}
-			this.readingOn = true;
+			this.readingAhead = true;
 			resume();
 		}
 	}
@@ -187,24 +187,24 @@
 	/**
 	 * Says whether an answer is whole here, and its caller has yet to read it.
 	 */
-	boolean sending() {
-		return this.ended && !this.waiting.isEmpty();
+	boolean isSending() {
+		return this.ended && !this.queued.isEmpty();
 	}
 
 	@Override
-	public boolean paused() {
-		return this.paused && !this.from.ended();
+	public boolean isPaused() {
+		return this.paused && !this.source.ended();
 	}
 
 	@Override
-	public String what() {
+	public String kind() {
 		return "answer";
 	}
 
 	@Override
-	public void giveUp() {
+	public void abort() {
 		this.giveUp.run();
-		drop();
+		discard();
 		if (!this.response.closed()) {
 			this.response.reset();
 		}
--- a/daemon/src/main/java/org/gullsaddle/gateway/RequestBodyReader.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/RequestBodyReader.java
@@ -89,7 +89,7 @@
 	}
 
 	@Override
-	public void look(long now) {
+	public void check(long now) {
 		if (this.request.response().ended() || this.request.response().closed()) {
 			this.holder.ifPresent(this.gateway.holdings()::close);
 		}
@@ -109,17 +109,17 @@
 	 * Says no: what is not read here is a caller's body, never a replica's answer.
 	 */
 	@Override
-	public boolean paused() {
+	public boolean isPaused() {
 		return false;
 	}
 
 	@Override
-	public String what() {
+	public String kind() {
 		return "body";
 	}
 
 	@Override
-	public void giveUp() {
+	public void abort() {
 		this.body = Buffer.buffer();
 		reject(HttpStatuses.UNAVAILABLE, Optional.of(this.gateway.decisions().comeBackMillis()), "sent too slowly");
 		readOn();
--- a/daemon/src/main/java/org/gullsaddle/gateway/RequestDispatcher.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/RequestDispatcher.java
@@ -148,7 +148,7 @@
 	 * @param after when the caller may come back, in milliseconds
 	 */
 	void refused(CallerAnswerWriter writer, CallerRequest caller, int status, Optional<Long> after, String reason) {
-		writer.error(status, after, reason);
+		writer.writeError(status, after, reason);
 		long version = this.gateway.fleet().config().map(FleetConfig::version).orElse(0L);
 		this.gateway.log()
 			.request(new DecisionLog.RequestLine(caller.attemptId().orElse(""), "", "", "", "refused", status, reason,
--- a/daemon/src/main/java/org/gullsaddle/gateway/RequestExecution.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/RequestExecution.java
@@ -149,7 +149,7 @@
 		this.replicas.sent(choice.replica());
 		this.gateway.rollouts().sent(choice.replica());
 		Admission admission = this.replicas.admit(choice.replica());
-		Optional<String> lastEvent = this.relay.lastEvent().or(this.request.caller()::lastEventId);
+		Optional<String> lastEvent = this.relay.lastEventId().or(this.request.caller()::lastEventId);
 		ForwardingContext handover = ForwardingContext.of(this.request, choice.replica().id(), left, model(),
 				this.turn.urgency(MonotonicClock.millis(), choice, this.task), lastEvent);
 		MultiMap headers = this.gateway.codec().replicaHeaders(this.request.http().headers(), handover);
@@ -178,11 +178,11 @@
 		if (answer.isSuccess()) {
 			this.gateway.decisions().picker().began(from.choice(), this.task, from.headAt() - from.startedAt(), true);
 		}
-		this.relay.head(this.gateway.codec().callerHeaders(headers));
-		if (this.relay.begun() && !answer.isSuccess()) {
+		this.relay.onHead(this.gateway.codec().callerHeaders(headers));
+		if (this.relay.hasBegun() && !answer.isSuccess()) {
 			from.withdraw(new AttemptEnd.Broken("no answer to go on with"));
 		}
-		else if (answer.isSuccess() && !this.relay.begun() && !this.request.isTrial()) {
+		else if (answer.isSuccess() && !this.relay.hasBegun() && !this.request.isTrial()) {
 			doubt(from, answer);
 		}
 	}
@@ -221,9 +221,9 @@
 		this.gateway.decisions().picker().heard(MonotonicClock.millis(), from.choice().replica());
 		this.gateway.crashes().data(this.request, model(), from);
 		if (!streamed(from)) {
-			this.relay.hold(from, bytes);
+			this.relay.buffer(from, bytes);
 		}
-		else if (this.relay.stream(from, bytes)) {
+		else if (this.relay.relayEvents(from, bytes)) {
 			this.clock.event(MonotonicClock.millis(), from.readSince());
 		}
 	}
@@ -232,7 +232,7 @@
 	public void ended(Attempt from, AttemptEnd end) {
 		long now = MonotonicClock.millis();
 		AttemptEnd counted = end;
-		if (end instanceof AttemptEnd.Answered && streamed(from) && !this.relay.atEventEnd()) {
+		if (end instanceof AttemptEnd.Answered && streamed(from) && !this.relay.isAtEventEnd()) {
 			counted = new AttemptEnd.Broken("stream ended within an event");
 		}
 		readPrompt(from);
@@ -298,8 +298,9 @@
 	 */
 	private void finish(Attempt from, AttemptEnd.Answered answered) {
 		boolean falsePromise = HttpStatuses.promisesNotRun(answered.status()) && route().kind() != RouteKind.IDEMPOTENT;
-		if (falsePromise && !this.relay.begun()) {
-			this.relay.error(HttpStatuses.BAD_GATEWAY, Optional.empty(), "the backend server gave no definite answer");
+		if (falsePromise && !this.relay.hasBegun()) {
+			this.relay.sendError(HttpStatuses.BAD_GATEWAY, Optional.empty(),
+					"the backend server gave no definite answer");
 		}
 		else {
 			this.relay.end(from.answer().status(), this.request.http().method() == HttpMethod.HEAD);
@@ -322,7 +323,7 @@
 		if (this.done) {
 			return;
 		}
-		if (this.relay.begun()) {
+		if (this.relay.hasBegun()) {
 			this.relay.abort();
 			close("failed", 0, reason);
 			return;
@@ -331,7 +332,7 @@
 		int status = notRun ? HttpStatuses.UNAVAILABLE : HttpStatuses.BAD_GATEWAY;
 		Optional<Long> after = notRun ? Optional.of(this.gateway.returns().backMillis(this.request, comeBackMillis))
 				: Optional.empty();
-		this.relay.error(status, after, reason);
+		this.relay.sendError(status, after, reason);
 		close(notRun ? "refused" : "failed", status, reason);
 	}
 
@@ -342,7 +343,7 @@
 		if (this.done) {
 			return;
 		}
-		if (this.request.left(now) <= 0 || (!this.relay.begun() && this.gateway.stop().answersNow(now))) {
+		if (this.request.left(now) <= 0 || (!this.relay.hasBegun() && this.gateway.stop().answersNow(now))) {
 			expire();
 			return;
 		}
@@ -357,8 +358,8 @@
 			return;
 		}
 		withdraw("deadline");
-		if (!this.relay.begun() && this.rule.verdict() != Verdict.NOT_RUN) {
-			this.relay.error(HttpStatuses.TIMED_OUT, Optional.empty(), "deadline");
+		if (!this.relay.hasBegun() && this.rule.verdict() != Verdict.NOT_RUN) {
+			this.relay.sendError(HttpStatuses.TIMED_OUT, Optional.empty(), "deadline");
 			close("failed", HttpStatuses.TIMED_OUT, "deadline");
 			return;
 		}
@@ -455,7 +456,7 @@
 	DecisionLog.RequestLine line(String outcome, int status, String reason, long now, long age) {
 		return new DecisionLog.RequestLine(id(), route().name(), this.request.team().map(TeamId::value).orElse(""),
 				this.request.content().toString(), outcome, status, reason, this.rule.verdict().toString(),
-				this.attempts, this.turn.over(), this.relay.toldMillis(), route().targetMillis(),
+				this.attempts, this.turn.over(), this.relay.retryAfterMillis(), route().targetMillis(),
 				this.request.config().version(), age, now - this.request.startedAt());
 	}
 
--- a/daemon/src/main/java/org/gullsaddle/gateway/ServerSentEventSplitter.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/ServerSentEventSplitter.java
@@ -16,78 +16,78 @@
 
 	private static final String ID_FIELD = "id:";
 
-	private Buffer rest = Buffer.buffer();
+	private Buffer incomplete = Buffer.buffer();
 
-	private Optional<String> lastId = Optional.empty();
+	private Optional<String> lastEventId = Optional.empty();
 
 	/**
 	 * Takes in bytes.
 	 * @return the whole events among what has come, perhaps none
 	 */
 	Buffer add(Buffer bytes) {
-		this.rest.appendBuffer(bytes);
+		this.incomplete.appendBuffer(bytes);
 		int end = 0;
-		int next = eventEnd(0);
+		int next = findEventEnd(0);
 		while (next > 0) {
-			read(this.rest.getString(end, next, "UTF-8"));
+			parseLastEventId(this.incomplete.getString(end, next, "UTF-8"));
 			end = next;
-			next = eventEnd(end);
+			next = findEventEnd(end);
 		}
-		Buffer whole = this.rest.getBuffer(0, end);
-		this.rest = this.rest.getBuffer(end, this.rest.length());
+		Buffer whole = this.incomplete.getBuffer(0, end);
+		this.incomplete = this.incomplete.getBuffer(end, this.incomplete.length());
 		return whole;
 	}
 
 	/**
 	 * Forgets the half of an event that a broken run left.
 	 */
-	void dropRest() {
-		this.rest = Buffer.buffer();
+	void discardIncomplete() {
+		this.incomplete = Buffer.buffer();
 	}
 
 	/**
 	 * Says whether the stream ended between events.
 	 */
-	boolean atEventEnd() {
-		return this.rest.length() == 0;
+	boolean isAtEventEnd() {
+		return this.incomplete.length() == 0;
 	}
 
 	/**
 	 * Returns how much came of an event whose end has not come, in bytes.
 	 */
-	int heldBack() {
-		return this.rest.length();
+	int incompleteBytes() {
+		return this.incomplete.length();
 	}
 
-	Optional<String> lastId() {
-		return this.lastId;
+	Optional<String> lastEventId() {
+		return this.lastEventId;
 	}
 
 	/**
 	 * Returns where the event that begins at a place ends, or -1 if its end has not come.
 	 */
-	private int eventEnd(int from) {
-		int length = this.rest.length();
+	private int findEventEnd(int from) {
+		int length = this.incomplete.length();
 		for (int i = from; i + 1 < length; i++) {
-			if (this.rest.getByte(i) != '\n') {
+			if (this.incomplete.getByte(i) != '\n') {
 				continue;
 			}
-			if (this.rest.getByte(i + 1) == '\n') {
+			if (this.incomplete.getByte(i + 1) == '\n') {
 				return i + 2;
 			}
-			if (i + 2 < length && this.rest.getByte(i + 1) == '\r' && this.rest.getByte(i + 2) == '\n') {
+			if (i + 2 < length && this.incomplete.getByte(i + 1) == '\r' && this.incomplete.getByte(i + 2) == '\n') {
 				return i + 3;
 			}
 		}
 		return -1;
 	}
 
-	private void read(String event) {
+	private void parseLastEventId(String event) {
 		event.lines()
 			.filter((line) -> line.startsWith(ID_FIELD))
 			.map((line) -> line.substring(ID_FIELD.length()).strip())
 			.filter((id) -> !id.isEmpty())
-			.forEach((id) -> this.lastId = Optional.of(id));
+			.forEach((id) -> this.lastEventId = Optional.of(id));
 	}
 
 }
--- a/daemon/src/main/java/org/gullsaddle/gateway/SilentReplicaHandler.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/SilentReplicaHandler.java
@@ -188,7 +188,7 @@
 	 * Says whether another replica could go on with what the caller has.
 	 */
 	boolean mayGoOn() {
-		return !this.relay.begun() || (this.serving.route().resumable() && this.relay.lastEvent().isPresent());
+		return !this.relay.hasBegun() || (this.serving.route().resumable() && this.relay.lastEventId().isPresent());
 	}
 
 	/**
@@ -203,7 +203,7 @@
 	}
 
 	private long patience() {
-		return this.gateway.decisions().silenceMillis(this.serving.route(), this.relay.begun());
+		return this.gateway.decisions().silenceMillis(this.serving.route(), this.relay.hasBegun());
 	}
 
 	private long since(Attempt attempt) {
