--- a/daemon/src/main/java/org/gullsaddle/gateway/Attempt.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/Attempt.java
@@ -89,9 +89,9 @@
 	 * @param fresh whether the connection must be new
 	 */
 	void send(HttpMethod method, String uri, MultiMap headers, Buffer body, boolean fresh) {
-		this.pool.take(this.choice.replica(), fresh).onComplete((taken, failure) -> {
+		this.pool.acquire(this.choice.replica(), fresh).onComplete((taken, failure) -> {
 			if (failure != null) {
-				this.connectRefused = ChannelPool.refused(failure);
+				this.connectRefused = ChannelPool.isConnectionRefused(failure);
 				end(new AttemptEnd.NotRun(true, "unreachable"));
 				return;
 			}
@@ -236,7 +236,7 @@
 		if (this.ended) {
 			return;
 		}
-		if (this.channel.failed()) {
+		if (this.channel.hasFailed()) {
 			lose("connection broke in an answer without a length");
 			return;
 		}
@@ -245,7 +245,7 @@
 			this.channel.close();
 		}
 		else {
-			this.pool.giveBack(this.channel, this.answer.keepAliveMillis());
+			this.pool.release(this.channel, this.answer.keepAliveMillis());
 		}
 		end(notRun() ? new AttemptEnd.NotRun(false, "refused with " + this.answer.status())
 				: new AttemptEnd.Answered(this.answer.status()));
--- a/daemon/src/main/java/org/gullsaddle/gateway/ChannelPool.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/ChannelPool.java
@@ -28,7 +28,7 @@
 	/**
 	 * How long a new connection may take, in milliseconds; far regions are 60 ms away.
 	 */
-	private static final int CONNECT_MILLIS = 1000;
+	private static final int CONNECT_TIMEOUT_MILLIS = 1000;
 
 	/**
 	 * How long an idle connection is used again at most, in milliseconds. Replicas close
@@ -44,7 +44,7 @@
 	private final Map<ReplicaId, Deque<Channel>> idle = new HashMap<>();
 
 	ChannelPool(Vertx vertx) {
-		this.client = vertx.createHttpClient(new HttpClientOptions().setConnectTimeout(CONNECT_MILLIS)
+		this.client = vertx.createHttpClient(new HttpClientOptions().setConnectTimeout(CONNECT_TIMEOUT_MILLIS)
 			.setTcpNoDelay(true)
 			.setTcpKeepAlive(true)
 			.setPipelining(false)
@@ -58,11 +58,11 @@
 	 * @param fresh whether it must be new, so that no idle one that is just being closed
 	 * can swallow the request
 	 */
-	Future<Channel> take(Replica replica, boolean fresh) {
+	Future<Channel> acquire(Replica replica, boolean fresh) {
 		Deque<Channel> kept = this.idle.get(replica.id());
 		while (!fresh && kept != null && !kept.isEmpty()) {
 			Channel channel = kept.pollLast();
-			if (channel.usable(replica, MonotonicClock.millis())) {
+			if (channel.isUsable(replica, MonotonicClock.millis())) {
 				return Future.succeededFuture(channel);
 			}
 			channel.close();
@@ -71,7 +71,7 @@
 			.setServer(SocketAddress.inetSocketAddress(replica.address().port(), replica.address().host()))
 			.setHost(replica.address().host())
 			.setPort(replica.address().port())
-			.setConnectTimeout(CONNECT_MILLIS);
+			.setConnectTimeout(CONNECT_TIMEOUT_MILLIS);
 		return this.client.connect(options).map((connection) -> new Channel(replica, connection));
 	}
 
@@ -80,7 +80,7 @@
 	 * not answered at all tells nothing of the replica.
 	 * @param failure why it could not be had
 	 */
-	static boolean refused(Throwable failure) {
+	static boolean isConnectionRefused(Throwable failure) {
 		return failure instanceof ConnectException && !(failure instanceof ConnectTimeoutException);
 	}
 
@@ -89,7 +89,7 @@
 	 * @param channel the connection
 	 * @param keepMillis how long the replica keeps it, in milliseconds
 	 */
-	void giveBack(Channel channel, long keepMillis) {
+	void release(Channel channel, long keepMillis) {
 		Deque<Channel> kept = this.idle.computeIfAbsent(channel.replica.id(), (id) -> new ArrayDeque<>());
 		if (channel.closed || kept.size() >= MAX_IDLE_PER_REPLICA || keepMillis <= 0) {
 			channel.close();
@@ -103,7 +103,7 @@
 	 * Closes idle connections that are not to be used any more.
 	 * @param known the replicas that are still listed
 	 */
-	void tidy(Set<ReplicaId> known) {
+	void closeExpired(Set<ReplicaId> known) {
 		for (ReplicaId id : new HashSet<>(this.idle.keySet())) {
 			Deque<Channel> kept = this.idle.get(id);
 			kept.removeIf((channel) -> {
@@ -151,11 +151,11 @@
 		/**
 		 * Says whether the connection ended by a failure, such as a reset.
 		 */
-		boolean failed() {
+		boolean hasFailed() {
 			return this.failed;
 		}
 
-		boolean usable(Replica now, long time) {
+		boolean isUsable(Replica now, long time) {
 			return !this.closed && time <= this.idleUntil && this.replica.sameProcess(now);
 		}
 
--- a/daemon/src/main/java/org/gullsaddle/gateway/ConfigRefresher.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/ConfigRefresher.java
@@ -19,34 +19,34 @@
 	 * of the time in which a change must be in force. An older one is read anew first;
 	 * while it cannot be, the request is refused for now only.
 	 */
-	private static final double REFUSE_PART = 0.6;
+	private static final double MAX_AGE_TO_REFUSE_RATIO = 0.6;
 
 	/**
 	 * How old the configuration may be by which a request is served, as the same part. An
 	 * older one is read anew first; while it cannot be, requests are served by it, so
 	 * that an outage of the store is none of the gateway.
 	 */
-	private static final double GRANT_PART = 0.8;
+	private static final double MAX_AGE_TO_SERVE_RATIO = 0.8;
 
 	/** How many requests may wait for one call. */
 	private static final int MAX_WAITING = 256;
 
 	/** How long after a failure no call is made, in milliseconds. */
-	private static final long AGAIN_MILLIS = 300;
+	private static final long RETRY_DELAY_MILLIS = 300;
 
 	private final FleetSource source;
 
 	private final FleetState state;
 
-	private final long newsMillis;
+	private final long maxPropagationMillis;
 
-	private final Consumer<FleetChange> learned;
+	private final Consumer<FleetChange> changeListener;
 
 	private final DecisionLog log;
 
 	private final Telemetry telemetry;
 
-	private final SuspendDetector suspends = new SuspendDetector();
+	private final SuspendDetector suspendDetector = new SuspendDetector();
 
 	private final List<Runnable> waiting = new ArrayList<>();
 
@@ -63,8 +63,8 @@
 			DecisionLog log, Telemetry telemetry) {
 		this.source = source;
 		this.state = state;
-		this.newsMillis = newsMillis;
-		this.learned = learned;
+		this.maxPropagationMillis = newsMillis;
+		this.changeListener = learned;
 		this.log = log;
 		this.telemetry = telemetry;
 	}
@@ -73,23 +73,23 @@
 	 * Says whether the configuration must be read anew before it decides a request.
 	 * @param allowed whether the known one allows the request
 	 */
-	boolean due(boolean allowed) {
+	boolean isDue(boolean allowed) {
 		long now = MonotonicClock.millis();
-		lookForSuspension(now);
+		checkForSuspension(now);
 		long age = this.state.configAge(now);
 		if (allowed) {
 			// Another call would likely cost the caller time only.
 			boolean away = this.failing || this.state.directory().storeAway();
-			return !away && age > GRANT_PART * this.newsMillis;
+			return !away && age > MAX_AGE_TO_SERVE_RATIO * this.maxPropagationMillis;
 		}
-		return this.state.configUnreadable() || age > REFUSE_PART * this.newsMillis;
+		return this.state.configUnreadable() || age > MAX_AGE_TO_REFUSE_RATIO * this.maxPropagationMillis;
 	}
 
 	/**
 	 * Lets knowledge age by the time for which the machine was suspended.
 	 */
-	void lookForSuspension(long now) {
-		long slept = this.suspends.look(now, System.currentTimeMillis());
+	void checkForSuspension(long now) {
+		long slept = this.suspendDetector.look(now, System.currentTimeMillis());
 		if (slept > 0) {
 			this.log.suspended(slept);
 			this.state.suspended(slept);
@@ -100,40 +100,41 @@
 	 * Reads the configuration.
 	 * @param then is run once it was read, or could not be
 	 */
-	void read(Runnable then) {
+	void refresh(Runnable then) {
 		long now = MonotonicClock.millis();
-		if (this.waiting.size() >= MAX_WAITING || (this.failing && now - this.failedAt < AGAIN_MILLIS)) {
+		if (this.waiting.size() >= MAX_WAITING || (this.failing && now - this.failedAt < RETRY_DELAY_MILLIS)) {
 			then.run();
 			return;
 		}
 		this.waiting.add(then);
 		if (this.waiting.size() == 1) {
 			this.telemetry.count("config.checks");
-			this.source.readConfig().subscribe((changes) -> took(changes, now), (failure) -> failed(failure, now));
+			this.source.readConfig()
+				.subscribe((changes) -> onConfig(changes, now), (failure) -> onFailure(failure, now));
 		}
 	}
 
-	private void took(List<FleetChange> changes, long askedAt) {
+	private void onConfig(List<FleetChange> changes, long askedAt) {
 		this.failing = false;
 		this.state.configHeard(askedAt);
 		for (FleetChange change : changes) {
 			if (this.state.apply(MonotonicClock.millis(), change)) {
 				this.log.learned(change, 0, MonotonicClock.millis() - askedAt);
 			}
-			this.learned.accept(change);
+			this.changeListener.accept(change);
 		}
-		release();
+		resumeWaiting();
 	}
 
-	private void failed(Throwable failure, long askedAt) {
+	private void onFailure(Throwable failure, long askedAt) {
 		this.failing = true;
 		this.failedAt = MonotonicClock.millis();
 		this.telemetry.count("config.checks.failed");
 		this.log.storeCallFailed("configuration", this.failedAt - askedAt, failure.getMessage());
-		release();
+		resumeWaiting();
 	}
 
-	private void release() {
+	private void resumeWaiting() {
 		List<Runnable> all = List.copyOf(this.waiting);
 		this.waiting.clear();
 		all.forEach(Runnable::run);
--- a/daemon/src/main/java/org/gullsaddle/gateway/CrashController.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/CrashController.java
@@ -237,14 +237,14 @@
 	private void askIn(long millis, Replica replica, LongConsumer accepted) {
 		this.vertx.setTimer(millis, (timer) -> {
 			long askedAt = MonotonicClock.millis();
-			this.pool.take(replica, true).onComplete((channel, failure) -> {
+			this.pool.acquire(replica, true).onComplete((channel, failure) -> {
 				if (failure == null) {
 					channel.close();
 					accepted.accept(askedAt);
 					return;
 				}
 				this.asked.remove(Crash.process(replica));
-				if (ChannelPool.refused(failure)) {
+				if (ChannelPool.isConnectionRefused(failure)) {
 					this.decisions.picker().unreachable(MonotonicClock.millis(), replica);
 					down(replica.id(), "refuses connections");
 				}
--- a/daemon/src/main/java/org/gullsaddle/gateway/FleetPoller.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/FleetPoller.java
@@ -20,33 +20,33 @@
 	 * is only noticed after it, and a change must be in force in time even then: the
 	 * pause between calls, this wait, the store's own time and one more call fit into it.
 	 */
-	private static final long WAIT_MILLIS = 200;
+	private static final long POLL_WAIT_MILLIS = 200;
 
 	/**
 	 * How soon after a call for changes the next one begins after everything was read
 	 * anew, in milliseconds, when replicas come back one after another.
 	 */
-	private static final long BUSY_EVERY_MILLIS = 1000;
+	private static final long SETTLING_INTERVAL_MILLIS = 1000;
 
 	/**
 	 * The same during a roll-out at most, in milliseconds: nodes tell each other through
 	 * the store then what they saw of the new release.
 	 */
-	private static final long ROLLOUT_EVERY_MILLIS = 1600;
+	private static final long MAX_ROLLOUT_INTERVAL_MILLIS = 1600;
 
 	/**
 	 * The same as a part of a short roll-out's time, in which evidence must have reached
 	 * all nodes before the share of the new release rises.
 	 */
-	private static final double ROLLOUT_PART = 0.0625;
+	private static final double ROLLOUT_INTERVAL_RATIO = 0.0625;
 
-	private static final long MIN_ROLLOUT_EVERY_MILLIS = 500;
+	private static final long MIN_ROLLOUT_INTERVAL_MILLIS = 500;
 
 	/**
 	 * The same while others' news of crashes are awaited, or the share of a new release
 	 * rises, in milliseconds.
 	 */
-	private static final long URGENT_EVERY_MILLIS = 500;
+	private static final long URGENT_INTERVAL_MILLIS = 500;
 
 	/** How long after a reading of everything replicas come back, in milliseconds. */
 	private static final long SETTLE_MILLIS = 5000;
@@ -56,18 +56,18 @@
 	 * Every replica's heartbeat is a change: without a pause a node asks as often as all
 	 * of them beat together, and each call is paid for.
 	 */
-	private static final double NEWS_PART = 0.5;
+	private static final double PROPAGATION_INTERVAL_RATIO = 0.5;
 
 	/** The pause before a call that follows a failure, in milliseconds. */
-	private static final long PAUSE_MILLIS = 150;
+	private static final long RETRY_DELAY_MILLIS = 150;
 
-	private static final long MAX_PAUSE_MILLIS = 600;
+	private static final long MAX_RETRY_DELAY_MILLIS = 600;
 
 	/** What a call may take beyond its wait without being reported, in milliseconds. */
 	private static final long SLOW_MILLIS = 100;
 
 	/** How many failures in a row mean that the store is away. */
-	private static final int FAILURES_TO_BE_AWAY = 2;
+	private static final int FAILURES_UNTIL_UNAVAILABLE = 2;
 
 	private final Vertx vertx;
 
@@ -79,15 +79,15 @@
 
 	private final Consumer<FleetChange> listener;
 
-	private final long everyMillis;
+	private final long intervalMillis;
 
-	private final BooleanSupplier crashes;
+	private final BooleanSupplier crashNotesAwaited;
 
 	private long revision = -1;
 
 	private long readAllAt = Long.MIN_VALUE;
 
-	private long askedAt;
+	private long requestedAt;
 
 	private int failures;
 
@@ -105,110 +105,110 @@
 		this.state = state;
 		this.log = log;
 		this.listener = listener;
-		this.everyMillis = Math.max(BUSY_EVERY_MILLIS, Math.round(NEWS_PART * newsMillis));
-		this.crashes = crashes;
+		this.intervalMillis = Math.max(SETTLING_INTERVAL_MILLIS, Math.round(PROPAGATION_INTERVAL_RATIO * newsMillis));
+		this.crashNotesAwaited = crashes;
 	}
 
 	void start() {
-		next();
+		poll();
 	}
 
 	void stop() {
 		this.stopped = true;
 	}
 
-	private void next() {
+	private void poll() {
 		if (this.stopped) {
 			return;
 		}
 		boolean whole = this.revision < 0;
-		this.askedAt = MonotonicClock.millis();
+		this.requestedAt = MonotonicClock.millis();
 		Single<FleetSource.Update> call = whole ? this.source.readAll()
-				: this.source.awaitChanges(this.revision, WAIT_MILLIS);
-		call.subscribe((news) -> took(news, whole), this::failed);
+				: this.source.awaitChanges(this.revision, POLL_WAIT_MILLIS);
+		call.subscribe((news) -> onUpdate(news, whole), this::onFailure);
 	}
 
-	void took(FleetSource.Update news, boolean whole) {
+	void onUpdate(FleetSource.Update news, boolean whole) {
 		long now = MonotonicClock.millis();
-		if (this.failures >= FAILURES_TO_BE_AWAY) {
+		if (this.failures >= FAILURES_UNTIL_UNAVAILABLE) {
 			this.log.regained("store", now);
 		}
 		this.failures = 0;
 		this.state.directory().storeAway(now, false);
-		this.state.heard(this.askedAt);
+		this.state.heard(this.requestedAt);
 		if (whole) {
 			this.readAllAt = now;
 			this.state.retain(now, news.changes());
 		}
 		for (FleetChange change : news.changes()) {
 			if (this.state.apply(now, change)) {
-				this.log.learned(change, news.revision(), now - this.askedAt);
+				this.log.learned(change, news.revision(), now - this.requestedAt);
 			}
 			this.listener.accept(change);
 		}
-		reportSlow(news, now);
+		logIfSlow(news, now);
 		this.revision = news.revision();
-		long pause = whole ? 0 : pause(this.askedAt, now, everyMillis(now));
+		long pause = whole ? 0 : delayMillis(this.requestedAt, now, intervalMillis(now));
 		if (pause == 0) {
-			next();
+			poll();
 			return;
 		}
-		this.vertx.setTimer(pause, (timer) -> next());
+		this.vertx.setTimer(pause, (timer) -> poll());
 	}
 
-	private void reportSlow(FleetSource.Update news, long now) {
+	private void logIfSlow(FleetSource.Update news, long now) {
 		long took = MonotonicClock.millis() - now;
-		if (took >= SLOW_MILLIS || now - this.askedAt >= WAIT_MILLIS + SLOW_MILLIS) {
-			this.log.slowNews(news.changes().size(), news.revision(), now - this.askedAt, took);
+		if (took >= SLOW_MILLIS || now - this.requestedAt >= POLL_WAIT_MILLIS + SLOW_MILLIS) {
+			this.log.slowNews(news.changes().size(), news.revision(), now - this.requestedAt, took);
 		}
 	}
 
 	/**
 	 * Returns how far calls for changes are apart at a time, in milliseconds.
 	 */
-	long everyMillis(long now) {
-		if (this.crashes.getAsBoolean() || this.state.releaseGrows()) {
-			return URGENT_EVERY_MILLIS;
+	long intervalMillis(long now) {
+		if (this.crashNotesAwaited.getAsBoolean() || this.state.releaseGrows()) {
+			return URGENT_INTERVAL_MILLIS;
 		}
 		boolean settling = this.readAllAt != Long.MIN_VALUE && now - this.readAllAt < SETTLE_MILLIS;
 		if (settling) {
-			return BUSY_EVERY_MILLIS;
+			return SETTLING_INTERVAL_MILLIS;
 		}
 		OptionalLong rollout = this.state.shortestRollout();
 		if (rollout.isEmpty()) {
-			return this.everyMillis;
+			return this.intervalMillis;
 		}
-		long evidence = Math.max(MIN_ROLLOUT_EVERY_MILLIS, Math.round(ROLLOUT_PART * rollout.getAsLong()));
-		return Math.min(Math.min(ROLLOUT_EVERY_MILLIS, this.everyMillis), evidence);
+		long evidence = Math.max(MIN_ROLLOUT_INTERVAL_MILLIS, Math.round(ROLLOUT_INTERVAL_RATIO * rollout.getAsLong()));
+		return Math.min(Math.min(MAX_ROLLOUT_INTERVAL_MILLIS, this.intervalMillis), evidence);
 	}
 
 	/**
 	 * Returns how long to wait before the next call, in milliseconds.
 	 */
-	static long pause(long askedAt, long now, long every) {
+	static long delayMillis(long askedAt, long now, long every) {
 		return Math.max(0, askedAt + every - now);
 	}
 
-	private void failed(Throwable failure) {
+	private void onFailure(Throwable failure) {
 		long now = MonotonicClock.millis();
 		this.failures++;
-		this.log.storeCallFailed((this.revision < 0) ? "read all" : "changes", now - this.askedAt,
+		this.log.storeCallFailed((this.revision < 0) ? "read all" : "changes", now - this.requestedAt,
 				failure.getMessage());
 		if (failure instanceof HistoryCompactedException) {
 			this.revision = -1;
 		}
-		if (this.failures == FAILURES_TO_BE_AWAY) {
+		if (this.failures == FAILURES_UNTIL_UNAVAILABLE) {
 			// What changed meanwhile is read anew as a whole: an entry that lapsed in the
 			// outage and came back shows nothing in the changes alone.
 			this.state.directory().storeAway(now, true);
 			this.log.lost("store", failure.getMessage(), this.state.age(now));
 		}
 		if (failure instanceof HistoryCompactedException) {
-			next();
+			poll();
 			return;
 		}
-		long pause = Math.min(MAX_PAUSE_MILLIS, PAUSE_MILLIS * this.failures);
-		this.vertx.setTimer(pause, (timer) -> next());
+		long pause = Math.min(MAX_RETRY_DELAY_MILLIS, RETRY_DELAY_MILLIS * this.failures);
+		this.vertx.setTimer(pause, (timer) -> poll());
 	}
 
 }
--- a/daemon/src/main/java/org/gullsaddle/gateway/Gateway.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/Gateway.java
@@ -320,7 +320,7 @@
 
 	private void tick() {
 		long now = MonotonicClock.millis();
-		this.configCheck.lookForSuspension(now);
+		this.configCheck.checkForSuspension(now);
 		long stalled = this.stalls.look(now);
 		if (stalled > 0) {
 			this.log.stalled(stalled, this.open.size());
@@ -333,7 +333,7 @@
 	}
 
 	private void tidy() {
-		this.pool.tidy(this.fleet.directory().known());
+		this.pool.closeExpired(this.fleet.directory().known());
 		this.decisions.picker().retain(this.fleet.directory().known());
 		this.decisions.patience().retain(this.fleet.directory().known());
 		this.coldPace.retain(this.fleet.directory().known());
--- a/daemon/src/main/java/org/gullsaddle/gateway/LoadProbe.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/LoadProbe.java
@@ -101,7 +101,7 @@
 		Promise<EngineReport> answer = Promise.promise();
 		long timer = this.vertx.setTimer(waitMillis, (id) -> answer.tryFail("nothing in " + waitMillis + " ms"));
 		answer.future().onComplete((done) -> this.vertx.cancelTimer(timer));
-		this.pool.take(replica, false).onComplete((channel, unreachable) -> {
+		this.pool.acquire(replica, false).onComplete((channel, unreachable) -> {
 			if (unreachable != null) {
 				this.picker.unreachable(MonotonicClock.millis(), replica);
 				answer.tryFail("unreachable");
@@ -147,7 +147,7 @@
 		if (report.isEmpty()) {
 			return Future.failedFuture("no report, but status " + answer.status());
 		}
-		this.pool.giveBack(channel, answer.closesConnection() ? 0 : answer.keepAliveMillis());
+		this.pool.release(channel, answer.closesConnection() ? 0 : answer.keepAliveMillis());
 		return Future.succeededFuture(report.get());
 	}
 
--- a/daemon/src/main/java/org/gullsaddle/gateway/RequestDispatcher.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/RequestDispatcher.java
@@ -96,8 +96,8 @@
 		boolean keyed = config.get().keyed() && route.isPresent() && !route.get().open();
 		Optional<Team> team = keyed ? caller.apiKey().flatMap(config.get()::team) : Optional.empty();
 		boolean allowed = route.isPresent() && !(keyed && team.isEmpty());
-		if (!checked && this.gateway.configCheck().due(allowed)) {
-			this.gateway.configCheck().read(() -> serve(request, caller, body, startedAt, true));
+		if (!checked && this.gateway.configCheck().isDue(allowed)) {
+			this.gateway.configCheck().refresh(() -> serve(request, caller, body, startedAt, true));
 			return;
 		}
 		if (!allowed) {
@@ -131,7 +131,7 @@
 	 * only if no newer one may allow it.
 	 */
 	private void refuse(CallerAnswerWriter writer, CallerRequest caller, boolean noRoute) {
-		if (this.gateway.configCheck().due(false)) {
+		if (this.gateway.configCheck().isDue(false)) {
 			refused(writer, caller, HttpStatuses.UNAVAILABLE, Optional.of(this.gateway.decisions().comeBackMillis()),
 					"the configuration may have changed");
 		}
--- a/daemon/src/test/java/org/gullsaddle/gateway/FleetPollerTests.java
+++ b/daemon/src/test/java/org/gullsaddle/gateway/FleetPollerTests.java
@@ -51,16 +51,16 @@
 
 		@Test
 		void nextCallBeginsAnIntervalAfterTheLastOne() {
-			assertThat(FleetPoller.pause(5000, 5004, 1000)).isEqualTo(996);
+			assertThat(FleetPoller.delayMillis(5000, 5004, 1000)).isEqualTo(996);
 		}
 
 		/** Guards against paying for news twice as often as it must be known. */
 		@Test
 		void intervalIsAPartOfTheTimeInWhichNewsMustBeInForce() {
-			assertThat(feed(5000).everyMillis(0)).isEqualTo(2500);
-			assertThat(feed(4000).everyMillis(0)).isEqualTo(2000);
-			assertThat(feed(3000).everyMillis(0)).isEqualTo(1500);
-			assertThat(feed(1000).everyMillis(0)).isEqualTo(1000);
+			assertThat(feed(5000).intervalMillis(0)).isEqualTo(2500);
+			assertThat(feed(4000).intervalMillis(0)).isEqualTo(2000);
+			assertThat(feed(3000).intervalMillis(0)).isEqualTo(1500);
+			assertThat(feed(1000).intervalMillis(0)).isEqualTo(1000);
 		}
 
 		/** Guards against roll-out notes of other nodes that come too late to act on. */
@@ -68,11 +68,11 @@
 		void newsIsAskedForMoreOftenWhileARolloutIsUnderWay() {
 			FleetPoller feed = feed(5000);
 			this.state.apply(0, ORDERED);
-			assertThat(feed.everyMillis(0)).isEqualTo(1600);
+			assertThat(feed.intervalMillis(0)).isEqualTo(1600);
 			this.state.apply(0, new FleetChange.Progressed(SERVICE, "v2", RolloutState.RUNNING, 2));
-			assertThat(feed.everyMillis(0)).isEqualTo(1600);
+			assertThat(feed.intervalMillis(0)).isEqualTo(1600);
 			this.state.apply(0, new FleetChange.Progressed(SERVICE, "v2", RolloutState.COMPLETED, 3));
-			assertThat(feed.everyMillis(0)).isEqualTo(2500);
+			assertThat(feed.intervalMillis(0)).isEqualTo(2500);
 		}
 
 		/** Guards against a short roll-out that is over before evidence has travelled. */
@@ -80,16 +80,16 @@
 		void newsIsAskedForMoreOftenInAShortRollout() {
 			FleetPoller feed = feed(3000);
 			this.state.apply(0, new FleetChange.Ordered(new RolloutOrder(SERVICE, "v3", 16_000), 2));
-			assertThat(feed.everyMillis(0)).isEqualTo(1000);
+			assertThat(feed.intervalMillis(0)).isEqualTo(1000);
 			this.state.apply(0, new FleetChange.Ordered(new RolloutOrder(SERVICE, "v4", 4000), 3));
-			assertThat(feed.everyMillis(0)).isEqualTo(500);
+			assertThat(feed.intervalMillis(0)).isEqualTo(500);
 		}
 
 		@Test
 		void rolloutDoesNotSlowNewsDown() {
 			FleetPoller feed = feed(3000);
 			this.state.apply(0, ORDERED);
-			assertThat(feed.everyMillis(0)).isEqualTo(1500);
+			assertThat(feed.intervalMillis(0)).isEqualTo(1500);
 		}
 
 		/**
@@ -99,10 +99,10 @@
 		@Test
 		void newsIsAskedForEverySecondAfterEverythingWasReadAnew() {
 			FleetPoller feed = feed(5000);
-			feed.took(new FleetSource.Update(List.of(), 7), true);
+			feed.onUpdate(new FleetSource.Update(List.of(), 7), true);
 			long now = MonotonicClock.millis();
-			assertThat(feed.everyMillis(now)).isEqualTo(1000);
-			assertThat(feed.everyMillis(now + 5000)).isEqualTo(2500);
+			assertThat(feed.intervalMillis(now)).isEqualTo(1000);
+			assertThat(feed.intervalMillis(now + 5000)).isEqualTo(2500);
 		}
 
 		private FleetPoller feed(long newsMillis) {
@@ -117,8 +117,8 @@
 
 		@Test
 		void nextCallBeginsAtOnce() {
-			assertThat(FleetPoller.pause(5000, 6000, 1000)).isZero();
-			assertThat(FleetPoller.pause(5000, 7500, 1000)).isZero();
+			assertThat(FleetPoller.delayMillis(5000, 6000, 1000)).isZero();
+			assertThat(FleetPoller.delayMillis(5000, 7500, 1000)).isZero();
 		}
 
 	}
