--- a/daemon/src/main/java/org/gullsaddle/gateway/BackpressureController.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/BackpressureController.java
@@ -145,7 +145,7 @@
 	private void tell(ReplicaId id) {
 		this.due.remove(id);
 		NodeNoteWriter note = this.notes.computeIfAbsent(id, (key) -> new NodeNoteWriter(this.store, NOTES + key));
-		if (note.busy()) {
+		if (note.isBusy()) {
 			tellIn(AGAIN_MILLIS, id);
 			return;
 		}
--- a/daemon/src/main/java/org/gullsaddle/gateway/ConfigRefresher.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/ConfigRefresher.java
@@ -76,13 +76,13 @@
 	boolean isDue(boolean allowed) {
 		long now = MonotonicClock.millis();
 		checkForSuspension(now);
-		long age = this.state.configAge(now);
+		long age = this.state.configAgeMillis(now);
 		if (allowed) {
 			// Another call would likely cost the caller time only.
 			boolean away = this.failing || this.state.directory().storeAway();
 			return !away && age > MAX_AGE_TO_SERVE_RATIO * this.maxPropagationMillis;
 		}
-		return this.state.configUnreadable() || age > MAX_AGE_TO_REFUSE_RATIO * this.maxPropagationMillis;
+		return this.state.hasUnreadableConfig() || age > MAX_AGE_TO_REFUSE_RATIO * this.maxPropagationMillis;
 	}
 
 	/**
@@ -92,7 +92,7 @@
 		long slept = this.suspendDetector.look(now, System.currentTimeMillis());
 		if (slept > 0) {
 			this.log.suspended(slept);
-			this.state.suspended(slept);
+			this.state.onSuspended(slept);
 		}
 	}
 
@@ -116,7 +116,7 @@
 
 	private void onConfig(List<FleetChange> changes, long askedAt) {
 		this.failing = false;
-		this.state.configHeard(askedAt);
+		this.state.onConfigRead(askedAt);
 		for (FleetChange change : changes) {
 			if (this.state.apply(MonotonicClock.millis(), change)) {
 				this.log.learned(change, 0, MonotonicClock.millis() - askedAt);
--- a/daemon/src/main/java/org/gullsaddle/gateway/CrashController.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/CrashController.java
@@ -279,7 +279,7 @@
 	}
 
 	private long spreadMillis() {
-		return 1 + this.random.nextLong(SPREAD_MILLIS * this.nodes.known().orElse(1));
+		return 1 + this.random.nextLong(SPREAD_MILLIS * this.nodes.knownCount().orElse(1));
 	}
 
 	/**
@@ -367,7 +367,7 @@
 
 	private void tell() {
 		this.due = false;
-		if (this.note.busy()) {
+		if (this.note.isBusy()) {
 			tellIn(GATHER_MILLIS);
 			return;
 		}
--- a/daemon/src/main/java/org/gullsaddle/gateway/FleetPoller.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/FleetPoller.java
@@ -135,7 +135,7 @@
 		}
 		this.failures = 0;
 		this.state.directory().storeAway(now, false);
-		this.state.heard(this.requestedAt);
+		this.state.onUpdate(this.requestedAt);
 		if (whole) {
 			this.readAllAt = now;
 			this.state.retain(now, news.changes());
@@ -167,14 +167,14 @@
 	 * Returns how far calls for changes are apart at a time, in milliseconds.
 	 */
 	long intervalMillis(long now) {
-		if (this.crashNotesAwaited.getAsBoolean() || this.state.releaseGrows()) {
+		if (this.crashNotesAwaited.getAsBoolean() || this.state.isReleaseShareRising()) {
 			return URGENT_INTERVAL_MILLIS;
 		}
 		boolean settling = this.readAllAt != Long.MIN_VALUE && now - this.readAllAt < SETTLE_MILLIS;
 		if (settling) {
 			return SETTLING_INTERVAL_MILLIS;
 		}
-		OptionalLong rollout = this.state.shortestRollout();
+		OptionalLong rollout = this.state.shortestRolloutMillis();
 		if (rollout.isEmpty()) {
 			return this.intervalMillis;
 		}
@@ -201,7 +201,7 @@
 			// What changed meanwhile is read anew as a whole: an entry that lapsed in the
 			// outage and came back shows nothing in the changes alone.
 			this.state.directory().storeAway(now, true);
-			this.log.lost("store", failure.getMessage(), this.state.age(now));
+			this.log.lost("store", failure.getMessage(), this.state.ageMillis(now));
 		}
 		if (failure instanceof HistoryCompactedException) {
 			poll();
--- a/daemon/src/main/java/org/gullsaddle/gateway/FleetState.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/FleetState.java
@@ -25,7 +25,7 @@
  */
 final class FleetState {
 
-	private static final long LONG_AGO = Long.MIN_VALUE / 2;
+	private static final long NEVER = Long.MIN_VALUE / 2;
 
 	private final ReplicaDirectory directory = new ReplicaDirectory();
 
@@ -45,7 +45,7 @@
 	private long configKnownAt;
 
 	/** The same of the deployment before the latest news. */
-	private long knownBefore = LONG_AGO;
+	private long previouslyKnownAt = NEVER;
 
 	private boolean heard;
 
@@ -59,19 +59,19 @@
 	 */
 	boolean apply(long now, FleetChange change) {
 		return switch (change) {
-			case FleetChange.Configured configured -> configure(configured.config());
+			case FleetChange.Configured configured -> applyConfig(configured.config());
 			case FleetChange.ConfigUnreadable unreadable -> {
 				this.configUnreadable = true;
 				yield true;
 			}
-			case FleetChange.Listed listed -> list(now, listed);
+			case FleetChange.Listed listed -> applyListed(now, listed);
 			case FleetChange.Unlisted unlisted -> {
 				boolean known = this.directory.find(unlisted.id()).isPresent();
 				this.directory.remove(now, unlisted.id());
 				yield known;
 			}
-			case FleetChange.Ordered ordered -> order(now, ordered);
-			case FleetChange.Progressed progressed -> progress(progressed);
+			case FleetChange.Ordered ordered -> applyOrdered(now, ordered);
+			case FleetChange.Progressed progressed -> applyProgressed(progressed);
 			case FleetChange.EvacuationBegan began -> this.directory.evacuate(began.dataCenter());
 			case FleetChange.EvacuationEnded ended -> this.directory.takeBack(ended.dataCenter());
 			case FleetChange.Noted noted -> false;
@@ -83,7 +83,7 @@
 	 * A node must never go back: a read that was slow on its way may bring a version
 	 * older than one that requests were served by.
 	 */
-	private boolean configure(FleetConfig newConfig) {
+	private boolean applyConfig(FleetConfig newConfig) {
 		if (this.config != null && newConfig.version() <= this.config.version()) {
 			return false;
 		}
@@ -92,7 +92,7 @@
 		return true;
 	}
 
-	private boolean list(long now, FleetChange.Listed listed) {
+	private boolean applyListed(long now, FleetChange.Listed listed) {
 		Replica replica = listed.replica();
 		Optional<Replica> before = this.directory.find(replica.id());
 		this.directory.put(replica);
@@ -101,13 +101,13 @@
 		return !before.equals(Optional.of(replica));
 	}
 
-	private boolean order(long now, FleetChange.Ordered ordered) {
+	private boolean applyOrdered(long now, FleetChange.Ordered ordered) {
 		ServiceName service = ordered.order().service();
 		Rollout known = this.rollouts.get(service);
 		if (known != null && known.revision() >= ordered.revision()) {
 			return false;
 		}
-		Rollout rollout = new Rollout(this.knownBefore, now, ordered.order(), ordered.revision(), this.limits);
+		Rollout rollout = new Rollout(this.previouslyKnownAt, now, ordered.order(), ordered.revision(), this.limits);
 		this.rollouts.put(service, rollout);
 		long timeOfDay = System.currentTimeMillis();
 		this.directory.known()
@@ -122,7 +122,7 @@
 		return true;
 	}
 
-	private boolean progress(FleetChange.Progressed progressed) {
+	private boolean applyProgressed(FleetChange.Progressed progressed) {
 		FleetChange.Progressed before = this.progress.get(progressed.service());
 		if (before != null && before.revision() > progressed.revision()) {
 			return false;
@@ -160,25 +160,25 @@
 	 * Takes in that the platform has told all changes.
 	 * @param askedAt when it was asked: of later ones nothing is known
 	 */
-	void heard(long askedAt) {
-		this.knownBefore = this.heard ? this.knownAt : LONG_AGO;
+	void onUpdate(long askedAt) {
+		this.previouslyKnownAt = this.heard ? this.knownAt : NEVER;
 		this.heard = true;
 		this.knownAt = askedAt;
-		configHeard(askedAt);
+		onConfigRead(askedAt);
 	}
 
 	/**
 	 * Takes in that the platform has told the configuration.
 	 * @param askedAt when it was asked
 	 */
-	void configHeard(long askedAt) {
+	void onConfigRead(long askedAt) {
 		this.configKnownAt = Math.max(this.configKnownAt, askedAt);
 	}
 
 	/**
 	 * Takes in that more time has passed than the clock counted.
 	 */
-	void suspended(long millis) {
+	void onSuspended(long millis) {
 		this.knownAt -= millis;
 		this.configKnownAt -= millis;
 	}
@@ -186,21 +186,21 @@
 	/**
 	 * Returns how old what the node knows may be, in milliseconds.
 	 */
-	long age(long now) {
+	long ageMillis(long now) {
 		return now - this.knownAt;
 	}
 
 	/**
 	 * Returns how old the configuration that the node knows may be, in milliseconds.
 	 */
-	long configAge(long now) {
+	long configAgeMillis(long now) {
 		return now - this.configKnownAt;
 	}
 
 	/**
 	 * Says whether a newer configuration came that cannot be read.
 	 */
-	boolean configUnreadable() {
+	boolean hasUnreadableConfig() {
 		return this.configUnreadable;
 	}
 
@@ -223,14 +223,14 @@
 	/**
 	 * Says whether the share of a new release rises.
 	 */
-	boolean releaseGrows() {
+	boolean isReleaseShareRising() {
 		return this.rollouts.values().stream().anyMatch(Rollout::grows);
 	}
 
 	/**
 	 * Returns the time of the shortest roll-out that is under way, in milliseconds.
 	 */
-	OptionalLong shortestRollout() {
+	OptionalLong shortestRolloutMillis() {
 		return this.rollouts.values()
 			.stream()
 			.filter((rollout) -> rollout.state().map((state) -> state == RolloutState.RUNNING).orElse(true))
--- a/daemon/src/main/java/org/gullsaddle/gateway/Gateway.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/Gateway.java
@@ -143,11 +143,11 @@
 		this.telemetry.gauge("replicas.cold", () -> this.fleet.directory().countCold(MonotonicClock.millis()));
 		this.telemetry.gauge("replicas.telling.pace", this.decisions.picker()::countPaces);
 		this.telemetry.gauge("data.centers.evacuated", () -> this.fleet.directory().evacuated().size());
-		this.telemetry.gauge("nodes.known", () -> this.nodes.known().orElse(0));
-		this.telemetry.gauge("config.unreadable", () -> this.fleet.configUnreadable() ? 1 : 0);
-		this.telemetry.gauge("config.age.milliseconds", () -> this.fleet.configAge(MonotonicClock.millis()));
+		this.telemetry.gauge("nodes.known", () -> this.nodes.knownCount().orElse(0));
+		this.telemetry.gauge("config.unreadable", () -> this.fleet.hasUnreadableConfig() ? 1 : 0);
+		this.telemetry.gauge("config.age.milliseconds", () -> this.fleet.configAgeMillis(MonotonicClock.millis()));
 		this.telemetry.gauge("config.version", this::configVersion);
-		this.telemetry.gauge("fleet.age.milliseconds", () -> this.fleet.age(MonotonicClock.millis()));
+		this.telemetry.gauge("fleet.age.milliseconds", () -> this.fleet.ageMillis(MonotonicClock.millis()));
 		this.telemetry.gauge("log.lines.left.out", this.log::leftOut);
 		this.telemetry.gauge("probes.sent", this.probe::asked);
 		this.telemetry.gauge("probes.failed", this.probe::failed);
@@ -245,7 +245,7 @@
 	 * @return the time since the platform last told anything, in milliseconds
 	 */
 	public long fleetAgeMillis() {
-		return this.fleet.age(MonotonicClock.millis());
+		return this.fleet.ageMillis(MonotonicClock.millis());
 	}
 
 	/**
@@ -261,7 +261,7 @@
 	 * @return true until one that can be read is in force
 	 */
 	public boolean hasUnreadableConfig() {
-		return this.fleet.configUnreadable();
+		return this.fleet.hasUnreadableConfig();
 	}
 
 	/**
@@ -301,7 +301,7 @@
 	void closed(RequestExecution serving, String outcome, int status, String reason) {
 		this.open.remove(serving);
 		long now = MonotonicClock.millis();
-		DecisionLog.RequestLine line = serving.line(outcome, status, reason, now, this.fleet.age(now));
+		DecisionLog.RequestLine line = serving.line(outcome, status, reason, now, this.fleet.ageMillis(now));
 		this.log.request(line);
 		this.returns.closed(serving.request(), line.attempts() > 0 && !outcome.equals("refused"));
 		this.telemetry.request(serving.route().name(), serving.request().teamName(), outcome, line.millis());
@@ -312,7 +312,7 @@
 			// The replicas that were read with it are taken in first.
 			this.vertx.runOnContext((nothing) -> this.dispatcher.release());
 		}
-		this.nodes.learned(change);
+		this.nodes.onChange(change);
 		this.rollouts.learned(change);
 		this.crashes.learned(change);
 		this.backpressure.learned(change);
--- a/daemon/src/main/java/org/gullsaddle/gateway/NodeNoteWriter.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/NodeNoteWriter.java
@@ -31,7 +31,7 @@
 	/**
 	 * Says whether the store has yet to answer.
 	 */
-	boolean busy() {
+	boolean isBusy() {
 		return this.busy;
 	}
 
@@ -43,10 +43,10 @@
 	void write(String value, Runnable dueAgain) {
 		this.busy = true;
 		this.store.write(this.key, this.revision, List.of(new Store.Put(this.key, value)))
-			.subscribe((written) -> wrote(written, dueAgain), (failure) -> refresh(dueAgain));
+			.subscribe((written) -> onWritten(written, dueAgain), (failure) -> refresh(dueAgain));
 	}
 
-	private void wrote(Optional<Long> written, Runnable dueAgain) {
+	private void onWritten(Optional<Long> written, Runnable dueAgain) {
 		if (written.isPresent()) {
 			this.revision = written.get();
 			this.busy = false;
--- a/daemon/src/main/java/org/gullsaddle/gateway/NodeRegistry.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/NodeRegistry.java
@@ -26,22 +26,22 @@
  */
 final class NodeRegistry {
 
-	static final String NOTES = "gullsaddle/nodes/";
+	static final String NOTE_PREFIX = "gullsaddle/nodes/";
 
 	/** When a note is written again that the store may not have, in milliseconds. */
-	private static final long AGAIN_MILLIS = 1000;
+	private static final long RETRY_DELAY_MILLIS = 1000;
 
 	/** How often a note is written, in milliseconds. */
-	private static final long REFRESH_MILLIS = 600_000;
+	private static final long REFRESH_INTERVAL_MILLIS = 600_000;
 
 	/** How many times a note may be missed. */
-	private static final int MOST_MISSED = 3;
+	private static final int MAX_MISSED_REFRESHES = 3;
 
 	/**
 	 * How long nodes may take to read each other's notes, in milliseconds: those that
 	 * start together do not know each other at once.
 	 */
-	private static final long SETTLE_MILLIS = 2000;
+	private static final long SETTLING_MILLIS = 2000;
 
 	private final Vertx vertx;
 
@@ -51,11 +51,11 @@
 
 	private final NodeNoteWriter note;
 
-	private final BooleanSupplier storeAway;
+	private final BooleanSupplier storeUnavailable;
 
 	private final Map<NodeId, Peer> nodes = new TreeMap<>();
 
-	private final Map<NodeId, Integer> missed = new HashMap<>();
+	private final Map<NodeId, Integer> missedRefreshes = new HashMap<>();
 
 	/** The nodes, in a list that stays the same until they change. */
 	private List<Peer> peers = List.of();
@@ -68,22 +68,22 @@
 		this.vertx = vertx;
 		this.self = new NodeId(settings.node());
 		this.place = settings.place().dataCenter();
-		this.note = new NodeNoteWriter(store, NOTES + this.self);
-		this.storeAway = storeAway;
+		this.note = new NodeNoteWriter(store, NOTE_PREFIX + this.self);
+		this.storeUnavailable = storeAway;
 	}
 
 	/**
 	 * Takes in a change of the deployment, or another node's note.
 	 */
-	void learned(FleetChange change) {
-		if (change instanceof FleetChange.Noted noted && noted.key().startsWith(NOTES)) {
-			read(noted).ifPresent(this::seen);
+	void onChange(FleetChange change) {
+		if (change instanceof FleetChange.Noted noted && noted.key().startsWith(NOTE_PREFIX)) {
+			parse(noted).ifPresent(this::onNote);
 		}
 		if (change instanceof FleetChange.Configured && !this.started) {
 			this.started = true;
 			// What was read together with the configuration is taken in first.
 			this.vertx.runOnContext((nothing) -> register());
-			this.vertx.setPeriodic(REFRESH_MILLIS, (timer) -> refresh());
+			this.vertx.setPeriodic(REFRESH_INTERVAL_MILLIS, (timer) -> refresh());
 		}
 	}
 
@@ -91,22 +91,22 @@
 	 * Reads a note. One that says nothing of the node's place, or cannot be read, still
 	 * names a node that takes its share.
 	 */
-	private static Optional<Peer> read(FleetChange.Noted noted) {
+	private static Optional<Peer> parse(FleetChange.Noted noted) {
 		try {
-			NodeId node = new NodeId(noted.key().substring(NOTES.length()));
+			NodeId node = new NodeId(noted.key().substring(NOTE_PREFIX.length()));
 			return Optional.of(new Peer(node, Json.tree(noted.value()).path("dataCenter").asText("")));
 		}
 		catch (IllegalArgumentException ex) {
 			return Optional.empty();
 		}
 		catch (IOException ex) {
-			return Optional.of(new Peer(new NodeId(noted.key().substring(NOTES.length())), ""));
+			return Optional.of(new Peer(new NodeId(noted.key().substring(NOTE_PREFIX.length())), ""));
 		}
 	}
 
-	private void seen(Peer peer) {
-		this.missed.put(peer.node(), 0);
-		if (peer.node().equals(this.self) && !registered()) {
+	private void onNote(Peer peer) {
+		this.missedRefreshes.put(peer.node(), 0);
+		if (peer.node().equals(this.self) && !isRegistered()) {
 			this.registeredAt = MonotonicClock.millis();
 		}
 		if (!peer.equals(this.nodes.put(peer.node(), peer))) {
@@ -124,17 +124,17 @@
 	 * Writes this node's note again, and forgets nodes that have stopped to.
 	 */
 	void refresh() {
-		if (this.storeAway.getAsBoolean()) {
+		if (this.storeUnavailable.getAsBoolean()) {
 			return;
 		}
 		Set<NodeId> gone = new HashSet<>();
-		this.missed.replaceAll((node, times) -> times + 1);
-		this.missed.forEach((node, times) -> {
-			if (times > MOST_MISSED && !node.equals(this.self)) {
+		this.missedRefreshes.replaceAll((node, times) -> times + 1);
+		this.missedRefreshes.forEach((node, times) -> {
+			if (times > MAX_MISSED_REFRESHES && !node.equals(this.self)) {
 				gone.add(node);
 			}
 		});
-		this.missed.keySet().removeAll(gone);
+		this.missedRefreshes.keySet().removeAll(gone);
 		if (this.nodes.keySet().removeAll(gone)) {
 			this.peers = List.copyOf(this.nodes.values());
 		}
@@ -142,9 +142,9 @@
 	}
 
 	private void write() {
-		if (!this.note.busy()) {
+		if (!this.note.isBusy()) {
 			String value = Json.write(Map.of("dataCenter", this.place));
-			this.note.write(value, () -> this.vertx.setTimer(AGAIN_MILLIS, (timer) -> write()));
+			this.note.write(value, () -> this.vertx.setTimer(RETRY_DELAY_MILLIS, (timer) -> write()));
 		}
 	}
 
@@ -152,19 +152,19 @@
 	 * Returns how many nodes there are or were, or empty while the others may not count
 	 * this one.
 	 */
-	Optional<Integer> known() {
-		return registered() ? Optional.of(this.nodes.size()) : Optional.empty();
+	Optional<Integer> knownCount() {
+		return isRegistered() ? Optional.of(this.nodes.size()) : Optional.empty();
 	}
 
 	/**
 	 * Returns the nodes, or empty while they may not all know each other.
 	 */
 	Optional<List<Peer>> peers() {
-		boolean settled = registered() && MonotonicClock.millis() - this.registeredAt >= SETTLE_MILLIS;
+		boolean settled = isRegistered() && MonotonicClock.millis() - this.registeredAt >= SETTLING_MILLIS;
 		return settled ? Optional.of(this.peers) : Optional.empty();
 	}
 
-	private boolean registered() {
+	private boolean isRegistered() {
 		return this.nodes.containsKey(this.self);
 	}
 
--- a/daemon/src/main/java/org/gullsaddle/gateway/ReplicaChooser.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/ReplicaChooser.java
@@ -113,7 +113,7 @@
 		List<Trait> traits = (crashes.countRefused() == 0 || this.request.isTrial()) ? List.of()
 				: this.request.traits(model);
 		return new ReplicaRules.Wanted(this.request.service(), this.request.limit(), this.request.coldStart(),
-				this.gateway.nodes().known(), this.gateway.fleet().rollout(this.request.service()),
+				this.gateway.nodes().knownCount(), this.gateway.fleet().rollout(this.request.service()),
 				this.request.releaseKey(), traits);
 	}
 
--- a/daemon/src/main/java/org/gullsaddle/gateway/RequestDispatcher.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/RequestDispatcher.java
@@ -84,7 +84,7 @@
 			return;
 		}
 		if (config.isEmpty() && !this.gateway.stopping()
-				&& this.held.hold(() -> serve(request, caller, body, startedAt, checked))) {
+				&& this.held.offer(() -> serve(request, caller, body, startedAt, checked))) {
 			return;
 		}
 		if (config.isEmpty()) {
@@ -153,7 +153,7 @@
 		this.gateway.log()
 			.request(new DecisionLog.RequestLine(caller.attemptId().orElse(""), "", "", "", "refused", status, reason,
 					"not-run", 0, false, after.orElse(-1L), 0, version,
-					this.gateway.fleet().age(MonotonicClock.millis()), 0));
+					this.gateway.fleet().ageMillis(MonotonicClock.millis()), 0));
 		this.gateway.telemetry().count("refused." + status);
 	}
 
--- a/daemon/src/main/java/org/gullsaddle/gateway/RolloutController.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/RolloutController.java
@@ -153,7 +153,7 @@
 
 	private void look(Rollout rollout) {
 		long now = MonotonicClock.millis();
-		rollout.look(now, this.fleet.age(now));
+		rollout.look(now, this.fleet.ageMillis(now));
 		reportShare(rollout, rollout.progress(now));
 		rollout.due(now)
 			.filter((state) -> this.turns.mine(now, rollout, state))
@@ -198,7 +198,7 @@
 		boolean news = note.provedMillis() != last.provedMillis;
 		long every = Math.min(NOTE_MILLIS, Math.round(NOTE_PART * rollout.order().durationMillis()));
 		boolean due = news || (note.answers() != last.answers && now - last.at >= every);
-		if (last.note.busy() || !(urgent || due)) {
+		if (last.note.isBusy() || !(urgent || due)) {
 			return;
 		}
 		last.at = now;
--- a/daemon/src/main/java/org/gullsaddle/gateway/StartupRequestQueue.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/StartupRequestQueue.java
@@ -20,19 +20,19 @@
 	static final long HOLD_MILLIS = 500;
 
 	/** How many requests are held; at more the node would be late with all of them. */
-	private static final int MAX_HELD = 200;
+	private static final int MAX_REQUESTS = 200;
 
 	private final List<Runnable> requests = new ArrayList<>();
 
-	private boolean over;
+	private boolean released;
 
 	/**
 	 * Holds a request.
 	 * @param again has it served, or refused, later
 	 * @return false if it is to be refused now
 	 */
-	boolean hold(Runnable again) {
-		return !this.over && this.requests.size() < MAX_HELD && this.requests.add(again);
+	boolean offer(Runnable again) {
+		return !this.released && this.requests.size() < MAX_REQUESTS && this.requests.add(again);
 	}
 
 	int count() {
@@ -43,7 +43,7 @@
 	 * Lets all requests go on, and holds no more.
 	 */
 	void release() {
-		this.over = true;
+		this.released = true;
 		List<Runnable> waiting = List.copyOf(this.requests);
 		this.requests.clear();
 		waiting.forEach(Runnable::run);
--- a/daemon/src/test/java/org/gullsaddle/gateway/NodeRegistryTests.java
+++ b/daemon/src/test/java/org/gullsaddle/gateway/NodeRegistryTests.java
@@ -51,7 +51,7 @@
 	}
 
 	private void note(String node, String value) {
-		this.register.learned(new FleetChange.Noted(NodeRegistry.NOTES + node, value));
+		this.register.onChange(new FleetChange.Noted(NodeRegistry.NOTE_PREFIX + node, value));
 	}
 
 	private void note(String node) {
@@ -71,9 +71,9 @@
 	@Test
 	void nodesAreNotKnownBeforeThisOneIsToTheOthers() {
 		note(OTHER);
-		assertThat(this.register.known()).isEmpty();
+		assertThat(this.register.knownCount()).isEmpty();
 		note(SELF);
-		assertThat(this.register.known()).contains(2);
+		assertThat(this.register.knownCount()).contains(2);
 	}
 
 	/** Guards against nodes that take their shares before the others know them. */
@@ -89,9 +89,9 @@
 		note(SELF);
 		note(OTHER);
 		pass(ROUNDS - 1);
-		assertThat(this.register.known()).contains(2);
+		assertThat(this.register.knownCount()).contains(2);
 		pass(1);
-		assertThat(this.register.known()).contains(1);
+		assertThat(this.register.knownCount()).contains(1);
 	}
 
 	@Test
@@ -102,7 +102,7 @@
 			pass(ROUNDS - 1);
 			note(OTHER);
 		}
-		assertThat(this.register.known()).contains(2);
+		assertThat(this.register.knownCount()).contains(2);
 	}
 
 	/** Guards against nodes that each take all as the store hides the others. */
@@ -112,7 +112,7 @@
 		note(OTHER);
 		this.storeAway = true;
 		pass(10 * ROUNDS);
-		assertThat(this.register.known()).contains(2);
+		assertThat(this.register.knownCount()).contains(2);
 	}
 
 	@Test
@@ -121,7 +121,7 @@
 		for (int i = 0; i < 2 * ROUNDS; i++) {
 			this.register.refresh();
 		}
-		assertThat(this.register.known()).contains(1);
+		assertThat(this.register.knownCount()).contains(1);
 	}
 
 	/** Guards against shares that are too large, as a node's note cannot be read. */
@@ -131,7 +131,7 @@
 		note(OTHER, "no JSON");
 		note("older", "{}");
 		note("", "{}");
-		assertThat(this.register.known()).contains(3);
+		assertThat(this.register.knownCount()).contains(3);
 	}
 
 	@Test
