--- a/daemon/src/main/java/org/gullsaddle/gateway/AnswerRelay.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/AnswerRelay.java
@@ -32,7 +32,7 @@
 	 * @param giveUp ends the request, as its caller reads too slowly
 	 */
 	AnswerRelay(ServedRequest request, Gateway gateway, Runnable giveUp) {
-		this.sink = gateway.holdings().outlet(request, giveUp);
+		this.sink = gateway.holdings().newSink(request, giveUp);
 		this.writer = new CallerAnswerWriter(request.http().response(), this.sink, gateway::stopping);
 	}
 
--- a/daemon/src/main/java/org/gullsaddle/gateway/BufferManager.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/BufferManager.java
@@ -21,7 +21,7 @@
 
 	private final Telemetry telemetry;
 
-	private final Map<Holder, Transfer> parties = new LinkedHashMap<>();
+	private final Map<Holder, Transfer> transfers = new LinkedHashMap<>();
 
 	/**
 	 * Makes what holds as the settings tell. The bytes lie in the heap, which may be less
@@ -36,21 +36,21 @@
 		this.telemetry = telemetry;
 	}
 
-	void showGauges() {
+	void registerGauges() {
 		if (this.budget.isPresent()) {
 			this.telemetry.gauge("held.bytes", () -> this.budget.get().held());
-			this.telemetry.gauge("paused.answers", this::paused);
+			this.telemetry.gauge("paused.answers", this::countPaused);
 		}
 	}
 
-	boolean inForce() {
+	boolean isEnabled() {
 		return this.budget.isPresent();
 	}
 
 	/**
 	 * Says whether more is held than may be, so that only who holds little is read on.
 	 */
-	boolean spent() {
+	boolean isExhausted() {
 		return this.budget.map(HoldingBudget::spent).orElse(false);
 	}
 
@@ -58,8 +58,8 @@
 	 * Returns where an answer's bytes go.
 	 * @param giveUp breaks the answer off
 	 */
-	AnswerSink outlet(ServedRequest request, Runnable giveUp) {
-		return inForce() ? new FlowControlledSink(request, this, giveUp)
+	AnswerSink newSink(ServedRequest request, Runnable giveUp) {
+		return isEnabled() ? new FlowControlledSink(request, this, giveUp)
 				: new AnswerSink.Direct(request.http().response());
 	}
 
@@ -69,28 +69,28 @@
 	 */
 	Holder open(String id, long paceMillis, Transfer party) {
 		Holder holder = this.budget.orElseThrow().holder(id, paceMillis);
-		this.parties.put(holder, party);
+		this.transfers.put(holder, party);
 		return holder;
 	}
 
 	void close(Holder holder) {
-		this.parties.remove(holder);
+		this.transfers.remove(holder);
 		holder.close();
 	}
 
 	/**
 	 * Is called some times a second.
 	 */
-	void look(long now) {
-		if (this.parties.isEmpty()) {
+	void check(long now) {
+		if (this.transfers.isEmpty()) {
 			return;
 		}
-		List.copyOf(this.parties.values()).forEach((party) -> party.check(now));
-		this.budget.flatMap((each) -> each.toGiveUp(now)).ifPresent((holder) -> giveUp(holder, now));
+		List.copyOf(this.transfers.values()).forEach((party) -> party.check(now));
+		this.budget.flatMap((each) -> each.toGiveUp(now)).ifPresent((holder) -> abort(holder, now));
 	}
 
-	private void giveUp(Holder holder, long now) {
-		Transfer party = this.parties.get(holder);
+	private void abort(Holder holder, long now) {
+		Transfer party = this.transfers.get(holder);
 		this.log.givenUp(holder, party.kind(), holder.secondsToEmpty(now), this.budget.orElseThrow().held());
 		this.telemetry.count("given.up." + party.kind());
 		close(holder);
@@ -101,7 +101,7 @@
 	 * Notes that a replica whose answer was paused is read on, lest it cuts the answer
 	 * off.
 	 */
-	void readOn(Holder holder, long pausedMillis) {
+	void recordReadAhead(Holder holder, long pausedMillis) {
 		this.log.readOn(holder, pausedMillis);
 		this.telemetry.count("read.on.answer");
 	}
@@ -110,14 +110,14 @@
 	 * Says whether there are answers that are whole here, and whose callers have yet to
 	 * read them.
 	 */
-	boolean sending() {
-		return this.parties.values()
+	boolean isSending() {
+		return this.transfers.values()
 			.stream()
 			.anyMatch((party) -> party instanceof FlowControlledSink flow && flow.isSending());
 	}
 
-	private long paused() {
-		return this.parties.values().stream().filter(Transfer::isPaused).count();
+	private long countPaused() {
+		return this.transfers.values().stream().filter(Transfer::isPaused).count();
 	}
 
 	/**
--- a/daemon/src/main/java/org/gullsaddle/gateway/ConfigRefresher.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/ConfigRefresher.java
@@ -89,7 +89,7 @@
 	 * Lets knowledge age by the time for which the machine was suspended.
 	 */
 	void checkForSuspension(long now) {
-		long slept = this.suspendDetector.look(now, System.currentTimeMillis());
+		long slept = this.suspendDetector.check(now, System.currentTimeMillis());
 		if (slept > 0) {
 			this.log.suspended(slept);
 			this.state.onSuspended(slept);
--- a/daemon/src/main/java/org/gullsaddle/gateway/DecisionLog.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/DecisionLog.java
@@ -205,8 +205,8 @@
 				.addKeyValue("toldWaiting", told.map(LoadReport::waiting).orElse(-1))
 				.addKeyValue("end", end)
 				.addKeyValue("millis", millis)
-				.addKeyValue("firstEventMillis", stream.begun() ? stream.firstMillis(0) : -1)
-				.addKeyValue("longestGapMillis", stream.longestGap())
+				.addKeyValue("firstEventMillis", stream.hasBegun() ? stream.firstEventMillis(0) : -1)
+				.addKeyValue("longestGapMillis", stream.longestGapMillis())
 				.log("attempt");
 		}
 	}
--- a/daemon/src/main/java/org/gullsaddle/gateway/DrainPolicy.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/DrainPolicy.java
@@ -18,31 +18,31 @@
 	 * two questions, a second apart. What is sent later than three seconds after the
 	 * order to stop must not be cut off at its end, by the platform's rules.
 	 */
-	static final long TAKE_ON_MILLIS = 2900;
+	static final long ACCEPT_ALL_MILLIS = 2900;
 
 	/**
 	 * How long the platform and a node take from its end until it serves again, in
 	 * milliseconds.
 	 */
-	private static final long START_MILLIS = 900;
+	private static final long RESTART_MILLIS = 900;
 
 	/** What is left of the time to stop for ending the process, in milliseconds. */
-	private static final long LAST_MILLIS = 400;
+	private static final long EXIT_MARGIN_MILLIS = 400;
 
 	/**
 	 * How much sooner than the process requests without an answer end, in milliseconds:
 	 * several times what passes between two looks at open requests, so that each gets
 	 * one.
 	 */
-	private static final long ANSWER_MILLIS = 200;
+	private static final long ANSWER_MARGIN_MILLIS = 200;
 
 	/**
 	 * How many objectives of its route a call must have left to be taken on, so that
 	 * nearly all end before the process does.
 	 */
-	private static final long OBJECTIVES = 4;
+	private static final long MIN_OBJECTIVES_LEFT = 4;
 
-	private long begunAt = Long.MAX_VALUE;
+	private long beganAt = Long.MAX_VALUE;
 
 	private long endsAt = Long.MAX_VALUE;
 
@@ -54,8 +54,8 @@
 	 * @param stopMillis how long the process may take, in milliseconds
 	 */
 	void begin(long now, long stopMillis) {
-		this.begunAt = now;
-		this.endsAt = now + stopMillis - LAST_MILLIS;
+		this.beganAt = now;
+		this.endsAt = now + stopMillis - EXIT_MARGIN_MILLIS;
 	}
 
 	/**
@@ -63,18 +63,18 @@
 	 * left it. A call that was taken in those milliseconds was run and its connection
 	 * closed without an answer.
 	 */
-	void end() {
+	void stopAccepting() {
 		this.ended = true;
 	}
 
-	boolean begun() {
-		return this.begunAt != Long.MAX_VALUE;
+	boolean hasBegun() {
+		return this.beganAt != Long.MAX_VALUE;
 	}
 
 	/**
 	 * Says whether what is open must be cut off.
 	 */
-	boolean over(long now) {
+	boolean isOver(long now) {
 		return now >= this.endsAt;
 	}
 
@@ -82,23 +82,23 @@
 	 * Says whether what has no answer yet must get one now, if only that its time is
 	 * over.
 	 */
-	boolean answersNow(long now) {
-		return begun() && now >= this.endsAt - ANSWER_MILLIS;
+	boolean shouldAnswerNow(long now) {
+		return hasBegun() && now >= this.endsAt - ANSWER_MARGIN_MILLIS;
 	}
 
 	/**
 	 * Says whether a request may come at any time, as the balancer may not have noticed.
 	 */
-	boolean takesAll(long now) {
-		return !this.ended && (!begun() || now - this.begunAt < TAKE_ON_MILLIS);
+	boolean acceptsAll(long now) {
+		return !this.ended && (!hasBegun() || now - this.beganAt < ACCEPT_ALL_MILLIS);
 	}
 
 	/**
 	 * Says whether a request of a route is taken on.
 	 */
-	boolean takes(Route route, long now) {
-		return takesAll(now) || (!this.ended && route.kind() != RouteKind.STREAM
-				&& now + OBJECTIVES * route.targetMillis() <= this.endsAt - ANSWER_MILLIS);
+	boolean accepts(Route route, long now) {
+		return acceptsAll(now) || (!this.ended && route.kind() != RouteKind.STREAM
+				&& now + MIN_OBJECTIVES_LEFT * route.targetMillis() <= this.endsAt - ANSWER_MARGIN_MILLIS);
 	}
 
 	/**
@@ -106,8 +106,8 @@
 	 * when a caller is to come back that the balancer sent here though this node says
 	 * that it stops: no other one was ready. Sooner it would use its retries in vain.
 	 */
-	long backMillis(long now) {
-		return Math.max(0, this.endsAt - now) + START_MILLIS;
+	long retryAfterMillis(long now) {
+		return Math.max(0, this.endsAt - now) + RESTART_MILLIS;
 	}
 
 	/**
@@ -115,9 +115,9 @@
 	 * milliseconds. A call gets one before the process ends, if only that its time is
 	 * over; a stream that has begun goes on to the end.
 	 */
-	long latest(Route route) {
+	long latestAnswerAt(Route route) {
 		boolean call = route.kind() != RouteKind.STREAM;
-		return (call && begun()) ? this.endsAt - ANSWER_MILLIS : Long.MAX_VALUE;
+		return (call && hasBegun()) ? this.endsAt - ANSWER_MARGIN_MILLIS : Long.MAX_VALUE;
 	}
 
 }
--- a/daemon/src/main/java/org/gullsaddle/gateway/FlowControlledSink.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/FlowControlledSink.java
@@ -28,7 +28,7 @@
 
 	private final BufferManager buffers;
 
-	private final Runnable giveUp;
+	private final Runnable onAbort;
 
 	private final Holder holder;
 
@@ -55,7 +55,7 @@
 	FlowControlledSink(ServedRequest request, BufferManager holdings, Runnable giveUp) {
 		this.response = request.http().response();
 		this.buffers = holdings;
-		this.giveUp = giveUp;
+		this.onAbort = giveUp;
 		long pace = Math.max(MAX_PAUSE_MILLIS, Math.max(request.route().gapMillis(), request.route().targetMillis()));
 		this.holder = holdings.open(request.id(), pace, this);
 		this.response.setWriteQueueMaxSize(CONNECTION_QUEUE_BYTES);
@@ -177,7 +177,7 @@
 		}
 		else if (now - this.pausedAt >= MAX_PAUSE_MILLIS) {
 			if (!this.readingAhead) {
-				this.buffers.readOn(this.holder, now - this.pausedAt);
+				this.buffers.recordReadAhead(this.holder, now - this.pausedAt);
 			}
 			this.readingAhead = true;
 			resume();
@@ -203,7 +203,7 @@
 
 	@Override
 	public void abort() {
-		this.giveUp.run();
+		this.onAbort.run();
 		discard();
 		if (!this.response.closed()) {
 			this.response.reset();
--- a/daemon/src/main/java/org/gullsaddle/gateway/Gateway.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/Gateway.java
@@ -149,9 +149,9 @@
 		this.telemetry.gauge("config.version", this::configVersion);
 		this.telemetry.gauge("fleet.age.milliseconds", () -> this.fleet.ageMillis(MonotonicClock.millis()));
 		this.telemetry.gauge("log.lines.left.out", this.log::leftOut);
-		this.telemetry.gauge("probes.sent", this.probe::asked);
-		this.telemetry.gauge("probes.failed", this.probe::failed);
-		this.holdings.showGauges();
+		this.telemetry.gauge("probes.sent", this.probe::sentCount);
+		this.telemetry.gauge("probes.failed", this.probe::failedCount);
+		this.holdings.registerGauges();
 	}
 
 	/**
@@ -176,7 +176,7 @@
 		this.feed.start();
 		this.rollouts.start();
 		this.vertx.setTimer(StartupRequestQueue.HOLD_MILLIS, (timer) -> this.dispatcher.release());
-		this.stalls.look(MonotonicClock.millis());
+		this.stalls.check(MonotonicClock.millis());
 		this.vertx.setPeriodic(TICK_MILLIS, (timer) -> tick());
 		this.vertx.setPeriodic(TIDY_MILLIS, (timer) -> tidy());
 		return this.server.listen(this.settings.callerAddress().port(), this.settings.callerAddress().host())
@@ -194,17 +194,17 @@
 		this.vertx.runOnContext((nothing) -> {
 			this.stop.begin(MonotonicClock.millis(), this.settings.stopTimeoutMillis());
 			this.log.stopping(this.open.size());
-			this.vertx.setTimer(DrainPolicy.TAKE_ON_MILLIS,
+			this.vertx.setTimer(DrainPolicy.ACCEPT_ALL_MILLIS,
 					(timer) -> this.vertx.setPeriodic(TICK_MILLIS, (tick) -> endIfIdle(stopped)));
 		});
 		return stopped.future();
 	}
 
 	private void endIfIdle(Promise<Void> stopped) {
-		if (stopped.future().isComplete() || (busy() && !this.stop.over(MonotonicClock.millis()))) {
+		if (stopped.future().isComplete() || (busy() && !this.stop.isOver(MonotonicClock.millis()))) {
 			return;
 		}
-		this.stop.end();
+		this.stop.stopAccepting();
 		this.log.stopped(this.open.size());
 		List.copyOf(this.open).forEach(RequestExecution::cutOff);
 		this.feed.stop();
@@ -212,7 +212,7 @@
 	}
 
 	private boolean busy() {
-		return !this.open.isEmpty() || this.holdings.sending();
+		return !this.open.isEmpty() || this.holdings.isSending();
 	}
 
 	/**
@@ -286,9 +286,9 @@
 		this.log.attempt(serving.request(), attempt, serving.model(), end.toString(), millis, serving.clock(),
 				!(end instanceof AttemptEnd.Answered answered) || answered.failure());
 		this.telemetry.attempt(serving.service().value(), end.word());
-		if (serving.clock().begun() && serving.route().kind() == RouteKind.STREAM) {
+		if (serving.clock().hasBegun() && serving.route().kind() == RouteKind.STREAM) {
 			this.decisions.hopeless().began(now, serving.service());
-			long first = serving.clock().firstMillis(now);
+			long first = serving.clock().firstEventMillis(now);
 			this.telemetry.firstEvent(serving.route().name(), serving.model(), first);
 			this.telemetry.delayError(serving.service().value(), serving.model(),
 					first - Math.round(attempt.choice().delay().expectedMillis()));
@@ -321,14 +321,14 @@
 	private void tick() {
 		long now = MonotonicClock.millis();
 		this.configCheck.checkForSuspension(now);
-		long stalled = this.stalls.look(now);
+		long stalled = this.stalls.check(now);
 		if (stalled > 0) {
 			this.log.stalled(stalled, this.open.size());
 		}
 		if (!this.open.isEmpty()) {
 			List.copyOf(this.open).forEach((serving) -> serving.tick(now));
 		}
-		this.holdings.look(now);
+		this.holdings.check(now);
 		this.crashes.look(now);
 	}
 
@@ -341,7 +341,7 @@
 	}
 
 	boolean stopping() {
-		return this.stop.begun();
+		return this.stop.hasBegun();
 	}
 
 	DrainPolicy stop() {
--- a/daemon/src/main/java/org/gullsaddle/gateway/HttpStatuses.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/HttpStatuses.java
@@ -13,13 +13,13 @@
 
 	static final int NOT_FOUND = 404;
 
-	static final int TOO_LARGE = 413;
+	static final int CONTENT_TOO_LARGE = 413;
 
 	static final int BAD_GATEWAY = 502;
 
-	static final int UNAVAILABLE = 503;
+	static final int SERVICE_UNAVAILABLE = 503;
 
-	static final int TIMED_OUT = 504;
+	static final int GATEWAY_TIMEOUT = 504;
 
 	private static final int FIRST_SUCCESS = 200;
 
@@ -29,12 +29,12 @@
 
 	static final int MISDIRECTED = 421;
 
-	private static final int TOO_MANY = 429;
+	private static final int TOO_MANY_REQUESTS = 429;
 
 	private HttpStatuses() {
 	}
 
-	static boolean success(int status) {
+	static boolean isSuccess(int status) {
 		return status >= FIRST_SUCCESS && status <= LAST_SUCCESS;
 	}
 
@@ -42,7 +42,8 @@
 	 * Says whether callers read a status as: not run, and never will be.
 	 */
 	static boolean promisesNotRun(int status) {
-		return status == UNAVAILABLE || status == REQUEST_TIMEOUT || status == MISDIRECTED || status == TOO_MANY;
+		return status == SERVICE_UNAVAILABLE || status == REQUEST_TIMEOUT || status == MISDIRECTED
+				|| status == TOO_MANY_REQUESTS;
 	}
 
 }
--- a/daemon/src/main/java/org/gullsaddle/gateway/LoadProbe.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/LoadProbe.java
@@ -28,7 +28,7 @@
 final class LoadProbe {
 
 	/** How long engines may take to tell, in milliseconds. */
-	private static final long WAIT_MILLIS = 60;
+	private static final long TIMEOUT_MILLIS = 60;
 
 	private final Vertx vertx;
 
@@ -42,9 +42,9 @@
 
 	private final DecisionLog log;
 
-	private int asked;
+	private int sentCount;
 
-	private int failed;
+	private int failedCount;
 
 	LoadProbe(Vertx vertx, ChannelPool pool, HeaderCodec codec, ReplicaPicker picker,
 			BackpressureController backpressure, DecisionLog log) {
@@ -61,9 +61,9 @@
 	 * @param replicas the engines
 	 * @param then is given those that told in time, which may be none
 	 */
-	void ask(List<Replica> replicas, Consumer<List<Replica>> then) {
+	void probe(List<Replica> replicas, Consumer<List<Replica>> then) {
 		List<Future<Boolean>> answers = replicas.stream()
-			.map((replica) -> ask(replica, WAIT_MILLIS).map(Optional::isPresent))
+			.map((replica) -> probe(replica, TIMEOUT_MILLIS).map(Optional::isPresent))
 			.toList();
 		Future.join(answers).onComplete((all) -> {
 			List<Replica> told = new ArrayList<>();
@@ -79,15 +79,15 @@
 	/**
 	 * Returns how many reports were asked for since the start.
 	 */
-	int asked() {
-		return this.asked;
+	int sentCount() {
+		return this.sentCount;
 	}
 
 	/**
 	 * Returns how many of them did not come in time, or could not be read.
 	 */
-	int failed() {
-		return this.failed;
+	int failedCount() {
+		return this.failedCount;
 	}
 
 	/**
@@ -96,8 +96,8 @@
 	 * @param waitMillis how long it may take to tell, in milliseconds
 	 * @return what it says, empty if it did not tell in time
 	 */
-	Future<Optional<EngineReport>> ask(Replica replica, long waitMillis) {
-		this.asked++;
+	Future<Optional<EngineReport>> probe(Replica replica, long waitMillis) {
+		this.sentCount++;
 		Promise<EngineReport> answer = Promise.promise();
 		long timer = this.vertx.setTimer(waitMillis, (id) -> answer.tryFail("nothing in " + waitMillis + " ms"));
 		answer.future().onComplete((done) -> this.vertx.cancelTimer(timer));
@@ -112,37 +112,37 @@
 				answer.tryFail("asks for fewer requests");
 			}
 			else if (!answer.future().isComplete()) {
-				read(replica, channel).onComplete(answer::tryComplete, answer::tryFail);
+				requestReport(replica, channel).onComplete(answer::tryComplete, answer::tryFail);
 			}
 		});
 		return answer.future()
-			.map((report) -> told(replica, report))
-			.otherwise((failure) -> notTold(replica, failure.getMessage()));
+			.map((report) -> onReport(replica, report))
+			.otherwise((failure) -> onFailure(replica, failure.getMessage()));
 	}
 
-	private Optional<EngineReport> told(Replica replica, EngineReport report) {
+	private Optional<EngineReport> onReport(Replica replica, EngineReport report) {
 		this.picker.report(MonotonicClock.millis(), replica, report);
 		return Optional.of(report);
 	}
 
-	private Optional<EngineReport> notTold(Replica replica, String reason) {
-		this.failed++;
+	private Optional<EngineReport> onFailure(Replica replica, String reason) {
+		this.failedCount++;
 		this.log.loadUnknown(replica.id(), reason);
 		return Optional.empty();
 	}
 
-	private Future<EngineReport> read(Replica replica, ChannelPool.Channel channel) {
+	private Future<EngineReport> requestReport(Replica replica, ChannelPool.Channel channel) {
 		RequestOptions options = new RequestOptions().setMethod(HttpMethod.GET).setURI(this.codec.loadReportPath());
 		return channel.connection().request(options).compose(HttpClientRequest::send).compose((response) -> {
 			ReplicaAnswer answer = this.codec.read(response);
 			this.backpressure.heard(replica, answer);
 			answer.slowdownPercent()
 				.ifPresent((percent) -> this.picker.pace(MonotonicClock.millis(), replica, percent));
-			return response.body().compose((body) -> report(channel, answer, body));
+			return response.body().compose((body) -> parseReport(channel, answer, body));
 		});
 	}
 
-	private Future<EngineReport> report(ChannelPool.Channel channel, ReplicaAnswer answer, Buffer body) {
+	private Future<EngineReport> parseReport(ChannelPool.Channel channel, ReplicaAnswer answer, Buffer body) {
 		Optional<EngineReport> report = answer.isSuccess() ? this.codec.readLoadReport(body) : Optional.empty();
 		if (report.isEmpty()) {
 			return Future.failedFuture("no report, but status " + answer.status());
--- a/daemon/src/main/java/org/gullsaddle/gateway/ReplicaAnswer.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/ReplicaAnswer.java
@@ -33,7 +33,7 @@
 	 * @return true for 200 to 299
 	 */
 	public boolean isSuccess() {
-		return HttpStatuses.success(this.status);
+		return HttpStatuses.isSuccess(this.status);
 	}
 
 }
--- a/daemon/src/main/java/org/gullsaddle/gateway/ReplicaChooser.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/ReplicaChooser.java
@@ -135,7 +135,7 @@
 			then.accept(picker().pick(MonotonicClock.millis(), usable, leftOut, task));
 			return;
 		}
-		this.gateway.probe().ask(asked, (told) -> {
+		this.gateway.probe().probe(asked, (told) -> {
 			Set<ReplicaId> leftOutNow = leftOut(tried, task.model());
 			List<Replica> stillUsable = usable(leftOutNow, task.model());
 			List<Replica> left = withoutSilent(stillUsable, asked, told);
--- a/daemon/src/main/java/org/gullsaddle/gateway/RequestBodyReader.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/RequestBodyReader.java
@@ -16,7 +16,7 @@
 	private static final long DEFAULT_BODY_BYTES = 4_194_304;
 
 	/** In what time a caller shows how fast it sends, in milliseconds. */
-	private static final long PACE_MILLIS = 1000;
+	private static final long RATE_WINDOW_MILLIS = 1000;
 
 	private final Gateway gateway;
 
@@ -30,7 +30,7 @@
 
 	private boolean paused;
 
-	private boolean over;
+	private boolean done;
 
 	RequestBodyReader(Gateway gateway, HttpServerRequest request) {
 		this.gateway = gateway;
@@ -50,39 +50,39 @@
 			.config()
 			.map((config) -> config.limits().bodyBytes())
 			.orElse(DEFAULT_BODY_BYTES);
-		this.request.handler((bytes) -> add(bytes, limit, caller));
-		this.request.exceptionHandler((failure) -> this.over = true);
+		this.request.handler((bytes) -> append(bytes, limit, caller));
+		this.request.exceptionHandler((failure) -> this.done = true);
 		this.request.endHandler((nothing) -> {
-			if (!this.over) {
-				this.over = true;
+			if (!this.done) {
+				this.done = true;
 				this.holder.ifPresent((each) -> each.holds(this.body.length(), false, MonotonicClock.millis()));
 				this.gateway.dispatcher().take(this.request, caller, this.body, this.startedAt);
 			}
 		});
 	}
 
-	private void add(Buffer bytes, long limit, CallerRequest caller) {
-		if (this.over) {
+	private void append(Buffer bytes, long limit, CallerRequest caller) {
+		if (this.done) {
 			return;
 		}
 		if (this.body.length() + bytes.length() > limit) {
-			reject(HttpStatuses.TOO_LARGE, Optional.empty(), "the body is larger than " + limit + " bytes");
+			reject(HttpStatuses.CONTENT_TOO_LARGE, Optional.empty(), "the body is larger than " + limit + " bytes");
 			return;
 		}
 		this.body.appendBuffer(bytes);
-		if (this.gateway.holdings().inForce()) {
-			hold(bytes.length(), caller.attemptId().orElse(""));
+		if (this.gateway.holdings().isEnabled()) {
+			updateHolder(bytes.length(), caller.attemptId().orElse(""));
 		}
 	}
 
-	private void hold(int bytes, String id) {
+	private void updateHolder(int bytes, String id) {
 		if (this.holder.isEmpty()) {
-			this.holder = Optional.of(this.gateway.holdings().open(id, PACE_MILLIS, this));
+			this.holder = Optional.of(this.gateway.holdings().open(id, RATE_WINDOW_MILLIS, this));
 		}
 		Holder mine = this.holder.get();
 		mine.holds(this.body.length(), true, MonotonicClock.millis());
 		mine.moved(bytes, MonotonicClock.millis());
-		if (this.gateway.holdings().spent() && !mine.mayRead()) {
+		if (this.gateway.holdings().isExhausted() && !mine.mayRead()) {
 			this.paused = true;
 			this.request.pause();
 		}
@@ -93,12 +93,12 @@
 		if (this.request.response().ended() || this.request.response().closed()) {
 			this.holder.ifPresent(this.gateway.holdings()::close);
 		}
-		if (this.paused && !this.gateway.holdings().spent()) {
-			readOn();
+		if (this.paused && !this.gateway.holdings().isExhausted()) {
+			resume();
 		}
 	}
 
-	private void readOn() {
+	private void resume() {
 		if (this.paused) {
 			this.paused = false;
 			this.request.resume();
@@ -121,8 +121,9 @@
 	@Override
 	public void abort() {
 		this.body = Buffer.buffer();
-		reject(HttpStatuses.UNAVAILABLE, Optional.of(this.gateway.decisions().comeBackMillis()), "sent too slowly");
-		readOn();
+		reject(HttpStatuses.SERVICE_UNAVAILABLE, Optional.of(this.gateway.decisions().comeBackMillis()),
+				"sent too slowly");
+		resume();
 	}
 
 	/**
@@ -130,7 +131,7 @@
 	 * cannot be told apart from the rest of this one.
 	 */
 	private void reject(int status, Optional<Long> after, String reason) {
-		this.over = true;
+		this.done = true;
 		CallerAnswerWriter writer = new CallerAnswerWriter(this.request.response(), () -> true);
 		this.gateway.dispatcher().refused(writer, CallerRequest.unreadable(), status, after, reason);
 	}
--- a/daemon/src/main/java/org/gullsaddle/gateway/RequestDispatcher.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/RequestDispatcher.java
@@ -37,7 +37,7 @@
 	 * Takes in that a caller has connected.
 	 */
 	void connected(HttpConnection connection) {
-		if (!this.gateway.stop().takesAll(MonotonicClock.millis())) {
+		if (!this.gateway.stop().acceptsAll(MonotonicClock.millis())) {
 			this.lateCallers.add(connection);
 			connection.closeHandler((nothing) -> this.lateCallers.remove(connection));
 		}
@@ -64,7 +64,7 @@
 	 */
 	void take(HttpServerRequest request, CallerRequest caller, Buffer body, long startedAt) {
 		Runnable serve = () -> serve(request, caller, body, startedAt, false);
-		if (this.gateway.stalls().behind(MonotonicClock.millis())) {
+		if (this.gateway.stalls().isBehind(MonotonicClock.millis())) {
 			// A timer that is due may still run in this turn; one that it sets does not.
 			this.vertx.setTimer(1, (first) -> this.vertx.setTimer(1, (second) -> serve.run()));
 		}
@@ -88,8 +88,8 @@
 			return;
 		}
 		if (config.isEmpty()) {
-			refused(writer, caller, HttpStatuses.UNAVAILABLE, Optional.of(this.gateway.decisions().comeBackMillis()),
-					"no configuration yet");
+			refused(writer, caller, HttpStatuses.SERVICE_UNAVAILABLE,
+					Optional.of(this.gateway.decisions().comeBackMillis()), "no configuration yet");
 			return;
 		}
 		Optional<Route> route = config.get().route(caller.host(), caller.path());
@@ -104,10 +104,10 @@
 			refuse(writer, caller, route.isEmpty());
 			return;
 		}
-		if (!this.gateway.stop().takes(route.get(), MonotonicClock.millis())) {
+		if (!this.gateway.stop().accepts(route.get(), MonotonicClock.millis())) {
 			boolean noNodeReady = this.lateCallers.contains(request.connection());
-			long after = noNodeReady ? this.gateway.stop().backMillis(MonotonicClock.millis()) : 0;
-			refused(writer, caller, HttpStatuses.UNAVAILABLE,
+			long after = noNodeReady ? this.gateway.stop().retryAfterMillis(MonotonicClock.millis()) : 0;
+			refused(writer, caller, HttpStatuses.SERVICE_UNAVAILABLE,
 					Optional.of(after + this.gateway.decisions().comeBackMillis()), "stopping");
 			return;
 		}
@@ -116,11 +116,11 @@
 			.under(config.get(), route.get(),
 					this.gateway.decisions().service(route.get(), caller.attemptId().orElse("")))
 			.body(body)
-			.time(startedAt, this.gateway.stop().latest(route.get()))
+			.time(startedAt, this.gateway.stop().latestAnswerAt(route.get()))
 			.build();
-		if (this.gateway.holdings().inForce() && !served.fits()) {
-			refused(writer, caller, HttpStatuses.UNAVAILABLE, Optional.of(this.gateway.decisions().comeBackMillis()),
-					"larger than a replica's memory");
+		if (this.gateway.holdings().isEnabled() && !served.fits()) {
+			refused(writer, caller, HttpStatuses.SERVICE_UNAVAILABLE,
+					Optional.of(this.gateway.decisions().comeBackMillis()), "larger than a replica's memory");
 			return;
 		}
 		new RequestExecution(this.gateway, served).start();
@@ -132,8 +132,8 @@
 	 */
 	private void refuse(CallerAnswerWriter writer, CallerRequest caller, boolean noRoute) {
 		if (this.gateway.configCheck().isDue(false)) {
-			refused(writer, caller, HttpStatuses.UNAVAILABLE, Optional.of(this.gateway.decisions().comeBackMillis()),
-					"the configuration may have changed");
+			refused(writer, caller, HttpStatuses.SERVICE_UNAVAILABLE,
+					Optional.of(this.gateway.decisions().comeBackMillis()), "the configuration may have changed");
 		}
 		else if (noRoute) {
 			refused(writer, caller, HttpStatuses.NOT_FOUND, Optional.empty(), "no route");
--- a/daemon/src/main/java/org/gullsaddle/gateway/RequestExecution.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/RequestExecution.java
@@ -224,7 +224,7 @@
 			this.relay.buffer(from, bytes);
 		}
 		else if (this.relay.relayEvents(from, bytes)) {
-			this.clock.event(MonotonicClock.millis(), from.readSince());
+			this.clock.onEvent(MonotonicClock.millis(), from.readSince());
 		}
 	}
 
@@ -329,7 +329,7 @@
 			return;
 		}
 		boolean notRun = this.rule.verdict() == Verdict.NOT_RUN;
-		int status = notRun ? HttpStatuses.UNAVAILABLE : HttpStatuses.BAD_GATEWAY;
+		int status = notRun ? HttpStatuses.SERVICE_UNAVAILABLE : HttpStatuses.BAD_GATEWAY;
 		Optional<Long> after = notRun ? Optional.of(this.gateway.returns().backMillis(this.request, comeBackMillis))
 				: Optional.empty();
 		this.relay.sendError(status, after, reason);
@@ -343,7 +343,7 @@
 		if (this.done) {
 			return;
 		}
-		if (this.request.left(now) <= 0 || (!this.relay.hasBegun() && this.gateway.stop().answersNow(now))) {
+		if (this.request.left(now) <= 0 || (!this.relay.hasBegun() && this.gateway.stop().shouldAnswerNow(now))) {
 			expire();
 			return;
 		}
@@ -359,8 +359,8 @@
 		}
 		withdraw("deadline");
 		if (!this.relay.hasBegun() && this.rule.verdict() != Verdict.NOT_RUN) {
-			this.relay.sendError(HttpStatuses.TIMED_OUT, Optional.empty(), "deadline");
-			close("failed", HttpStatuses.TIMED_OUT, "deadline");
+			this.relay.sendError(HttpStatuses.GATEWAY_TIMEOUT, Optional.empty(), "deadline");
+			close("failed", HttpStatuses.GATEWAY_TIMEOUT, "deadline");
 			return;
 		}
 		refuse("deadline");
--- a/daemon/src/main/java/org/gullsaddle/gateway/SharedRoutingState.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/SharedRoutingState.java
@@ -186,7 +186,7 @@
 	 * Learns from a stream that has ended.
 	 */
 	void streamed(Route route, String model, StreamTiming clock) {
-		this.models.answered(route, model, clock.firstMillis(MonotonicClock.millis()), clock.longestGap());
+		this.models.answered(route, model, clock.firstEventMillis(MonotonicClock.millis()), clock.longestGapMillis());
 	}
 
 	/**
--- a/daemon/src/main/java/org/gullsaddle/gateway/SilentReplicaHandler.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/SilentReplicaHandler.java
@@ -98,7 +98,7 @@
 		patience.asked(replica.id());
 		this.gateway.telemetry().count("silent.replicas.asked");
 		this.gateway.probe()
-			.ask(replica, SilencePatience.ANSWER_MILLIS)
+			.probe(replica, SilencePatience.ANSWER_MILLIS)
 			.onSuccess((told) -> told.ifPresentOrElse(
 					(report) -> patience.told(MonotonicClock.millis(), replica.id(), report),
 					() -> patience.notTold(MonotonicClock.millis(), replica.id())));
--- a/daemon/src/main/java/org/gullsaddle/gateway/StallDetector.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/StallDetector.java
@@ -14,46 +14,46 @@
 	 * How late a periodic look must be to count as a standstill, in milliseconds: several
 	 * times what a busy node is late by, and less than any patience.
 	 */
-	private static final long STALL_MILLIS = 500;
+	private static final long MIN_STALL_MILLIS = 500;
 
 	/**
 	 * How late a look must be for what lies in the sockets to be old, in milliseconds: a
 	 * part of the second that callers give a node to read their requests.
 	 */
-	private static final long BEHIND_MILLIS = 200;
+	private static final long MIN_LAG_MILLIS = 200;
 
 	/** How long after such a look sockets may still hold old bytes, in milliseconds. */
 	private static final long CATCH_UP_MILLIS = 1000;
 
-	private long lastLook = Long.MAX_VALUE;
+	private long lastCheckAt = Long.MAX_VALUE;
 
 	private long caughtUpAt = Long.MIN_VALUE;
 
-	private long awakeSince = Long.MIN_VALUE;
+	private long resumedAt = Long.MIN_VALUE;
 
 	/**
 	 * Notes a periodic look.
 	 * @return how long the process stood still before it, in milliseconds, 0 if it did
 	 * not
 	 */
-	long look(long now) {
-		long late = (this.lastLook == Long.MAX_VALUE) ? 0 : now - this.lastLook;
-		this.lastLook = now;
-		if (late >= BEHIND_MILLIS) {
+	long check(long now) {
+		long late = (this.lastCheckAt == Long.MAX_VALUE) ? 0 : now - this.lastCheckAt;
+		this.lastCheckAt = now;
+		if (late >= MIN_LAG_MILLIS) {
 			this.caughtUpAt = now + CATCH_UP_MILLIS;
 		}
-		if (late < STALL_MILLIS) {
+		if (late < MIN_STALL_MILLIS) {
 			return 0;
 		}
-		this.awakeSince = now;
+		this.resumedAt = now;
 		return late;
 	}
 
 	/**
 	 * Says whether bytes that are read now may have come long ago.
 	 */
-	boolean behind(long now) {
-		boolean lookIsLate = this.lastLook != Long.MAX_VALUE && now - this.lastLook >= BEHIND_MILLIS;
+	boolean isBehind(long now) {
+		boolean lookIsLate = this.lastCheckAt != Long.MAX_VALUE && now - this.lastCheckAt >= MIN_LAG_MILLIS;
 		return lookIsLate || now < this.caughtUpAt;
 	}
 
@@ -61,7 +61,7 @@
 	 * Returns since when bytes have been waited for that last came at a time.
 	 */
 	long silentSince(long lastByteAt) {
-		return Math.max(lastByteAt, this.awakeSince);
+		return Math.max(lastByteAt, this.resumedAt);
 	}
 
 }
--- a/daemon/src/main/java/org/gullsaddle/gateway/StatusServer.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/StatusServer.java
@@ -14,7 +14,7 @@
  */
 final class StatusServer {
 
-	private static final int SERVER_ERROR = 500;
+	private static final int INTERNAL_SERVER_ERROR = 500;
 
 	/** HTTP/2 classes would be loaded with the first question. */
 	private static final HttpServerOptions OPTIONS = new HttpServerOptions().setHttp2ClearTextEnabled(false);
@@ -26,7 +26,7 @@
 		Address ready = gateway.settings().readinessAddress();
 		Future<Void> listening = vertx.createHttpServer(OPTIONS)
 			.requestHandler((request) -> request.response()
-				.setStatusCode(gateway.isReady() ? HttpStatuses.OK : HttpStatuses.UNAVAILABLE)
+				.setStatusCode(gateway.isReady() ? HttpStatuses.OK : HttpStatuses.SERVICE_UNAVAILABLE)
 				.end())
 			.listen(ready.port(), ready.host())
 			.mapEmpty();
@@ -35,17 +35,17 @@
 			return listening;
 		}
 		return listening.compose((nothing) -> vertx.createHttpServer(OPTIONS)
-			.requestHandler((request) -> metrics(request, gateway))
+			.requestHandler((request) -> serveMetrics(request, gateway))
 			.listen(metrics.port(), metrics.host())
 			.mapEmpty());
 	}
 
-	private static void metrics(HttpServerRequest request, Gateway gateway) {
+	private static void serveMetrics(HttpServerRequest request, Gateway gateway) {
 		try {
 			request.response().putHeader("Content-Type", "text/plain; version=0.0.4").end(gateway.telemetry().scrape());
 		}
 		catch (IOException ex) {
-			request.response().setStatusCode(SERVER_ERROR).end(ex.getMessage());
+			request.response().setStatusCode(INTERNAL_SERVER_ERROR).end(ex.getMessage());
 		}
 	}
 
--- a/daemon/src/main/java/org/gullsaddle/gateway/StreamTiming.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/StreamTiming.java
@@ -5,50 +5,50 @@
  */
 final class StreamTiming {
 
-	private long begunAt;
+	private long beganAt;
 
-	private long firstAt = -1;
+	private long firstEventAt = -1;
 
-	private long lastAt;
+	private long lastEventAt;
 
-	private long longestGap;
+	private long longestGapMillis;
 
 	void begin(long now) {
-		this.begunAt = now;
-		this.firstAt = -1;
-		this.longestGap = 0;
+		this.beganAt = now;
+		this.firstEventAt = -1;
+		this.longestGapMillis = 0;
 	}
 
 	/**
 	 * Notes that one event came, or several together.
 	 * @param readSince since when the replica has been read: before, nothing could come
 	 */
-	void event(long now, long readSince) {
-		if (this.firstAt < 0) {
-			this.firstAt = now;
+	void onEvent(long now, long readSince) {
+		if (this.firstEventAt < 0) {
+			this.firstEventAt = now;
 		}
 		else {
-			this.longestGap = Math.max(this.longestGap, now - Math.max(this.lastAt, readSince));
+			this.longestGapMillis = Math.max(this.longestGapMillis, now - Math.max(this.lastEventAt, readSince));
 		}
-		this.lastAt = now;
+		this.lastEventAt = now;
 	}
 
 	/**
 	 * Returns how long the first event took, up to now if there was none.
 	 */
-	long firstMillis(long now) {
-		return ((this.firstAt >= 0) ? this.firstAt : now) - this.begunAt;
+	long firstEventMillis(long now) {
+		return ((this.firstEventAt >= 0) ? this.firstEventAt : now) - this.beganAt;
 	}
 
 	/**
 	 * Says whether an event has come.
 	 */
-	boolean begun() {
-		return this.firstAt >= 0;
+	boolean hasBegun() {
+		return this.firstEventAt >= 0;
 	}
 
-	long longestGap() {
-		return this.longestGap;
+	long longestGapMillis() {
+		return this.longestGapMillis;
 	}
 
 }
--- a/daemon/src/main/java/org/gullsaddle/gateway/SuspendDetector.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/SuspendDetector.java
@@ -8,11 +8,11 @@
 final class SuspendDetector {
 
 	/** By how much the clocks must differ to count, in milliseconds. */
-	private static final long APART_MILLIS = 300;
+	private static final long MIN_SUSPEND_MILLIS = 300;
 
 	private boolean started;
 
-	private long apart;
+	private long offsetMillis;
 
 	/**
 	 * Compares the clocks.
@@ -21,17 +21,17 @@
 	 * @return how long the machine was suspended since the last look, in milliseconds, 0
 	 * if it was not
 	 */
-	long look(long steady, long timeOfDay) {
-		long before = this.started ? this.apart : timeOfDay - steady;
+	long check(long steady, long timeOfDay) {
+		long before = this.started ? this.offsetMillis : timeOfDay - steady;
 		this.started = true;
-		this.apart = timeOfDay - steady;
-		long slept = this.apart - before;
-		if (slept >= APART_MILLIS) {
+		this.offsetMillis = timeOfDay - steady;
+		long slept = this.offsetMillis - before;
+		if (slept >= MIN_SUSPEND_MILLIS) {
 			return slept;
 		}
 		if (slept > 0) {
 			// Small steps add up: a clock that is set forward in them is a drift.
-			this.apart = before;
+			this.offsetMillis = before;
 		}
 		return 0;
 	}
--- a/daemon/src/test/java/org/gullsaddle/gateway/DrainPolicyTests.java
+++ b/daemon/src/test/java/org/gullsaddle/gateway/DrainPolicyTests.java
@@ -34,8 +34,8 @@
 
 		@Test
 		void everythingIsTakenAndNothingIsShortened() {
-			assertThat(DrainPolicyTests.this.plan.takes(route(RouteKind.STREAM), 1_000_000)).isTrue();
-			assertThat(DrainPolicyTests.this.plan.latest(route(RouteKind.ONCE))).isEqualTo(Long.MAX_VALUE);
+			assertThat(DrainPolicyTests.this.plan.accepts(route(RouteKind.STREAM), 1_000_000)).isTrue();
+			assertThat(DrainPolicyTests.this.plan.latestAnswerAt(route(RouteKind.ONCE))).isEqualTo(Long.MAX_VALUE);
 		}
 
 	}
@@ -50,42 +50,42 @@
 		@Test
 		void streamsAreTakenUntilTheBalancerHasNoticed() {
 			DrainPolicyTests.this.plan.begin(0, STOP_MILLIS);
-			assertThat(DrainPolicyTests.this.plan.takes(route(RouteKind.STREAM), 2899)).isTrue();
-			assertThat(DrainPolicyTests.this.plan.takes(route(RouteKind.STREAM), 2900)).isFalse();
+			assertThat(DrainPolicyTests.this.plan.accepts(route(RouteKind.STREAM), 2899)).isTrue();
+			assertThat(DrainPolicyTests.this.plan.accepts(route(RouteKind.STREAM), 2900)).isFalse();
 		}
 
 		@Test
 		void whatHasNoAnswerGetsOneBeforeTheEnd() {
-			assertThat(DrainPolicyTests.this.plan.answersNow(1_000_000)).isFalse();
+			assertThat(DrainPolicyTests.this.plan.shouldAnswerNow(1_000_000)).isFalse();
 			DrainPolicyTests.this.plan.begin(0, STOP_MILLIS);
-			assertThat(DrainPolicyTests.this.plan.answersNow(7399)).isFalse();
-			assertThat(DrainPolicyTests.this.plan.answersNow(7400)).isTrue();
-			assertThat(DrainPolicyTests.this.plan.over(7400)).isFalse();
+			assertThat(DrainPolicyTests.this.plan.shouldAnswerNow(7399)).isFalse();
+			assertThat(DrainPolicyTests.this.plan.shouldAnswerNow(7400)).isTrue();
+			assertThat(DrainPolicyTests.this.plan.isOver(7400)).isFalse();
 		}
 
 		@Test
 		void callsAreTakenWhileFourObjectivesAreLeft() {
 			DrainPolicyTests.this.plan.begin(0, STOP_MILLIS);
-			assertThat(DrainPolicyTests.this.plan.takes(route(RouteKind.ONCE), 5400)).isTrue();
-			assertThat(DrainPolicyTests.this.plan.takes(route(RouteKind.IDEMPOTENT), 5400)).isTrue();
-			assertThat(DrainPolicyTests.this.plan.takes(route(RouteKind.ONCE), 5401)).isFalse();
+			assertThat(DrainPolicyTests.this.plan.accepts(route(RouteKind.ONCE), 5400)).isTrue();
+			assertThat(DrainPolicyTests.this.plan.accepts(route(RouteKind.IDEMPOTENT), 5400)).isTrue();
+			assertThat(DrainPolicyTests.this.plan.accepts(route(RouteKind.ONCE), 5401)).isFalse();
 		}
 
 		@Test
 		void callerThatNoOtherNodeTakesIsToldWhenThisOneIsBack() {
 			DrainPolicyTests.this.plan.begin(0, STOP_MILLIS);
-			assertThat(DrainPolicyTests.this.plan.backMillis(3000)).isEqualTo(5500);
-			assertThat(DrainPolicyTests.this.plan.backMillis(8000)).isEqualTo(900);
+			assertThat(DrainPolicyTests.this.plan.retryAfterMillis(3000)).isEqualTo(5500);
+			assertThat(DrainPolicyTests.this.plan.retryAfterMillis(8000)).isEqualTo(900);
 		}
 
 		@Test
 		void callThatTakesLongerIsAnsweredBeforeOpenRequestsAreCutOff() {
 			DrainPolicyTests.this.plan.begin(0, STOP_MILLIS);
-			long latest = DrainPolicyTests.this.plan.latest(route(RouteKind.ONCE));
+			long latest = DrainPolicyTests.this.plan.latestAnswerAt(route(RouteKind.ONCE));
 			assertThat(latest).isEqualTo(7400);
-			assertThat(DrainPolicyTests.this.plan.over(latest)).isFalse();
-			assertThat(DrainPolicyTests.this.plan.over(7600)).isTrue();
-			assertThat(DrainPolicyTests.this.plan.latest(route(RouteKind.STREAM))).isEqualTo(Long.MAX_VALUE);
+			assertThat(DrainPolicyTests.this.plan.isOver(latest)).isFalse();
+			assertThat(DrainPolicyTests.this.plan.isOver(7600)).isTrue();
+			assertThat(DrainPolicyTests.this.plan.latestAnswerAt(route(RouteKind.STREAM))).isEqualTo(Long.MAX_VALUE);
 		}
 
 	}
--- a/daemon/src/test/java/org/gullsaddle/gateway/StallDetectorTests.java
+++ b/daemon/src/test/java/org/gullsaddle/gateway/StallDetectorTests.java
@@ -15,8 +15,8 @@
 	 */
 	@Test
 	void silenceWhileTheProcessStoodStillDoesNotCount() {
-		this.watch.look(1000);
-		assertThat(this.watch.look(4000)).isEqualTo(3000);
+		this.watch.check(1000);
+		assertThat(this.watch.check(4000)).isEqualTo(3000);
 		assertThat(this.watch.silentSince(990)).isEqualTo(4000);
 		assertThat(this.watch.silentSince(4100)).isEqualTo(4100);
 	}
@@ -24,31 +24,31 @@
 	/** Guards against work for callers that left while their requests lay unread. */
 	@Test
 	void nodeIsBehindFromAMissedLookUntilItHasCaughtUp() {
-		this.watch.look(1000);
-		assertThat(this.watch.behind(1100)).isFalse();
-		assertThat(this.watch.behind(1250)).isTrue();
-		this.watch.look(1250);
-		assertThat(this.watch.behind(1300)).isTrue();
-		this.watch.look(2240);
-		assertThat(this.watch.behind(4000)).isTrue();
-		this.watch.look(2260);
-		assertThat(this.watch.behind(2310)).isTrue();
-		this.watch.look(2310);
-		assertThat(this.watch.behind(3300)).isTrue();
+		this.watch.check(1000);
+		assertThat(this.watch.isBehind(1100)).isFalse();
+		assertThat(this.watch.isBehind(1250)).isTrue();
+		this.watch.check(1250);
+		assertThat(this.watch.isBehind(1300)).isTrue();
+		this.watch.check(2240);
+		assertThat(this.watch.isBehind(4000)).isTrue();
+		this.watch.check(2260);
+		assertThat(this.watch.isBehind(2310)).isTrue();
+		this.watch.check(2310);
+		assertThat(this.watch.isBehind(3300)).isTrue();
 	}
 
 	@Test
 	void nodeThatLooksInTimeIsNotBehind() {
 		for (long now = 0; now < 5000; now += 50) {
-			this.watch.look(now);
-			assertThat(this.watch.behind(now + 60)).isFalse();
+			this.watch.check(now);
+			assertThat(this.watch.isBehind(now + 60)).isFalse();
 		}
 	}
 
 	@Test
 	void looksThatAreALittleLateAreNoStandstill() {
-		this.watch.look(1000);
-		assertThat(this.watch.look(1300)).isZero();
+		this.watch.check(1000);
+		assertThat(this.watch.check(1300)).isZero();
 		assertThat(this.watch.silentSince(990)).isEqualTo(990);
 	}
 
--- a/daemon/src/test/java/org/gullsaddle/gateway/SuspendDetectorTests.java
+++ b/daemon/src/test/java/org/gullsaddle/gateway/SuspendDetectorTests.java
@@ -16,29 +16,29 @@
 	 */
 	@Test
 	void timeThatOnlyTheTimeOfDayCountedIsFound() {
-		this.watch.look(1000, NOON);
-		assertThat(this.watch.look(1050, NOON + 8050)).isEqualTo(8000);
-		assertThat(this.watch.look(1100, NOON + 8100)).isZero();
+		this.watch.check(1000, NOON);
+		assertThat(this.watch.check(1050, NOON + 8050)).isEqualTo(8000);
+		assertThat(this.watch.check(1100, NOON + 8100)).isZero();
 	}
 
 	@Test
 	void clocksThatGoTogetherAreNoSuspension() {
-		this.watch.look(1000, NOON);
-		assertThat(this.watch.look(9000, NOON + 8000)).isZero();
+		this.watch.check(1000, NOON);
+		assertThat(this.watch.check(9000, NOON + 8000)).isZero();
 	}
 
 	@Test
 	void timeOfDayThatIsSetBackIsNone() {
-		this.watch.look(1000, NOON);
-		assertThat(this.watch.look(1050, NOON - 5000)).isZero();
-		assertThat(this.watch.look(1100, NOON - 4950)).isZero();
+		this.watch.check(1000, NOON);
+		assertThat(this.watch.check(1050, NOON - 5000)).isZero();
+		assertThat(this.watch.check(1100, NOON - 4950)).isZero();
 	}
 
 	@Test
 	void shortOnesAddUp() {
-		this.watch.look(1000, NOON);
-		assertThat(this.watch.look(1050, NOON + 250)).isZero();
-		assertThat(this.watch.look(1100, NOON + 500)).isEqualTo(400);
+		this.watch.check(1000, NOON);
+		assertThat(this.watch.check(1050, NOON + 250)).isZero();
+		assertThat(this.watch.check(1100, NOON + 500)).isEqualTo(400);
 	}
 
 }
