--- a/daemon/src/main/java/org/gullsaddle/gateway/AnswerRelay.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/AnswerRelay.java
@@ -32,8 +32,8 @@
 	 * @param giveUp ends the request, as its caller reads too slowly
 	 */
 	AnswerRelay(ServedRequest request, Gateway gateway, Runnable giveUp) {
-		this.sink = gateway.holdings().newSink(request, giveUp);
-		this.writer = new CallerAnswerWriter(request.http().response(), this.sink, gateway::stopping);
+		this.sink = gateway.buffers().newSink(request, giveUp);
+		this.writer = new CallerAnswerWriter(request.http().response(), this.sink, gateway::isStopping);
 	}
 
 	/**
--- a/daemon/src/main/java/org/gullsaddle/gateway/Attempt.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/Attempt.java
@@ -46,7 +46,7 @@
 
 	private HttpClientResponse response;
 
-	private final Set<PauseReason> holds = EnumSet.noneOf(PauseReason.class);
+	private final Set<PauseReason> pauseReasons = EnumSet.noneOf(PauseReason.class);
 
 	/** When the answer was last read on that had been held back for its caller. */
 	private long resumedAt = this.startedAt;
@@ -64,7 +64,7 @@
 	/** When the first bytes of the body came, negative before. */
 	private long bodyAt = -1;
 
-	private boolean toldThatItGoesOn;
+	private boolean bodyLastedReported;
 
 	/** Whether its answer had no length and ended as its connection did. */
 	private boolean endedWithConnection;
@@ -100,7 +100,7 @@
 				taken.close();
 				return;
 			}
-			if (!this.listener.stillOpen(this)) {
+			if (!this.listener.canStillSend(this)) {
 				taken.close();
 				end(new AttemptEnd.NotRun(false, "replica takes no more requests"));
 				return;
@@ -120,13 +120,13 @@
 	private void send(HttpClientRequest request, MultiMap headers, Buffer body) {
 		this.sent = true;
 		request.headers().setAll(headers);
-		request.exceptionHandler((failure) -> lose("connection broke"));
+		request.exceptionHandler((failure) -> onConnectionLost("connection broke"));
 		request.response().onComplete((response, failure) -> {
 			if (failure != null) {
-				lose("no answer: " + failure.getMessage());
+				onConnectionLost("no answer: " + failure.getMessage());
 			}
 			else {
-				head(response);
+				onResponse(response);
 			}
 		});
 		if (body.length() == 0) {
@@ -137,7 +137,7 @@
 		}
 	}
 
-	private void head(HttpClientResponse response) {
+	private void onResponse(HttpClientResponse response) {
 		this.lastByteAt = MonotonicClock.millis();
 		this.headAt = this.lastByteAt;
 		if (this.ended) {
@@ -151,33 +151,33 @@
 			fail("answer to another request");
 			return;
 		}
-		this.listener.heard(this, this.answer);
+		this.listener.onAnswer(this, this.answer);
 		if (this.answer.isSuccess() && (!this.answer.signed() || this.answer.encoded())) {
 			fail("answer is not the replica's");
 			return;
 		}
-		response.exceptionHandler((failure) -> lose("answer broke off"));
+		response.exceptionHandler((failure) -> onConnectionLost("answer broke off"));
 		response.handler((bytes) -> {
 			this.lastByteAt = MonotonicClock.millis();
 			this.bodyAt = (this.bodyAt < 0) ? this.lastByteAt : this.bodyAt;
-			if (!this.ended && !this.notRun()) {
-				this.listener.data(this, bytes);
+			if (!this.ended && !this.wasNotRun()) {
+				this.listener.onData(this, bytes);
 			}
 		});
-		response.endHandler((nothing) -> whole());
-		if (!notRun()) {
-			this.listener.head(this, this.answer, response.headers());
+		response.endHandler((nothing) -> onBodyEnd());
+		if (!wasNotRun()) {
+			this.listener.onHead(this, this.answer, response.headers());
 		}
 	}
 
-	private boolean notRun() {
-		return this.answer.notRun() || misdirected();
+	private boolean wasNotRun() {
+		return this.answer.notRun() || isMisdirected();
 	}
 
 	/**
 	 * Says whether another process answered than the one that the request was for.
 	 */
-	boolean misdirected() {
+	boolean isMisdirected() {
 		return this.answer != null && this.answer.status() == HttpStatuses.MISDIRECTED;
 	}
 
@@ -185,7 +185,7 @@
 	 * Says whether the answer had neither a length nor chunks and ended with its
 	 * connection, which tells nothing of whether it is whole.
 	 */
-	boolean endedWithConnection() {
+	boolean hasEndedWithConnection() {
 		return this.endedWithConnection;
 	}
 
@@ -193,7 +193,7 @@
 	 * Says whether the end of an answer shows by its length or its last chunk. One whose
 	 * last transfer coding is another ends with its connection (RFC 9112, 6.3).
 	 */
-	static boolean framed(MultiMap headers) {
+	static boolean isFramed(MultiMap headers) {
 		List<String> codings = headers.getAll(HttpHeaders.TRANSFER_ENCODING);
 		if (codings.isEmpty()) {
 			return headers.contains(HttpHeaders.CONTENT_LENGTH);
@@ -205,25 +205,25 @@
 	/**
 	 * Says, once, that the answer has gone on for some time since its body began.
 	 */
-	boolean goesOnFor(long millis) {
-		if (this.toldThatItGoesOn || this.bodyAt < 0 || this.lastByteAt - this.bodyAt < millis) {
+	boolean checkBodyLasted(long millis) {
+		if (this.bodyLastedReported || this.bodyAt < 0 || this.lastByteAt - this.bodyAt < millis) {
 			return false;
 		}
-		this.toldThatItGoesOn = true;
+		this.bodyLastedReported = true;
 		return true;
 	}
 
 	/**
 	 * Says whether the connection broke before the answer was whole.
 	 */
-	boolean lost() {
+	boolean isConnectionLost() {
 		return this.lost;
 	}
 
 	/**
 	 * Says whether nothing listens where the replica was.
 	 */
-	boolean connectRefused() {
+	boolean isConnectionRefused() {
 		return this.connectRefused;
 	}
 
@@ -232,26 +232,26 @@
 	 * be missing, and the HTTP library still tells of an end; the connection's own
 	 * failure comes before it.
 	 */
-	private void whole() {
+	private void onBodyEnd() {
 		if (this.ended) {
 			return;
 		}
 		if (this.channel.hasFailed()) {
-			lose("connection broke in an answer without a length");
+			onConnectionLost("connection broke in an answer without a length");
 			return;
 		}
-		this.endedWithConnection = !framed(this.response.headers());
+		this.endedWithConnection = !isFramed(this.response.headers());
 		if (this.answer.closesConnection()) {
 			this.channel.close();
 		}
 		else {
 			this.pool.release(this.channel, this.answer.keepAliveMillis());
 		}
-		end(notRun() ? new AttemptEnd.NotRun(false, "refused with " + this.answer.status())
+		end(wasNotRun() ? new AttemptEnd.NotRun(false, "refused with " + this.answer.status())
 				: new AttemptEnd.Answered(this.answer.status()));
 	}
 
-	private void lose(String reason) {
+	private void onConnectionLost(String reason) {
 		this.lost = true;
 		fail(reason);
 	}
@@ -281,7 +281,7 @@
 	 * Holds the rest of the answer back, once its head has come.
 	 */
 	void pause(PauseReason reason) {
-		this.holds.add(reason);
+		this.pauseReasons.add(reason);
 		this.response.pause();
 	}
 
@@ -289,11 +289,11 @@
 	 * Lets a paused answer go on, unless there is another reason to hold it back.
 	 */
 	void resume(PauseReason reason) {
-		this.holds.remove(reason);
-		if (reason == PauseReason.CALLER) {
+		this.pauseReasons.remove(reason);
+		if (reason == PauseReason.SLOW_CALLER) {
 			this.resumedAt = MonotonicClock.millis();
 		}
-		if (this.holds.isEmpty()) {
+		if (this.pauseReasons.isEmpty()) {
 			this.response.resume();
 		}
 	}
@@ -302,17 +302,17 @@
 	 * Returns since when the answer has been read without a pause for its caller.
 	 */
 	long readSince() {
-		return this.holds.contains(PauseReason.CALLER) ? MonotonicClock.millis() : this.resumedAt;
+		return this.pauseReasons.contains(PauseReason.SLOW_CALLER) ? MonotonicClock.millis() : this.resumedAt;
 	}
 
-	boolean ended() {
+	boolean hasEnded() {
 		return this.ended;
 	}
 
 	private void end(AttemptEnd end) {
 		if (!this.ended) {
 			this.ended = true;
-			this.listener.ended(this, end);
+			this.listener.onEnded(this, end);
 		}
 	}
 
@@ -370,10 +370,10 @@
 	enum PauseReason {
 
 		/** Its model doubts it, and it may be dropped. */
-		DOUBT,
+		LOW_CONFIDENCE,
 
 		/** Its caller reads slowly. */
-		CALLER
+		SLOW_CALLER
 
 	}
 
@@ -386,18 +386,18 @@
 		 * Says whether the replica may still be sent the request: a new connection takes
 		 * a while, and by then it may be about to stop, or ask for fewer requests.
 		 */
-		boolean stillOpen(Attempt attempt);
+		boolean canStillSend(Attempt attempt);
 
 		/**
 		 * Is told of every answer to the request, also of one by which it did not run.
 		 */
-		void heard(Attempt attempt, ReplicaAnswer answer);
+		void onAnswer(Attempt attempt, ReplicaAnswer answer);
 
-		void head(Attempt attempt, ReplicaAnswer answer, MultiMap headers);
+		void onHead(Attempt attempt, ReplicaAnswer answer, MultiMap headers);
 
-		void data(Attempt attempt, Buffer bytes);
+		void onData(Attempt attempt, Buffer bytes);
 
-		void ended(Attempt attempt, AttemptEnd end);
+		void onEnded(Attempt attempt, AttemptEnd end);
 
 	}
 
--- a/daemon/src/main/java/org/gullsaddle/gateway/Cascade.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/Cascade.java
@@ -43,7 +43,7 @@
 	 * Begins with the model that the caller names, or with the first of the route's.
 	 */
 	Cascade(Gateway gateway, ServedRequest request, RetryRule rule, RequestPriority turn) {
-		this.decisions = gateway.decisions();
+		this.decisions = gateway.routingState();
 		this.log = gateway.log();
 		this.telemetry = gateway.telemetry();
 		this.request = request;
--- a/daemon/src/main/java/org/gullsaddle/gateway/CrashController.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/CrashController.java
@@ -152,7 +152,7 @@
 	 * Notes that more of an answer came.
 	 */
 	void data(ServedRequest request, String model, Attempt attempt) {
-		if (attempt.goesOnFor(BORNE_MILLIS)) {
+		if (attempt.checkBodyLasted(BORNE_MILLIS)) {
 			sound(traits(request, model));
 		}
 	}
@@ -163,7 +163,7 @@
 	void ended(ServedRequest request, String model, Attempt attempt, AttemptEnd end) {
 		switch (end) {
 			case AttemptEnd.Broken broken -> {
-				boolean lost = attempt.lost() || attempt.endedWithConnection();
+				boolean lost = attempt.isConnectionLost() || attempt.hasEndedWithConnection();
 				ended(request, model, attempt, lost ? CrashWatch.Manner.BROKEN : CrashWatch.Manner.GIVEN_UP);
 			}
 			case AttemptEnd.Answered answered -> answered(request, model, attempt, answered);
@@ -177,7 +177,7 @@
 		if (answered.failure()) {
 			return;
 		}
-		if (attempt.endedWithConnection()) {
+		if (attempt.hasEndedWithConnection()) {
 			ended(request, model, attempt, CrashWatch.Manner.CLOSED);
 			boolean again = this.watch.closedAgain(Trait.content(request.content()));
 			if (again || !this.book.everSound(request.partTraits(model))) {
@@ -204,10 +204,10 @@
 	 */
 	private void notRun(Attempt attempt) {
 		Replica replica = attempt.choice().replica();
-		if (attempt.connectRefused()) {
+		if (attempt.isConnectionRefused()) {
 			down(replica.id(), "refuses connections");
 		}
-		else if (attempt.misdirected()) {
+		else if (attempt.isMisdirected()) {
 			down(replica.id(), "another process has its address");
 		}
 	}
--- a/daemon/src/main/java/org/gullsaddle/gateway/FlowControlledSink.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/FlowControlledSink.java
@@ -141,14 +141,14 @@
 		if ((full || !this.holder.mayRead()) && !this.paused) {
 			this.paused = true;
 			this.pausedAt = MonotonicClock.millis();
-			this.source.pause(Attempt.PauseReason.CALLER);
+			this.source.pause(Attempt.PauseReason.SLOW_CALLER);
 		}
 	}
 
 	private void resume() {
 		if (this.paused) {
 			this.paused = false;
-			this.source.resume(Attempt.PauseReason.CALLER);
+			this.source.resume(Attempt.PauseReason.SLOW_CALLER);
 		}
 	}
 
@@ -193,7 +193,7 @@
 
 	@Override
 	public boolean isPaused() {
-		return this.paused && !this.source.ended();
+		return this.paused && !this.source.hasEnded();
 	}
 
 	@Override
--- a/daemon/src/main/java/org/gullsaddle/gateway/Gateway.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/Gateway.java
@@ -36,16 +36,16 @@
 public final class Gateway {
 
 	/** How often open requests are looked at, in milliseconds. */
-	private static final long TICK_MILLIS = 50;
+	private static final long TICK_INTERVAL_MILLIS = 50;
 
 	/** How often idle connections are looked at, in milliseconds. */
-	private static final long TIDY_MILLIS = 1000;
+	private static final long CLEANUP_INTERVAL_MILLIS = 1000;
 
 	/**
 	 * When an idle connection of a caller is closed, in seconds: longer than any caller
 	 * is told to keep one.
 	 */
-	private static final int CALLER_IDLE_SECONDS = 75;
+	private static final int CALLER_IDLE_TIMEOUT_SECONDS = 75;
 
 	private static final int MAX_HEADER_BYTES = 65_536;
 
@@ -61,21 +61,21 @@
 
 	private final FleetState fleet;
 
-	private final SharedRoutingState decisions;
+	private final SharedRoutingState routingState;
 
-	private final RetryAfterAdvisor returns;
+	private final RetryAfterAdvisor retryAfterAdvisor;
 
 	private final ColdPace coldPace;
 
 	private final ChannelPool pool;
 
-	private final LoadProbe probe;
+	private final LoadProbe loadProbe;
 
-	private final FleetPoller feed;
+	private final FleetPoller poller;
 
-	private final ConfigRefresher configCheck;
+	private final ConfigRefresher configRefresher;
 
-	private final NodeRegistry nodes;
+	private final NodeRegistry nodeRegistry;
 
 	private final ReplicaRules rules;
 
@@ -85,15 +85,15 @@
 
 	private final BackpressureController backpressure;
 
-	private final BufferManager holdings;
+	private final BufferManager buffers;
 
-	private final StallDetector stalls = new StallDetector();
+	private final StallDetector stallDetector = new StallDetector();
 
-	private final Set<RequestExecution> open = new LinkedHashSet<>();
+	private final Set<RequestExecution> openRequests = new LinkedHashSet<>();
 
 	private HttpServer server;
 
-	private final DrainPolicy stop = new DrainPolicy();
+	private final DrainPolicy drainPolicy = new DrainPolicy();
 
 	private final RequestDispatcher dispatcher;
 
@@ -102,29 +102,31 @@
 		this.settings = builder.settings;
 		this.codec = builder.codec;
 		this.fleet = new FleetState(this.settings.rolloutLimits());
-		this.holdings = new BufferManager(this.settings.load(), this.log, this.telemetry);
-		this.decisions = new SharedRoutingState(this.settings.place(), this.settings.retryBudgetRatio(),
+		this.buffers = new BufferManager(this.settings.load(), this.log, this.telemetry);
+		this.routingState = new SharedRoutingState(this.settings.place(), this.settings.retryBudgetRatio(),
 				this.settings.load().pressure());
-		this.returns = new RetryAfterAdvisor(this.settings.load().pressure(), this.telemetry);
+		this.retryAfterAdvisor = new RetryAfterAdvisor(this.settings.load().pressure(), this.telemetry);
 		this.coldPace = new ColdPace(this.settings.node());
 		this.pool = new ChannelPool(vertx);
-		this.nodes = new NodeRegistry(vertx, builder.store, this.settings, () -> this.fleet.directory().storeAway());
+		this.nodeRegistry = new NodeRegistry(vertx, builder.store, this.settings,
+				() -> this.fleet.directory().storeAway());
 		BackpressureBook book = new BackpressureBook(new NodeId(this.settings.node()), this.settings.place(),
-				this.nodes::peers, RandomGenerator.getDefault());
+				this.nodeRegistry::peers, RandomGenerator.getDefault());
 		this.backpressure = new BackpressureController(vertx, builder.store, this.fleet, book, this.log,
 				this.telemetry);
-		this.probe = new LoadProbe(vertx, this.pool, this.codec, this.decisions.picker(), this.backpressure, this.log);
-		this.crashes = new CrashController(vertx, builder.store, this.settings.node(), this.pool, this.decisions,
-				this.nodes, this.log, this.telemetry);
+		this.loadProbe = new LoadProbe(vertx, this.pool, this.codec, this.routingState.picker(), this.backpressure,
+				this.log);
+		this.crashes = new CrashController(vertx, builder.store, this.settings.node(), this.pool, this.routingState,
+				this.nodeRegistry, this.log, this.telemetry);
 		this.rules = new ReplicaRules(this.fleet.directory(), this.settings.place(), this.coldPace, book,
 				this.crashes.book());
 		this.rollouts = new RolloutController(vertx, builder.board, builder.store, this.settings.node(), this.fleet,
 				this.log);
 		this.dispatcher = new RequestDispatcher(vertx, this);
-		this.feed = new FleetPoller(vertx, builder.source, this.fleet, this.log, this::learned,
+		this.poller = new FleetPoller(vertx, builder.source, this.fleet, this.log, this::onFleetChange,
 				this.settings.maxPropagationMillis(), this.crashes::unsettled);
-		this.configCheck = new ConfigRefresher(builder.source, this.fleet, this.settings.maxPropagationMillis(),
-				this::learned, this.log, this.telemetry);
+		this.configRefresher = new ConfigRefresher(builder.source, this.fleet, this.settings.maxPropagationMillis(),
+				this::onFleetChange, this.log, this.telemetry);
 	}
 
 	/**
@@ -136,22 +138,22 @@
 		return new Builder(settings);
 	}
 
-	private void showGauges() {
-		this.telemetry.gauge("open.requests", this.open::size);
+	private void registerGauges() {
+		this.telemetry.gauge("open.requests", this.openRequests::size);
 		this.telemetry.gauge("held.requests", this.dispatcher::held);
 		this.telemetry.gauge("replicas.known", () -> this.fleet.directory().known().size());
 		this.telemetry.gauge("replicas.cold", () -> this.fleet.directory().countCold(MonotonicClock.millis()));
-		this.telemetry.gauge("replicas.telling.pace", this.decisions.picker()::countPaces);
+		this.telemetry.gauge("replicas.telling.pace", this.routingState.picker()::countPaces);
 		this.telemetry.gauge("data.centers.evacuated", () -> this.fleet.directory().evacuated().size());
-		this.telemetry.gauge("nodes.known", () -> this.nodes.knownCount().orElse(0));
+		this.telemetry.gauge("nodes.known", () -> this.nodeRegistry.knownCount().orElse(0));
 		this.telemetry.gauge("config.unreadable", () -> this.fleet.hasUnreadableConfig() ? 1 : 0);
 		this.telemetry.gauge("config.age.milliseconds", () -> this.fleet.configAgeMillis(MonotonicClock.millis()));
 		this.telemetry.gauge("config.version", this::configVersion);
 		this.telemetry.gauge("fleet.age.milliseconds", () -> this.fleet.ageMillis(MonotonicClock.millis()));
 		this.telemetry.gauge("log.lines.left.out", this.log::leftOut);
-		this.telemetry.gauge("probes.sent", this.probe::sentCount);
-		this.telemetry.gauge("probes.failed", this.probe::failedCount);
-		this.holdings.registerGauges();
+		this.telemetry.gauge("probes.sent", this.loadProbe::sentCount);
+		this.telemetry.gauge("probes.failed", this.loadProbe::failedCount);
+		this.buffers.registerGauges();
 	}
 
 	/**
@@ -161,7 +163,7 @@
 	public Future<Void> start() {
 		HttpServerOptions options = new HttpServerOptions().setMaxHeaderSize(MAX_HEADER_BYTES)
 			.setMaxInitialLineLength(MAX_HEADER_BYTES)
-			.setIdleTimeout(CALLER_IDLE_SECONDS)
+			.setIdleTimeout(CALLER_IDLE_TIMEOUT_SECONDS)
 			.setTcpNoDelay(true)
 			.setTcpKeepAlive(true)
 			.setReuseAddress(true)
@@ -172,13 +174,13 @@
 		this.server = this.vertx.createHttpServer(options)
 			.connectionHandler(this.dispatcher::connected)
 			.requestHandler((request) -> new RequestBodyReader(this, request).begin());
-		showGauges();
-		this.feed.start();
+		registerGauges();
+		this.poller.start();
 		this.rollouts.start();
 		this.vertx.setTimer(StartupRequestQueue.HOLD_MILLIS, (timer) -> this.dispatcher.release());
-		this.stalls.check(MonotonicClock.millis());
-		this.vertx.setPeriodic(TICK_MILLIS, (timer) -> tick());
-		this.vertx.setPeriodic(TIDY_MILLIS, (timer) -> tidy());
+		this.stallDetector.check(MonotonicClock.millis());
+		this.vertx.setPeriodic(TICK_INTERVAL_MILLIS, (timer) -> tick());
+		this.vertx.setPeriodic(CLEANUP_INTERVAL_MILLIS, (timer) -> cleanUp());
 		return this.server.listen(this.settings.callerAddress().port(), this.settings.callerAddress().host())
 			.compose((listening) -> StatusServer.listen(this.vertx, this))
 			.onSuccess((nothing) -> this.log.started(this.settings.node(), this.settings.place().dataCenter()));
@@ -192,27 +194,27 @@
 	public Future<Void> drain() {
 		Promise<Void> stopped = Promise.promise();
 		this.vertx.runOnContext((nothing) -> {
-			this.stop.begin(MonotonicClock.millis(), this.settings.stopTimeoutMillis());
-			this.log.stopping(this.open.size());
+			this.drainPolicy.begin(MonotonicClock.millis(), this.settings.stopTimeoutMillis());
+			this.log.stopping(this.openRequests.size());
 			this.vertx.setTimer(DrainPolicy.ACCEPT_ALL_MILLIS,
-					(timer) -> this.vertx.setPeriodic(TICK_MILLIS, (tick) -> endIfIdle(stopped)));
+					(timer) -> this.vertx.setPeriodic(TICK_INTERVAL_MILLIS, (tick) -> stopIfIdle(stopped)));
 		});
 		return stopped.future();
 	}
 
-	private void endIfIdle(Promise<Void> stopped) {
-		if (stopped.future().isComplete() || (busy() && !this.stop.isOver(MonotonicClock.millis()))) {
+	private void stopIfIdle(Promise<Void> stopped) {
+		if (stopped.future().isComplete() || (isBusy() && !this.drainPolicy.isOver(MonotonicClock.millis()))) {
 			return;
 		}
-		this.stop.stopAccepting();
-		this.log.stopped(this.open.size());
-		List.copyOf(this.open).forEach(RequestExecution::cutOff);
-		this.feed.stop();
+		this.drainPolicy.stopAccepting();
+		this.log.stopped(this.openRequests.size());
+		List.copyOf(this.openRequests).forEach(RequestExecution::abort);
+		this.poller.stop();
 		stopped.tryComplete();
 	}
 
-	private boolean busy() {
-		return !this.open.isEmpty() || this.holdings.isSending();
+	private boolean isBusy() {
+		return !this.openRequests.isEmpty() || this.buffers.isSending();
 	}
 
 	/**
@@ -228,7 +230,7 @@
 	 * @return true once the configuration and the replicas are known, until a stop
 	 */
 	public boolean isReady() {
-		return !stopping() && this.fleet.config().isPresent() && this.fleet.directory().told();
+		return !isStopping() && this.fleet.config().isPresent() && this.fleet.directory().told();
 	}
 
 	/**
@@ -273,22 +275,22 @@
 		return this.dispatcher.held();
 	}
 
-	void opened(RequestExecution serving) {
-		this.open.add(serving);
-		this.returns.opened(serving.request());
+	void onOpened(RequestExecution serving) {
+		this.openRequests.add(serving);
+		this.retryAfterAdvisor.opened(serving.request());
 		this.rollouts.asked(serving.request());
 	}
 
-	void attemptEnded(RequestExecution serving, Attempt attempt, AttemptEnd end, long now) {
+	void onAttemptEnded(RequestExecution serving, Attempt attempt, AttemptEnd end, long now) {
 		long millis = now - attempt.startedAt();
-		this.decisions.picker().ended(now, attempt.choice(), end);
+		this.routingState.picker().ended(now, attempt.choice(), end);
 		this.crashes.ended(serving.request(), serving.model(), attempt, end);
-		this.log.attempt(serving.request(), attempt, serving.model(), end.toString(), millis, serving.clock(),
+		this.log.attempt(serving.request(), attempt, serving.model(), end.toString(), millis, serving.timing(),
 				!(end instanceof AttemptEnd.Answered answered) || answered.failure());
 		this.telemetry.attempt(serving.service().value(), end.word());
-		if (serving.clock().hasBegun() && serving.route().kind() == RouteKind.STREAM) {
-			this.decisions.hopeless().began(now, serving.service());
-			long first = serving.clock().firstEventMillis(now);
+		if (serving.timing().hasBegun() && serving.route().kind() == RouteKind.STREAM) {
+			this.routingState.hopeless().began(now, serving.service());
+			long first = serving.timing().firstEventMillis(now);
 			this.telemetry.firstEvent(serving.route().name(), serving.model(), first);
 			this.telemetry.delayError(serving.service().value(), serving.model(),
 					first - Math.round(attempt.choice().delay().expectedMillis()));
@@ -298,21 +300,21 @@
 		}
 	}
 
-	void closed(RequestExecution serving, String outcome, int status, String reason) {
-		this.open.remove(serving);
+	void onClosed(RequestExecution serving, String outcome, int status, String reason) {
+		this.openRequests.remove(serving);
 		long now = MonotonicClock.millis();
-		DecisionLog.RequestLine line = serving.line(outcome, status, reason, now, this.fleet.ageMillis(now));
+		DecisionLog.RequestLine line = serving.requestLine(outcome, status, reason, now, this.fleet.ageMillis(now));
 		this.log.request(line);
-		this.returns.closed(serving.request(), line.attempts() > 0 && !outcome.equals("refused"));
+		this.retryAfterAdvisor.closed(serving.request(), line.attempts() > 0 && !outcome.equals("refused"));
 		this.telemetry.request(serving.route().name(), serving.request().teamName(), outcome, line.millis());
 	}
 
-	private void learned(FleetChange change) {
+	private void onFleetChange(FleetChange change) {
 		if (change instanceof FleetChange.Configured) {
 			// The replicas that were read with it are taken in first.
 			this.vertx.runOnContext((nothing) -> this.dispatcher.release());
 		}
-		this.nodes.onChange(change);
+		this.nodeRegistry.onFleetChange(change);
 		this.rollouts.learned(change);
 		this.crashes.learned(change);
 		this.backpressure.learned(change);
@@ -320,64 +322,64 @@
 
 	private void tick() {
 		long now = MonotonicClock.millis();
-		this.configCheck.checkForSuspension(now);
-		long stalled = this.stalls.check(now);
+		this.configRefresher.checkForSuspension(now);
+		long stalled = this.stallDetector.check(now);
 		if (stalled > 0) {
-			this.log.stalled(stalled, this.open.size());
+			this.log.stalled(stalled, this.openRequests.size());
 		}
-		if (!this.open.isEmpty()) {
-			List.copyOf(this.open).forEach((serving) -> serving.tick(now));
+		if (!this.openRequests.isEmpty()) {
+			List.copyOf(this.openRequests).forEach((serving) -> serving.tick(now));
 		}
-		this.holdings.check(now);
+		this.buffers.check(now);
 		this.crashes.look(now);
 	}
 
-	private void tidy() {
+	private void cleanUp() {
 		this.pool.closeExpired(this.fleet.directory().known());
-		this.decisions.picker().retain(this.fleet.directory().known());
-		this.decisions.patience().retain(this.fleet.directory().known());
+		this.routingState.picker().retain(this.fleet.directory().known());
+		this.routingState.patience().retain(this.fleet.directory().known());
 		this.coldPace.retain(this.fleet.directory().known());
 		this.backpressure.retain(this.fleet.directory().known());
 	}
 
-	boolean stopping() {
-		return this.stop.hasBegun();
+	boolean isStopping() {
+		return this.drainPolicy.hasBegun();
 	}
 
-	DrainPolicy stop() {
-		return this.stop;
+	DrainPolicy drainPolicy() {
+		return this.drainPolicy;
 	}
 
 	FleetState fleet() {
 		return this.fleet;
 	}
 
-	SharedRoutingState decisions() {
-		return this.decisions;
+	SharedRoutingState routingState() {
+		return this.routingState;
 	}
 
-	RetryAfterAdvisor returns() {
-		return this.returns;
+	RetryAfterAdvisor retryAfterAdvisor() {
+		return this.retryAfterAdvisor;
 	}
 
 	RequestDispatcher dispatcher() {
 		return this.dispatcher;
 	}
 
-	NodeRegistry nodes() {
-		return this.nodes;
+	NodeRegistry nodeRegistry() {
+		return this.nodeRegistry;
 	}
 
 	ReplicaRules rules() {
 		return this.rules;
 	}
 
-	StallDetector stalls() {
-		return this.stalls;
+	StallDetector stallDetector() {
+		return this.stallDetector;
 	}
 
-	ConfigRefresher configCheck() {
-		return this.configCheck;
+	ConfigRefresher configRefresher() {
+		return this.configRefresher;
 	}
 
 	RolloutController rollouts() {
@@ -396,16 +398,16 @@
 		return this.log;
 	}
 
-	BufferManager holdings() {
-		return this.holdings;
+	BufferManager buffers() {
+		return this.buffers;
 	}
 
 	ChannelPool pool() {
 		return this.pool;
 	}
 
-	LoadProbe probe() {
-		return this.probe;
+	LoadProbe loadProbe() {
+		return this.loadProbe;
 	}
 
 	HeaderCodec codec() {
--- a/daemon/src/main/java/org/gullsaddle/gateway/NodeRegistry.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/NodeRegistry.java
@@ -75,7 +75,7 @@
 	/**
 	 * Takes in a change of the deployment, or another node's note.
 	 */
-	void onChange(FleetChange change) {
+	void onFleetChange(FleetChange change) {
 		if (change instanceof FleetChange.Noted noted && noted.key().startsWith(NOTE_PREFIX)) {
 			parse(noted).ifPresent(this::onNote);
 		}
--- a/daemon/src/main/java/org/gullsaddle/gateway/ReplicaChooser.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/ReplicaChooser.java
@@ -66,9 +66,10 @@
 	 */
 	long comeBackMillis(ReplicaRules.NoReplica why, String model) {
 		if (BY_THE_RULES.contains(why)) {
-			return this.gateway.decisions().comeBackMillis(rules().backMillis(MonotonicClock.millis(), wanted(model)));
+			return this.gateway.routingState()
+				.comeBackMillis(rules().backMillis(MonotonicClock.millis(), wanted(model)));
 		}
-		return this.gateway.decisions().comeBackMillis(why);
+		return this.gateway.routingState().comeBackMillis(why);
 	}
 
 	/**
@@ -113,7 +114,7 @@
 		List<Trait> traits = (crashes.countRefused() == 0 || this.request.isTrial()) ? List.of()
 				: this.request.traits(model);
 		return new ReplicaRules.Wanted(this.request.service(), this.request.limit(), this.request.coldStart(),
-				this.gateway.nodes().knownCount(), this.gateway.fleet().rollout(this.request.service()),
+				this.gateway.nodeRegistry().knownCount(), this.gateway.fleet().rollout(this.request.service()),
 				this.request.releaseKey(), traits);
 	}
 
@@ -135,7 +136,7 @@
 			then.accept(picker().pick(MonotonicClock.millis(), usable, leftOut, task));
 			return;
 		}
-		this.gateway.probe().probe(asked, (told) -> {
+		this.gateway.loadProbe().probe(asked, (told) -> {
 			Set<ReplicaId> leftOutNow = leftOut(tried, task.model());
 			List<Replica> stillUsable = usable(leftOutNow, task.model());
 			List<Replica> left = withoutSilent(stillUsable, asked, told);
@@ -189,7 +190,7 @@
 		List<Replica> usable = usable(Set.of(), task.model());
 		List<Choice> all = picker().best(now, usable, Set.of(), task, usable.size());
 		boolean refused = !rules().anyCold(now, wanted(task.model()))
-				&& this.gateway.decisions().hopeless().refuses(now, this.request.service(), all, left);
+				&& this.gateway.routingState().hopeless().refuses(now, this.request.service(), all, left);
 		if (refused) {
 			this.gateway.telemetry().count("would.not.begin");
 		}
@@ -223,7 +224,7 @@
 	}
 
 	private ReplicaPicker picker() {
-		return this.gateway.decisions().picker();
+		return this.gateway.routingState().picker();
 	}
 
 }
--- a/daemon/src/main/java/org/gullsaddle/gateway/RequestBodyReader.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/RequestBodyReader.java
@@ -70,19 +70,19 @@
 			return;
 		}
 		this.body.appendBuffer(bytes);
-		if (this.gateway.holdings().isEnabled()) {
+		if (this.gateway.buffers().isEnabled()) {
 			updateHolder(bytes.length(), caller.attemptId().orElse(""));
 		}
 	}
 
 	private void updateHolder(int bytes, String id) {
 		if (this.holder.isEmpty()) {
-			this.holder = Optional.of(this.gateway.holdings().open(id, RATE_WINDOW_MILLIS, this));
+			this.holder = Optional.of(this.gateway.buffers().open(id, RATE_WINDOW_MILLIS, this));
 		}
 		Holder mine = this.holder.get();
 		mine.holds(this.body.length(), true, MonotonicClock.millis());
 		mine.moved(bytes, MonotonicClock.millis());
-		if (this.gateway.holdings().isExhausted() && !mine.mayRead()) {
+		if (this.gateway.buffers().isExhausted() && !mine.mayRead()) {
 			this.paused = true;
 			this.request.pause();
 		}
@@ -91,9 +91,9 @@
 	@Override
 	public void check(long now) {
 		if (this.request.response().ended() || this.request.response().closed()) {
-			this.holder.ifPresent(this.gateway.holdings()::close);
+			this.holder.ifPresent(this.gateway.buffers()::close);
 		}
-		if (this.paused && !this.gateway.holdings().isExhausted()) {
+		if (this.paused && !this.gateway.buffers().isExhausted()) {
 			resume();
 		}
 	}
@@ -121,7 +121,7 @@
 	@Override
 	public void abort() {
 		this.body = Buffer.buffer();
-		reject(HttpStatuses.SERVICE_UNAVAILABLE, Optional.of(this.gateway.decisions().comeBackMillis()),
+		reject(HttpStatuses.SERVICE_UNAVAILABLE, Optional.of(this.gateway.routingState().comeBackMillis()),
 				"sent too slowly");
 		resume();
 	}
--- a/daemon/src/main/java/org/gullsaddle/gateway/RequestDispatcher.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/RequestDispatcher.java
@@ -37,7 +37,7 @@
 	 * Takes in that a caller has connected.
 	 */
 	void connected(HttpConnection connection) {
-		if (!this.gateway.stop().acceptsAll(MonotonicClock.millis())) {
+		if (!this.gateway.drainPolicy().acceptsAll(MonotonicClock.millis())) {
 			this.lateCallers.add(connection);
 			connection.closeHandler((nothing) -> this.lateCallers.remove(connection));
 		}
@@ -64,7 +64,7 @@
 	 */
 	void take(HttpServerRequest request, CallerRequest caller, Buffer body, long startedAt) {
 		Runnable serve = () -> serve(request, caller, body, startedAt, false);
-		if (this.gateway.stalls().isBehind(MonotonicClock.millis())) {
+		if (this.gateway.stallDetector().isBehind(MonotonicClock.millis())) {
 			// A timer that is due may still run in this turn; one that it sets does not.
 			this.vertx.setTimer(1, (first) -> this.vertx.setTimer(1, (second) -> serve.run()));
 		}
@@ -78,49 +78,49 @@
 	 * @param checked whether the configuration was read anew for it
 	 */
 	private void serve(HttpServerRequest request, CallerRequest caller, Buffer body, long startedAt, boolean checked) {
-		CallerAnswerWriter writer = new CallerAnswerWriter(request.response(), this.gateway::stopping);
+		CallerAnswerWriter writer = new CallerAnswerWriter(request.response(), this.gateway::isStopping);
 		Optional<FleetConfig> config = this.gateway.fleet().config();
 		if (request.response().closed()) {
 			return;
 		}
-		if (config.isEmpty() && !this.gateway.stopping()
+		if (config.isEmpty() && !this.gateway.isStopping()
 				&& this.held.offer(() -> serve(request, caller, body, startedAt, checked))) {
 			return;
 		}
 		if (config.isEmpty()) {
 			refused(writer, caller, HttpStatuses.SERVICE_UNAVAILABLE,
-					Optional.of(this.gateway.decisions().comeBackMillis()), "no configuration yet");
+					Optional.of(this.gateway.routingState().comeBackMillis()), "no configuration yet");
 			return;
 		}
 		Optional<Route> route = config.get().route(caller.host(), caller.path());
 		boolean keyed = config.get().keyed() && route.isPresent() && !route.get().open();
 		Optional<Team> team = keyed ? caller.apiKey().flatMap(config.get()::team) : Optional.empty();
 		boolean allowed = route.isPresent() && !(keyed && team.isEmpty());
-		if (!checked && this.gateway.configCheck().isDue(allowed)) {
-			this.gateway.configCheck().refresh(() -> serve(request, caller, body, startedAt, true));
+		if (!checked && this.gateway.configRefresher().isDue(allowed)) {
+			this.gateway.configRefresher().refresh(() -> serve(request, caller, body, startedAt, true));
 			return;
 		}
 		if (!allowed) {
 			refuse(writer, caller, route.isEmpty());
 			return;
 		}
-		if (!this.gateway.stop().accepts(route.get(), MonotonicClock.millis())) {
+		if (!this.gateway.drainPolicy().accepts(route.get(), MonotonicClock.millis())) {
 			boolean noNodeReady = this.lateCallers.contains(request.connection());
-			long after = noNodeReady ? this.gateway.stop().retryAfterMillis(MonotonicClock.millis()) : 0;
+			long after = noNodeReady ? this.gateway.drainPolicy().retryAfterMillis(MonotonicClock.millis()) : 0;
 			refused(writer, caller, HttpStatuses.SERVICE_UNAVAILABLE,
-					Optional.of(after + this.gateway.decisions().comeBackMillis()), "stopping");
+					Optional.of(after + this.gateway.routingState().comeBackMillis()), "stopping");
 			return;
 		}
 		ServedRequest served = ServedRequest.of(request)
 			.caller(caller, team)
 			.under(config.get(), route.get(),
-					this.gateway.decisions().service(route.get(), caller.attemptId().orElse("")))
+					this.gateway.routingState().service(route.get(), caller.attemptId().orElse("")))
 			.body(body)
-			.time(startedAt, this.gateway.stop().latestAnswerAt(route.get()))
+			.time(startedAt, this.gateway.drainPolicy().latestAnswerAt(route.get()))
 			.build();
-		if (this.gateway.holdings().isEnabled() && !served.fits()) {
+		if (this.gateway.buffers().isEnabled() && !served.fits()) {
 			refused(writer, caller, HttpStatuses.SERVICE_UNAVAILABLE,
-					Optional.of(this.gateway.decisions().comeBackMillis()), "larger than a replica's memory");
+					Optional.of(this.gateway.routingState().comeBackMillis()), "larger than a replica's memory");
 			return;
 		}
 		new RequestExecution(this.gateway, served).start();
@@ -131,9 +131,9 @@
 	 * only if no newer one may allow it.
 	 */
 	private void refuse(CallerAnswerWriter writer, CallerRequest caller, boolean noRoute) {
-		if (this.gateway.configCheck().isDue(false)) {
+		if (this.gateway.configRefresher().isDue(false)) {
 			refused(writer, caller, HttpStatuses.SERVICE_UNAVAILABLE,
-					Optional.of(this.gateway.decisions().comeBackMillis()), "the configuration may have changed");
+					Optional.of(this.gateway.routingState().comeBackMillis()), "the configuration may have changed");
 		}
 		else if (noRoute) {
 			refused(writer, caller, HttpStatuses.NOT_FOUND, Optional.empty(), "no route");
--- a/daemon/src/main/java/org/gullsaddle/gateway/RequestExecution.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/RequestExecution.java
@@ -45,21 +45,21 @@
 
 	private final Cascade cascade;
 
-	private final SilentReplicaHandler silence;
+	private final SilentReplicaHandler silentReplicaHandler;
 
 	/** What the attempt under way, or the next one, is to do. */
 	private Task task;
 
-	private final StreamTiming clock = new StreamTiming();
+	private final StreamTiming timing = new StreamTiming();
 
 	/** Where the next attempt goes, if that is decided already. */
-	private Optional<Choice> chosen = Optional.empty();
+	private Optional<Choice> nextChoice = Optional.empty();
 
 	private int attempts;
 
-	private boolean promptRead;
+	private boolean promptReadRecorded;
 
-	private final RequestPriority turn;
+	private final RequestPriority priority;
 
 	private boolean done;
 
@@ -68,34 +68,34 @@
 		this.request = request;
 		this.rule = new RetryRule(request.route());
 		this.replicas = new ReplicaChooser(gateway, request);
-		this.turn = new RequestPriority(gateway.decisions(), request);
-		this.cascade = new Cascade(gateway, request, this.rule, this.turn);
-		this.relay = new AnswerRelay(request, gateway, this::givenUp);
-		this.silence = new SilentReplicaHandler(gateway, this, this.rule, this.replicas, this.relay);
+		this.priority = new RequestPriority(gateway.routingState(), request);
+		this.cascade = new Cascade(gateway, request, this.rule, this.priority);
+		this.relay = new AnswerRelay(request, gateway, this::onBufferAbort);
+		this.silentReplicaHandler = new SilentReplicaHandler(gateway, this, this.rule, this.replicas, this.relay);
 	}
 
 	void start() {
 		HttpServerResponse response = this.request.http().response();
-		response.closeHandler((nothing) -> left());
-		response.exceptionHandler((failure) -> left());
-		this.gateway.opened(this);
-		this.gateway.crashes().ask(this.request, model(), this::begin);
+		response.closeHandler((nothing) -> onCallerLeft());
+		response.exceptionHandler((failure) -> onCallerLeft());
+		this.gateway.onOpened(this);
+		this.gateway.crashes().ask(this.request, model(), this::admit);
 	}
 
-	private void begin() {
+	private void admit() {
 		if (this.done) {
 			return;
 		}
 		if (this.replicas.refused(model())) {
-			refuseForNone();
+			refuseWithoutReplica();
 			return;
 		}
-		this.gateway.decisions().earnRetry();
-		this.turn.arrived(MonotonicClock.millis());
-		tryNext();
+		this.gateway.routingState().earnRetry();
+		this.priority.arrived(MonotonicClock.millis());
+		startNextAttempt();
 	}
 
-	private void tryNext() {
+	private void startNextAttempt() {
 		long now = MonotonicClock.millis();
 		long left = this.request.left(now);
 		if (left <= 0) {
@@ -103,19 +103,19 @@
 			return;
 		}
 		this.task = this.request.task(model());
-		if (this.chosen.isPresent()) {
-			Choice choice = this.chosen.get();
-			this.chosen = Optional.empty();
+		if (this.nextChoice.isPresent()) {
+			Choice choice = this.nextChoice.get();
+			this.nextChoice = Optional.empty();
 			send(choice, left);
 			return;
 		}
-		this.replicas.choose(this.task, this.tried, this::sendTo);
+		this.replicas.choose(this.task, this.tried, this::onChoice);
 	}
 
 	/**
 	 * Sends the request to the replica that was picked, unless it ended meanwhile.
 	 */
-	private void sendTo(Optional<Choice> choice) {
+	private void onChoice(Optional<Choice> choice) {
 		if (this.done) {
 			return;
 		}
@@ -124,7 +124,7 @@
 			refuse("no time left");
 		}
 		else if (choice.isEmpty()) {
-			refuseForNone();
+			refuseWithoutReplica();
 		}
 		else if (this.attempts == 0 && this.replicas.hopeless(this.task, choice.get(), left)) {
 			refuse("would not begin in its time");
@@ -134,7 +134,7 @@
 		}
 	}
 
-	private void refuseForNone() {
+	private void refuseWithoutReplica() {
 		ReplicaRules.NoReplica why = this.replicas.whyNone(model());
 		this.gateway.telemetry().count("no.replica." + why.name().toLowerCase(Locale.ROOT));
 		refuse(why.reason(), this.replicas.comeBackMillis(why, model()));
@@ -143,15 +143,15 @@
 	private void send(Choice choice, long left) {
 		this.attempts++;
 		this.tried.add(choice.replica().id());
-		this.promptRead = false;
-		this.clock.begin(MonotonicClock.millis());
-		this.gateway.decisions().picker().sent(MonotonicClock.millis(), choice, this.task);
+		this.promptReadRecorded = false;
+		this.timing.begin(MonotonicClock.millis());
+		this.gateway.routingState().picker().sent(MonotonicClock.millis(), choice, this.task);
 		this.replicas.sent(choice.replica());
 		this.gateway.rollouts().sent(choice.replica());
 		Admission admission = this.replicas.admit(choice.replica());
 		Optional<String> lastEvent = this.relay.lastEventId().or(this.request.caller()::lastEventId);
 		ForwardingContext handover = ForwardingContext.of(this.request, choice.replica().id(), left, model(),
-				this.turn.urgency(MonotonicClock.millis(), choice, this.task), lastEvent);
+				this.priority.urgency(MonotonicClock.millis(), choice, this.task), lastEvent);
 		MultiMap headers = this.gateway.codec().replicaHeaders(this.request.http().headers(), handover);
 		this.attempt = new Attempt(choice, admission, this.replicas.coldMillis(choice.replica()), id(),
 				this.gateway.pool(), this.gateway.codec(), this);
@@ -160,30 +160,32 @@
 	}
 
 	@Override
-	public boolean stillOpen(Attempt from) {
+	public boolean canStillSend(Attempt from) {
 		return this.replicas.stillOpen(from.choice().replica(), from.admission(), model());
 	}
 
 	@Override
-	public void heard(Attempt from, ReplicaAnswer answer) {
+	public void onAnswer(Attempt from, ReplicaAnswer answer) {
 		this.gateway.backpressure().heard(from.choice().replica(), answer);
 	}
 
 	@Override
-	public void head(Attempt from, ReplicaAnswer answer, MultiMap headers) {
-		readPrompt(from);
+	public void onHead(Attempt from, ReplicaAnswer answer, MultiMap headers) {
+		recordPromptRead(from);
 		this.gateway.crashes().head(from);
-		this.gateway.decisions().told(MonotonicClock.millis(), from.choice().replica(), answer);
+		this.gateway.routingState().told(MonotonicClock.millis(), from.choice().replica(), answer);
 		this.gateway.rollouts().answered(new AnswerKind(route().name(), model()), from, answer);
 		if (answer.isSuccess()) {
-			this.gateway.decisions().picker().began(from.choice(), this.task, from.headAt() - from.startedAt(), true);
+			this.gateway.routingState()
+				.picker()
+				.began(from.choice(), this.task, from.headAt() - from.startedAt(), true);
 		}
 		this.relay.onHead(this.gateway.codec().callerHeaders(headers));
 		if (this.relay.hasBegun() && !answer.isSuccess()) {
 			from.withdraw(new AttemptEnd.Broken("no answer to go on with"));
 		}
 		else if (answer.isSuccess() && !this.relay.hasBegun() && !this.request.isTrial()) {
-			doubt(from, answer);
+			checkConfidence(from, answer);
 		}
 	}
 
@@ -191,103 +193,103 @@
 	 * Drops an answer that its model itself doubts, while the caller has none of it, and
 	 * asks a larger model. Until that is decided nothing of the answer goes on.
 	 */
-	private void doubt(Attempt from, ReplicaAnswer answer) {
+	private void checkConfidence(Attempt from, ReplicaAnswer answer) {
 		Optional<String> larger = this.cascade.larger(answer.confidence());
 		if (larger.isEmpty()) {
 			return;
 		}
-		from.pause(Attempt.PauseReason.DOUBT);
+		from.pause(Attempt.PauseReason.LOW_CONFIDENCE);
 		int confidence = answer.confidence().orElse(0);
 		this.replicas.choose(this.request.task(larger.get()), Set.of(), (choice) -> {
-			if (this.done || from.ended()) {
+			if (this.done || from.hasEnded()) {
 				return;
 			}
 			if (this.cascade.drops(confidence, larger.get(), choice, this.request.left(MonotonicClock.millis()))) {
 				this.tried.remove(from.choice().replica().id());
-				this.chosen = choice;
+				this.nextChoice = choice;
 				from.withdraw(new AttemptEnd.Dropped(confidence));
 			}
 			else {
-				from.resume(Attempt.PauseReason.DOUBT);
+				from.resume(Attempt.PauseReason.LOW_CONFIDENCE);
 			}
 		});
 	}
 
 	@Override
-	public void data(Attempt from, Buffer bytes) {
+	public void onData(Attempt from, Buffer bytes) {
 		if (this.done) {
 			return;
 		}
-		this.gateway.decisions().picker().heard(MonotonicClock.millis(), from.choice().replica());
+		this.gateway.routingState().picker().heard(MonotonicClock.millis(), from.choice().replica());
 		this.gateway.crashes().data(this.request, model(), from);
-		if (!streamed(from)) {
+		if (!isStreamed(from)) {
 			this.relay.buffer(from, bytes);
 		}
 		else if (this.relay.relayEvents(from, bytes)) {
-			this.clock.onEvent(MonotonicClock.millis(), from.readSince());
+			this.timing.onEvent(MonotonicClock.millis(), from.readSince());
 		}
 	}
 
 	@Override
-	public void ended(Attempt from, AttemptEnd end) {
+	public void onEnded(Attempt from, AttemptEnd end) {
 		long now = MonotonicClock.millis();
 		AttemptEnd counted = end;
-		if (end instanceof AttemptEnd.Answered && streamed(from) && !this.relay.isAtEventEnd()) {
+		if (end instanceof AttemptEnd.Answered && isStreamed(from) && !this.relay.isAtEventEnd()) {
 			counted = new AttemptEnd.Broken("stream ended within an event");
 		}
-		readPrompt(from);
+		recordPromptRead(from);
 		if (from.answer() == null && !(counted instanceof AttemptEnd.NotRun)) {
-			this.gateway.decisions().picker().began(from.choice(), this.task, now - from.startedAt(), false);
+			this.gateway.routingState().picker().began(from.choice(), this.task, now - from.startedAt(), false);
 		}
 		if (this.request.stream() && !(counted instanceof AttemptEnd.Dropped)
 				&& !(counted instanceof AttemptEnd.NotRun)) {
-			this.gateway.decisions().streamed(route(), model(), this.clock);
+			this.gateway.routingState().streamed(route(), model(), this.timing);
 		}
-		this.turn.ended(now, from.choice(), this.task, counted);
+		this.priority.ended(now, from.choice(), this.task, counted);
 		this.rule.ended(counted);
-		this.gateway.attemptEnded(this, from, counted, now);
+		this.gateway.onAttemptEnded(this, from, counted, now);
 		this.request.tried();
 		if (this.done) {
 			return;
 		}
 		if (counted instanceof AttemptEnd.Dropped) {
 			this.cascade.goOn();
-			tryNext();
+			startNextAttempt();
 			return;
 		}
-		if (counted instanceof AttemptEnd.Answered answered && !(answered.failure() && tryAgain(now))) {
-			finish(from, answered);
+		if (counted instanceof AttemptEnd.Answered answered && !(answered.failure() && retryIfAllowed(now))) {
+			complete(from, answered);
 			return;
 		}
-		if (!(counted instanceof AttemptEnd.Answered) && !tryAgain(now)) {
-			giveUp(counted);
+		if (!(counted instanceof AttemptEnd.Answered) && !retryIfAllowed(now)) {
+			refuseAfter(counted);
 		}
 	}
 
 	/**
 	 * Tries another replica if that is allowed.
 	 */
-	private boolean tryAgain(long now) {
-		if (this.chosen.isPresent()) {
+	private boolean retryIfAllowed(long now) {
+		if (this.nextChoice.isPresent()) {
 			// It was chosen and paid for before the silent replica was left.
-			tryNext();
+			startNextAttempt();
 			return true;
 		}
-		if (!this.rule.mayTryAgain(this.request.left(now)) || !this.silence.mayGoOn()) {
+		if (!this.rule.mayTryAgain(this.request.left(now)) || !this.silentReplicaHandler.mayGoOn()) {
 			return false;
 		}
-		if (!this.replicas.another(this.tried, model()) || !this.gateway.decisions().spendRetry()) {
+		if (!this.replicas.another(this.tried, model()) || !this.gateway.routingState().spendRetry()) {
 			return false;
 		}
-		tryNext();
+		startNextAttempt();
 		return true;
 	}
 
 	/**
 	 * Leaves a silent replica for another one, which was paid for.
 	 */
-	void move(Attempt from, AttemptEnd end, Choice to) {
-		this.chosen = Optional.of(to);
+	void moveTo(Attempt from, AttemptEnd end, Choice to) {
+		this.nextChoice = Optional.of(to);
 		from.withdraw(end);
 	}
 
@@ -296,7 +298,7 @@
 	 * it did not run the request must not reach the caller: there it is a promise that
 	 * nothing ran.
 	 */
-	private void finish(Attempt from, AttemptEnd.Answered answered) {
+	private void complete(Attempt from, AttemptEnd.Answered answered) {
 		boolean falsePromise = HttpStatuses.promisesNotRun(answered.status()) && route().kind() != RouteKind.IDEMPOTENT;
 		if (falsePromise && !this.relay.hasBegun()) {
 			this.relay.sendError(HttpStatuses.BAD_GATEWAY, Optional.empty(),
@@ -308,7 +310,7 @@
 		close(answered.failure() ? "failed" : "served", answered.status(), "answered");
 	}
 
-	private void giveUp(AttemptEnd end) {
+	private void refuseAfter(AttemptEnd end) {
 		refuse(end.why(), this.replicas.comeBackMillis(this.replicas.whyNone(model()), model()));
 	}
 
@@ -316,7 +318,7 @@
 	 * Ends the request without a replica's answer.
 	 */
 	private void refuse(String reason) {
-		refuse(reason, this.gateway.decisions().comeBackMillis());
+		refuse(reason, this.gateway.routingState().comeBackMillis());
 	}
 
 	private void refuse(String reason, long comeBackMillis) {
@@ -330,7 +332,8 @@
 		}
 		boolean notRun = this.rule.verdict() == Verdict.NOT_RUN;
 		int status = notRun ? HttpStatuses.SERVICE_UNAVAILABLE : HttpStatuses.BAD_GATEWAY;
-		Optional<Long> after = notRun ? Optional.of(this.gateway.returns().backMillis(this.request, comeBackMillis))
+		Optional<Long> after = notRun
+				? Optional.of(this.gateway.retryAfterAdvisor().backMillis(this.request, comeBackMillis))
 				: Optional.empty();
 		this.relay.sendError(status, after, reason);
 		close(notRun ? "refused" : "failed", status, reason);
@@ -343,12 +346,13 @@
 		if (this.done) {
 			return;
 		}
-		if (this.request.left(now) <= 0 || (!this.relay.hasBegun() && this.gateway.stop().shouldAnswerNow(now))) {
+		if (this.request.left(now) <= 0
+				|| (!this.relay.hasBegun() && this.gateway.drainPolicy().shouldAnswerNow(now))) {
 			expire();
 			return;
 		}
 		if (this.attempt != null) {
-			this.silence.look(now, this.attempt, this.tried, this.task);
+			this.silentReplicaHandler.look(now, this.attempt, this.tried, this.task);
 		}
 	}
 
@@ -357,7 +361,7 @@
 			refuse("deadline");
 			return;
 		}
-		withdraw("deadline");
+		withdrawAttempt("deadline");
 		if (!this.relay.hasBegun() && this.rule.verdict() != Verdict.NOT_RUN) {
 			this.relay.sendError(HttpStatuses.GATEWAY_TIMEOUT, Optional.empty(), "deadline");
 			close("failed", HttpStatuses.GATEWAY_TIMEOUT, "deadline");
@@ -369,12 +373,12 @@
 	/**
 	 * The caller has closed its connection.
 	 */
-	private void left() {
+	private void onCallerLeft() {
 		if (this.done) {
 			return;
 		}
 		if (this.attempt != null) {
-			withdraw("caller left");
+			withdrawAttempt("caller left");
 		}
 		close("left", 0, "caller left");
 	}
@@ -382,9 +386,9 @@
 	/**
 	 * There is no memory left for what the caller does not read.
 	 */
-	private void givenUp() {
+	private void onBufferAbort() {
 		if (!this.done) {
-			withdraw("given up for memory");
+			withdrawAttempt("given up for memory");
 			refuse("given up for memory");
 		}
 	}
@@ -392,7 +396,7 @@
 	/**
 	 * Ends the attempt under way, without another one after it.
 	 */
-	private void withdraw(String reason) {
+	private void withdrawAttempt(String reason) {
 		this.done = true;
 		this.attempt.withdraw(new AttemptEnd.Withdrawn(reason));
 		this.done = false;
@@ -401,32 +405,32 @@
 	/**
 	 * Cuts the request off as the process ends.
 	 */
-	void cutOff() {
-		left();
+	void abort() {
+		onCallerLeft();
 		this.request.http().connection().close();
 	}
 
 	private void close(String outcome, int status, String reason) {
 		this.done = true;
-		this.gateway.closed(this, outcome, status, reason);
+		this.gateway.onClosed(this, outcome, status, reason);
 	}
 
-	private void readPrompt(Attempt from) {
-		if (!this.promptRead) {
-			this.promptRead = true;
-			this.gateway.decisions().picker().promptRead(from.choice(), this.task);
+	private void recordPromptRead(Attempt from) {
+		if (!this.promptReadRecorded) {
+			this.promptReadRecorded = true;
+			this.gateway.routingState().picker().promptRead(from.choice(), this.task);
 		}
 	}
 
-	private boolean streamed(Attempt from) {
+	private boolean isStreamed(Attempt from) {
 		return this.request.stream() && from.answer() != null && from.answer().isSuccess();
 	}
 
 	/**
 	 * Says whether an attempt is under way and its answer still waited for.
 	 */
-	boolean waitsFor(Attempt from) {
-		return !this.done && this.attempt == from && !from.ended();
+	boolean isWaitingFor(Attempt from) {
+		return !this.done && this.attempt == from && !from.hasEnded();
 	}
 
 	String id() {
@@ -441,8 +445,8 @@
 		return this.request.route();
 	}
 
-	StreamTiming clock() {
-		return this.clock;
+	StreamTiming timing() {
+		return this.timing;
 	}
 
 	ServiceName service() {
@@ -453,10 +457,10 @@
 		return this.cascade.model();
 	}
 
-	DecisionLog.RequestLine line(String outcome, int status, String reason, long now, long age) {
+	DecisionLog.RequestLine requestLine(String outcome, int status, String reason, long now, long age) {
 		return new DecisionLog.RequestLine(id(), route().name(), this.request.team().map(TeamId::value).orElse(""),
 				this.request.content().toString(), outcome, status, reason, this.rule.verdict().toString(),
-				this.attempts, this.turn.over(), this.relay.retryAfterMillis(), route().targetMillis(),
+				this.attempts, this.priority.over(), this.relay.retryAfterMillis(), route().targetMillis(),
 				this.request.config().version(), age, now - this.request.startedAt());
 	}
 
--- a/daemon/src/main/java/org/gullsaddle/gateway/SilentReplicaHandler.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/SilentReplicaHandler.java
@@ -65,7 +65,7 @@
 	 * @param task what the next attempt is to do
 	 */
 	void look(long now, Attempt attempt, Set<ReplicaId> tried, Task task) {
-		if (now < this.nextLook || attempt.ended() || !this.rule.mayMove(this.serving.request().left(now))) {
+		if (now < this.nextLook || attempt.hasEnded() || !this.rule.mayMove(this.serving.request().left(now))) {
 			return;
 		}
 		switch (advice(now, attempt)) {
@@ -88,16 +88,16 @@
 			return silent(now, attempt) ? SilencePatience.Advice.LEAVE : SilencePatience.Advice.WAIT;
 		}
 		long patience = picker().patience(attempt.choice(), attempt.answer() == null, patience());
-		return this.gateway.decisions()
+		return this.gateway.routingState()
 			.patience()
 			.look(now, replica.id(), picker().silentSince(attempt.choice(), since(attempt)), patience);
 	}
 
 	private void ask(Replica replica) {
-		SilencePatience patience = this.gateway.decisions().patience();
+		SilencePatience patience = this.gateway.routingState().patience();
 		patience.asked(replica.id());
 		this.gateway.telemetry().count("silent.replicas.asked");
-		this.gateway.probe()
+		this.gateway.loadProbe()
 			.probe(replica, SilencePatience.ANSWER_MILLIS)
 			.onSuccess((told) -> told.ifPresentOrElse(
 					(report) -> patience.told(MonotonicClock.millis(), replica.id(), report),
@@ -140,18 +140,18 @@
 	 * Leaves the replica, unless it has answered while another one was chosen.
 	 */
 	private void leave(Attempt attempt, AttemptEnd end, Optional<Choice> choice) {
-		if (!this.serving.waitsFor(attempt) || !silent(MonotonicClock.millis(), attempt)) {
+		if (!this.serving.isWaitingFor(attempt) || !silent(MonotonicClock.millis(), attempt)) {
 			return;
 		}
 		if (choice.isEmpty()) {
 			keep(attempt, end, "no replica");
 		}
-		else if (!this.gateway.decisions().spendRetry()) {
+		else if (!this.gateway.routingState().spendRetry()) {
 			keep(attempt, end, "no retry left");
 		}
 		else {
 			note(attempt, "left", end.why());
-			this.serving.move(attempt, end, choice.get());
+			this.serving.moveTo(attempt, end, choice.get());
 		}
 	}
 
@@ -203,15 +203,15 @@
 	}
 
 	private long patience() {
-		return this.gateway.decisions().silenceMillis(this.serving.route(), this.relay.hasBegun());
+		return this.gateway.routingState().silenceMillis(this.serving.route(), this.relay.hasBegun());
 	}
 
 	private long since(Attempt attempt) {
-		return this.gateway.stalls().silentSince(attempt.lastByteAt());
+		return this.gateway.stallDetector().silentSince(attempt.lastByteAt());
 	}
 
 	private ReplicaPicker picker() {
-		return this.gateway.decisions().picker();
+		return this.gateway.routingState().picker();
 	}
 
 }
--- a/daemon/src/test/java/org/gullsaddle/gateway/AttemptTests.java
+++ b/daemon/src/test/java/org/gullsaddle/gateway/AttemptTests.java
@@ -15,8 +15,8 @@
 			"gzip; false", "chunked, gzip; false" })
 	void answerShowsItsEndIfItsLastTransferCodingIsChunked(String codings, boolean framed) {
 		MultiMap headers = MultiMap.caseInsensitiveMultiMap().add("Transfer-Encoding", codings);
-		assertThat(Attempt.framed(headers)).isEqualTo(framed);
-		assertThat(Attempt.framed(headers.add("Content-Length", "12"))).isEqualTo(framed);
+		assertThat(Attempt.isFramed(headers)).isEqualTo(framed);
+		assertThat(Attempt.isFramed(headers.add("Content-Length", "12"))).isEqualTo(framed);
 	}
 
 	@Test
@@ -24,13 +24,13 @@
 		MultiMap headers = MultiMap.caseInsensitiveMultiMap()
 			.add("Transfer-Encoding", "chunked")
 			.add("Transfer-Encoding", "gzip");
-		assertThat(Attempt.framed(headers)).isFalse();
+		assertThat(Attempt.isFramed(headers)).isFalse();
 	}
 
 	@Test
 	void answerWithoutACodingShowsItsEndByItsLength() {
-		assertThat(Attempt.framed(MultiMap.caseInsensitiveMultiMap())).isFalse();
-		assertThat(Attempt.framed(MultiMap.caseInsensitiveMultiMap().add("Content-Length", "0"))).isTrue();
+		assertThat(Attempt.isFramed(MultiMap.caseInsensitiveMultiMap())).isFalse();
+		assertThat(Attempt.isFramed(MultiMap.caseInsensitiveMultiMap().add("Content-Length", "0"))).isTrue();
 	}
 
 }
--- a/daemon/src/test/java/org/gullsaddle/gateway/NodeRegistryTests.java
+++ b/daemon/src/test/java/org/gullsaddle/gateway/NodeRegistryTests.java
@@ -51,7 +51,7 @@
 	}
 
 	private void note(String node, String value) {
-		this.register.onChange(new FleetChange.Noted(NodeRegistry.NOTE_PREFIX + node, value));
+		this.register.onFleetChange(new FleetChange.Noted(NodeRegistry.NOTE_PREFIX + node, value));
 	}
 
 	private void note(String node) {
