--- a/daemon/src/main/java/org/gullsaddle/gateway/Cascade.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/Cascade.java
@@ -29,13 +29,13 @@
 
 	private final RetryRule rule;
 
-	private final RequestPriority turn;
+	private final RequestPriority priority;
 
 	private String model;
 
-	private String next = "";
+	private String nextModel = "";
 
-	private String doubted = "";
+	private String doubtedModel = "";
 
 	private int doubtedConfidence = -1;
 
@@ -49,7 +49,7 @@
 		this.request = request;
 		this.route = request.route();
 		this.rule = rule;
-		this.turn = turn;
+		this.priority = turn;
 		this.model = this.route.models().isEmpty() ? request.caller().model()
 				: this.decisions.models().first(this.route);
 	}
@@ -67,29 +67,29 @@
 	 * @param confidence the model's own opinion of it
 	 * @return the larger model, or empty if the answer is good enough
 	 */
-	Optional<String> larger(OptionalInt confidence) {
+	Optional<String> findLargerModel(OptionalInt confidence) {
 		ModelChooser models = this.decisions.models();
 		if (this.doubtedConfidence >= 0) {
-			models.compared(this.doubted, this.doubtedConfidence, this.model, confidence.orElse(-1));
+			models.compared(this.doubtedModel, this.doubtedConfidence, this.model, confidence.orElse(-1));
 		}
 		return models.larger(this.route, this.model, confidence, this.rule.nextIsLast());
 	}
 
 	/**
-	 * Decides whether a doubted answer is dropped, so that {@link #goOn} follows.
+	 * Decides whether a doubted answer is dropped, so that {@link #advance} follows.
 	 * @param confidence the model's own opinion of it
 	 * @param larger the model that would be asked instead
 	 * @param choice where that would run, if anywhere
 	 * @param left the time left in milliseconds
 	 * @return whether it is dropped
 	 */
-	boolean drops(int confidence, String larger, Optional<Choice> choice, long left) {
-		String kept = whyKept(confidence, choice, left);
+	boolean decideDrop(int confidence, String larger, Optional<Choice> choice, long left) {
+		String kept = reasonToKeep(confidence, choice, left);
 		this.log.doubted(this.request.id(), this.model, confidence, this.decisions.models().enough(), larger, kept);
 		if (kept.isEmpty()) {
-			this.doubted = this.model;
+			this.doubtedModel = this.model;
 			this.doubtedConfidence = confidence;
-			this.next = larger;
+			this.nextModel = larger;
 		}
 		return kept.isEmpty();
 	}
@@ -97,41 +97,41 @@
 	/**
 	 * Goes on with the larger model.
 	 */
-	void goOn() {
-		this.model = this.next;
+	void advance() {
+		this.model = this.nextModel;
 	}
 
 	/**
 	 * Says why an answer that its model doubts is kept all the same, empty if it is not.
 	 */
-	private String whyKept(int confidence, Optional<Choice> choice, long left) {
+	private String reasonToKeep(int confidence, Optional<Choice> choice, long left) {
 		if (!this.rule.mayDrop(left)) {
 			return "no attempt or time left";
 		}
 		if (choice.isEmpty()) {
 			return "no replica";
 		}
-		String tooLong = whyTooLong(confidence, choice.get(), left);
+		String tooLong = reasonTooSlow(confidence, choice.get(), left);
 		if (!tooLong.isEmpty()) {
 			return tooLong;
 		}
 		return this.decisions.spendRetry() ? "" : "no retry left";
 	}
 
-	private String whyTooLong(int confidence, Choice choice, long left) {
+	private String reasonTooSlow(int confidence, Choice choice, long left) {
 		ModelChooser models = this.decisions.models();
 		if (models.isBounded()) {
-			return whyNotJoined(choice, left);
+			return reasonNotToQueue(choice, left);
 		}
 		Delay delay = choice.delay();
 		return models.worthAsking(this.route, confidence, delay, left) ? ""
 				: "in " + Math.round(delay.expectedMillis()) + " of " + left + " ms";
 	}
 
-	private String whyNotJoined(Choice choice, long left) {
+	private String reasonNotToQueue(Choice choice, long left) {
 		QueueBounds bounds = this.decisions.bounds(this.request.config());
 		// What a team sends beyond its share waits behind its rank's other requests.
-		int rank = this.request.rank() + (this.turn.over() ? 1 : 0);
+		int rank = this.request.rank() + (this.priority.isOverShare() ? 1 : 0);
 		boolean joined = this.decisions.models().mayQueue(bounds, rank, choice, left);
 		this.telemetry.count(joined ? "larger.model.queues.joined" : "larger.model.queues.too.long");
 		return joined ? "" : "queue of " + Math.round(choice.queueMillis()) + " ms, " + Math.round(bounds.millis(rank))
--- a/daemon/src/main/java/org/gullsaddle/gateway/Gateway.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/Gateway.java
@@ -277,7 +277,7 @@
 
 	void onOpened(RequestExecution serving) {
 		this.openRequests.add(serving);
-		this.retryAfterAdvisor.opened(serving.request());
+		this.retryAfterAdvisor.onOpened(serving.request());
 		this.rollouts.asked(serving.request());
 	}
 
@@ -305,7 +305,7 @@
 		long now = MonotonicClock.millis();
 		DecisionLog.RequestLine line = serving.requestLine(outcome, status, reason, now, this.fleet.ageMillis(now));
 		this.log.request(line);
-		this.retryAfterAdvisor.closed(serving.request(), line.attempts() > 0 && !outcome.equals("refused"));
+		this.retryAfterAdvisor.onClosed(serving.request(), line.attempts() > 0 && !outcome.equals("refused"));
 		this.telemetry.request(serving.route().name(), serving.request().teamName(), outcome, line.millis());
 	}
 
--- a/daemon/src/main/java/org/gullsaddle/gateway/ReplicaChooser.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/ReplicaChooser.java
@@ -27,8 +27,8 @@
 final class ReplicaChooser {
 
 	/** Why there is no replica for a time that the rules know. */
-	private static final Set<ReplicaRules.NoReplica> BY_THE_RULES = EnumSet.of(ReplicaRules.NoReplica.LIMITED,
-			ReplicaRules.NoReplica.RESTING, ReplicaRules.NoReplica.CRASHES);
+	private static final Set<ReplicaRules.NoReplica> REASONS_WITH_KNOWN_DELAY = EnumSet
+		.of(ReplicaRules.NoReplica.LIMITED, ReplicaRules.NoReplica.RESTING, ReplicaRules.NoReplica.CRASHES);
 
 	private final Gateway gateway;
 
@@ -42,34 +42,34 @@
 	/**
 	 * Says whether there is a replica that the request was not sent to yet.
 	 */
-	boolean another(Set<ReplicaId> tried, String model) {
-		Set<ReplicaId> leftOut = leftOut(tried, model);
+	boolean hasUntried(Set<ReplicaId> tried, String model) {
+		Set<ReplicaId> leftOut = excluded(tried, model);
 		return usable(leftOut, model).stream().anyMatch((replica) -> !leftOut.contains(replica.id()));
 	}
 
 	/**
 	 * Says whether the request may go to no replica, as it would crash it.
 	 */
-	boolean refused(String model) {
-		return rules().refuses(wanted(model));
+	boolean isBlocked(String model) {
+		return rules().refuses(requirements(model));
 	}
 
 	/**
 	 * Says why there is no replica for the request.
 	 */
-	ReplicaRules.NoReplica whyNone(String model) {
-		return rules().whyNone(MonotonicClock.millis(), wanted(model));
+	ReplicaRules.NoReplica noReplicaReason(String model) {
+		return rules().whyNone(MonotonicClock.millis(), requirements(model));
 	}
 
 	/**
 	 * Returns when the caller is to come back, as there is no replica for the request.
 	 */
-	long comeBackMillis(ReplicaRules.NoReplica why, String model) {
-		if (BY_THE_RULES.contains(why)) {
+	long retryAfterMillis(ReplicaRules.NoReplica why, String model) {
+		if (REASONS_WITH_KNOWN_DELAY.contains(why)) {
 			return this.gateway.routingState()
-				.comeBackMillis(rules().backMillis(MonotonicClock.millis(), wanted(model)));
+				.retryAfterMillis(rules().backMillis(MonotonicClock.millis(), requirements(model)));
 		}
-		return this.gateway.routingState().comeBackMillis(why);
+		return this.gateway.routingState().retryAfterMillis(why);
 	}
 
 	/**
@@ -82,8 +82,8 @@
 	/**
 	 * Says whether a replica that was given the request may still be sent it.
 	 */
-	boolean stillOpen(Replica chosen, Admission admission, String model) {
-		return !refused(model) && this.gateway.fleet().directory().stillTakes(MonotonicClock.millis(), chosen)
+	boolean canStillSend(Replica chosen, Admission admission, String model) {
+		return !isBlocked(model) && this.gateway.fleet().directory().stillTakes(MonotonicClock.millis(), chosen)
 				&& this.gateway.backpressure().book().mayStillSend(MonotonicClock.millis(), chosen, admission);
 	}
 
@@ -97,19 +97,19 @@
 	/**
 	 * Notes that the request is sent to a replica.
 	 */
-	void sent(Replica replica) {
-		rules().sent(MonotonicClock.millis(), wanted(""), replica);
+	void recordSent(Replica replica) {
+		rules().sent(MonotonicClock.millis(), requirements(""), replica);
 	}
 
-	private Set<ReplicaId> leftOut(Set<ReplicaId> tried, String model) {
-		return rules().leftOut(MonotonicClock.millis(), wanted(model), tried);
+	private Set<ReplicaId> excluded(Set<ReplicaId> tried, String model) {
+		return rules().leftOut(MonotonicClock.millis(), requirements(model), tried);
 	}
 
 	private List<Replica> usable(Set<ReplicaId> leftOut, String model) {
-		return rules().usable(MonotonicClock.millis(), wanted(model), leftOut);
+		return rules().usable(MonotonicClock.millis(), requirements(model), leftOut);
 	}
 
-	private ReplicaRules.Wanted wanted(String model) {
+	private ReplicaRules.Wanted requirements(String model) {
 		CrashBook crashes = this.gateway.crashes().book();
 		List<Trait> traits = (crashes.countRefused() == 0 || this.request.isTrial()) ? List.of()
 				: this.request.traits(model);
@@ -125,21 +125,21 @@
 	 * @param then is given the choice, at once or when the replicas have told
 	 */
 	void choose(Task task, Set<ReplicaId> tried, Consumer<Optional<Choice>> then) {
-		Set<ReplicaId> leftOut = leftOut(tried, task.model());
+		Set<ReplicaId> leftOut = excluded(tried, task.model());
 		List<Replica> usable = usable(leftOut, task.model());
 		if (this.request.isTrial()) {
-			then.accept(emptiest(task, usable, leftOut));
+			then.accept(chooseLeastLoaded(task, usable, leftOut));
 			return;
 		}
-		List<Replica> asked = toAsk(usable, task, leftOut);
+		List<Replica> asked = replicasToProbe(usable, task, leftOut);
 		if (asked.isEmpty()) {
 			then.accept(picker().pick(MonotonicClock.millis(), usable, leftOut, task));
 			return;
 		}
 		this.gateway.loadProbe().probe(asked, (told) -> {
-			Set<ReplicaId> leftOutNow = leftOut(tried, task.model());
+			Set<ReplicaId> leftOutNow = excluded(tried, task.model());
 			List<Replica> stillUsable = usable(leftOutNow, task.model());
-			List<Replica> left = withoutSilent(stillUsable, asked, told);
+			List<Replica> left = withoutUnanswered(stillUsable, asked, told);
 			then.accept(picker().pick(MonotonicClock.millis(), left, leftOutNow, task)
 				.or(() -> picker().pick(MonotonicClock.millis(), stillUsable, leftOutNow, task)));
 		});
@@ -148,7 +148,7 @@
 	/**
 	 * Chooses the replica with the fewest requests, which are lost if it crashes.
 	 */
-	private Optional<Choice> emptiest(Task task, List<Replica> usable, Set<ReplicaId> leftOut) {
+	private Optional<Choice> chooseLeastLoaded(Task task, List<Replica> usable, Set<ReplicaId> leftOut) {
 		return picker().best(MonotonicClock.millis(), usable, leftOut, task, usable.size())
 			.stream()
 			.min(Comparator.comparingDouble((choice) -> choice.load().requests()));
@@ -158,9 +158,9 @@
 	 * Chooses among the replicas that told their load lately, without asking any.
 	 * @param tried replicas that are left out
 	 */
-	Optional<Choice> known(Task task, Set<ReplicaId> tried) {
+	Optional<Choice> chooseAmongReported(Task task, Set<ReplicaId> tried) {
 		long now = MonotonicClock.millis();
-		Set<ReplicaId> leftOut = new HashSet<>(leftOut(tried, task.model()));
+		Set<ReplicaId> leftOut = new HashSet<>(excluded(tried, task.model()));
 		List<Replica> usable = usable(leftOut, task.model());
 		usable.stream()
 			.filter((replica) -> !picker().toldLately(now, replica))
@@ -172,7 +172,7 @@
 	 * Returns when an answer would begin at a replica if the request came there now. One
 	 * of which nothing is known is taken to be as full as the others, tried ones too.
 	 */
-	Delay delayAt(Replica replica, Task task) {
+	Delay expectedDelay(Replica replica, Task task) {
 		return picker().delayAt(MonotonicClock.millis(), usable(Set.of(), task.model()), replica, task);
 	}
 
@@ -180,7 +180,7 @@
 	 * Says whether the request would not begin in its time at any replica that may run
 	 * its smallest model. What a cold one would do is not known.
 	 */
-	boolean hopeless(Task task, Choice choice, long left) {
+	boolean wouldMissDeadline(Task task, Choice choice, long left) {
 		if (!this.gateway.settings().load().pressure() || this.request.engine().isEmpty()
 				|| !Hopeless.lost(choice, left)) {
 			return false;
@@ -189,7 +189,7 @@
 		// Limited ones are among them: they may take it yet.
 		List<Replica> usable = usable(Set.of(), task.model());
 		List<Choice> all = picker().best(now, usable, Set.of(), task, usable.size());
-		boolean refused = !rules().anyCold(now, wanted(task.model()))
+		boolean refused = !rules().anyCold(now, requirements(task.model()))
 				&& this.gateway.routingState().hopeless().refuses(now, this.request.service(), all, left);
 		if (refused) {
 			this.gateway.telemetry().count("would.not.begin");
@@ -201,19 +201,19 @@
 	 * A question is work too: what cold or limited replicas bear is kept for requests,
 	 * and one that asks for rest is not asked.
 	 */
-	private List<Replica> toAsk(List<Replica> usable, Task task, Set<ReplicaId> leftOut) {
-		return picker().toAsk(MonotonicClock.millis(), usable, leftOut, task).stream().filter(this::mayAsk).toList();
+	private List<Replica> replicasToProbe(List<Replica> usable, Task task, Set<ReplicaId> leftOut) {
+		return picker().toAsk(MonotonicClock.millis(), usable, leftOut, task).stream().filter(this::canProbe).toList();
 	}
 
 	/**
 	 * Says whether a replica may be asked for its load.
 	 */
-	boolean mayAsk(Replica replica) {
-		return !rules().cold(MonotonicClock.millis(), wanted(""), replica)
+	boolean canProbe(Replica replica) {
+		return !rules().cold(MonotonicClock.millis(), requirements(""), replica)
 				&& this.gateway.backpressure().mayAsk(replica);
 	}
 
-	private static List<Replica> withoutSilent(List<Replica> usable, List<Replica> asked, List<Replica> told) {
+	private static List<Replica> withoutUnanswered(List<Replica> usable, List<Replica> asked, List<Replica> told) {
 		Set<ReplicaId> silent = asked.stream().map(Replica::id).collect(Collectors.toSet());
 		told.forEach((replica) -> silent.remove(replica.id()));
 		return usable.stream().filter((replica) -> !silent.contains(replica.id())).toList();
--- a/daemon/src/main/java/org/gullsaddle/gateway/RequestBodyReader.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/RequestBodyReader.java
@@ -121,7 +121,7 @@
 	@Override
 	public void abort() {
 		this.body = Buffer.buffer();
-		reject(HttpStatuses.SERVICE_UNAVAILABLE, Optional.of(this.gateway.routingState().comeBackMillis()),
+		reject(HttpStatuses.SERVICE_UNAVAILABLE, Optional.of(this.gateway.routingState().retryAfterMillis()),
 				"sent too slowly");
 		resume();
 	}
--- a/daemon/src/main/java/org/gullsaddle/gateway/RequestDispatcher.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/RequestDispatcher.java
@@ -89,7 +89,7 @@
 		}
 		if (config.isEmpty()) {
 			refused(writer, caller, HttpStatuses.SERVICE_UNAVAILABLE,
-					Optional.of(this.gateway.routingState().comeBackMillis()), "no configuration yet");
+					Optional.of(this.gateway.routingState().retryAfterMillis()), "no configuration yet");
 			return;
 		}
 		Optional<Route> route = config.get().route(caller.host(), caller.path());
@@ -108,7 +108,7 @@
 			boolean noNodeReady = this.lateCallers.contains(request.connection());
 			long after = noNodeReady ? this.gateway.drainPolicy().retryAfterMillis(MonotonicClock.millis()) : 0;
 			refused(writer, caller, HttpStatuses.SERVICE_UNAVAILABLE,
-					Optional.of(after + this.gateway.routingState().comeBackMillis()), "stopping");
+					Optional.of(after + this.gateway.routingState().retryAfterMillis()), "stopping");
 			return;
 		}
 		ServedRequest served = ServedRequest.of(request)
@@ -120,7 +120,7 @@
 			.build();
 		if (this.gateway.buffers().isEnabled() && !served.fits()) {
 			refused(writer, caller, HttpStatuses.SERVICE_UNAVAILABLE,
-					Optional.of(this.gateway.routingState().comeBackMillis()), "larger than a replica's memory");
+					Optional.of(this.gateway.routingState().retryAfterMillis()), "larger than a replica's memory");
 			return;
 		}
 		new RequestExecution(this.gateway, served).start();
@@ -133,7 +133,7 @@
 	private void refuse(CallerAnswerWriter writer, CallerRequest caller, boolean noRoute) {
 		if (this.gateway.configRefresher().isDue(false)) {
 			refused(writer, caller, HttpStatuses.SERVICE_UNAVAILABLE,
-					Optional.of(this.gateway.routingState().comeBackMillis()), "the configuration may have changed");
+					Optional.of(this.gateway.routingState().retryAfterMillis()), "the configuration may have changed");
 		}
 		else if (noRoute) {
 			refused(writer, caller, HttpStatuses.NOT_FOUND, Optional.empty(), "no route");
--- a/daemon/src/main/java/org/gullsaddle/gateway/RequestExecution.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/RequestExecution.java
@@ -86,12 +86,12 @@
 		if (this.done) {
 			return;
 		}
-		if (this.replicas.refused(model())) {
+		if (this.replicas.isBlocked(model())) {
 			refuseWithoutReplica();
 			return;
 		}
 		this.gateway.routingState().earnRetry();
-		this.priority.arrived(MonotonicClock.millis());
+		this.priority.onArrival(MonotonicClock.millis());
 		startNextAttempt();
 	}
 
@@ -126,7 +126,7 @@
 		else if (choice.isEmpty()) {
 			refuseWithoutReplica();
 		}
-		else if (this.attempts == 0 && this.replicas.hopeless(this.task, choice.get(), left)) {
+		else if (this.attempts == 0 && this.replicas.wouldMissDeadline(this.task, choice.get(), left)) {
 			refuse("would not begin in its time");
 		}
 		else {
@@ -135,9 +135,9 @@
 	}
 
 	private void refuseWithoutReplica() {
-		ReplicaRules.NoReplica why = this.replicas.whyNone(model());
+		ReplicaRules.NoReplica why = this.replicas.noReplicaReason(model());
 		this.gateway.telemetry().count("no.replica." + why.name().toLowerCase(Locale.ROOT));
-		refuse(why.reason(), this.replicas.comeBackMillis(why, model()));
+		refuse(why.reason(), this.replicas.retryAfterMillis(why, model()));
 	}
 
 	private void send(Choice choice, long left) {
@@ -146,12 +146,12 @@
 		this.promptReadRecorded = false;
 		this.timing.begin(MonotonicClock.millis());
 		this.gateway.routingState().picker().sent(MonotonicClock.millis(), choice, this.task);
-		this.replicas.sent(choice.replica());
+		this.replicas.recordSent(choice.replica());
 		this.gateway.rollouts().sent(choice.replica());
 		Admission admission = this.replicas.admit(choice.replica());
 		Optional<String> lastEvent = this.relay.lastEventId().or(this.request.caller()::lastEventId);
 		ForwardingContext handover = ForwardingContext.of(this.request, choice.replica().id(), left, model(),
-				this.priority.urgency(MonotonicClock.millis(), choice, this.task), lastEvent);
+				this.priority.recordSent(MonotonicClock.millis(), choice, this.task), lastEvent);
 		MultiMap headers = this.gateway.codec().replicaHeaders(this.request.http().headers(), handover);
 		this.attempt = new Attempt(choice, admission, this.replicas.coldMillis(choice.replica()), id(),
 				this.gateway.pool(), this.gateway.codec(), this);
@@ -161,7 +161,7 @@
 
 	@Override
 	public boolean canStillSend(Attempt from) {
-		return this.replicas.stillOpen(from.choice().replica(), from.admission(), model());
+		return this.replicas.canStillSend(from.choice().replica(), from.admission(), model());
 	}
 
 	@Override
@@ -173,7 +173,7 @@
 	public void onHead(Attempt from, ReplicaAnswer answer, MultiMap headers) {
 		recordPromptRead(from);
 		this.gateway.crashes().head(from);
-		this.gateway.routingState().told(MonotonicClock.millis(), from.choice().replica(), answer);
+		this.gateway.routingState().onAnswerHead(MonotonicClock.millis(), from.choice().replica(), answer);
 		this.gateway.rollouts().answered(new AnswerKind(route().name(), model()), from, answer);
 		if (answer.isSuccess()) {
 			this.gateway.routingState()
@@ -194,7 +194,7 @@
 	 * asks a larger model. Until that is decided nothing of the answer goes on.
 	 */
 	private void checkConfidence(Attempt from, ReplicaAnswer answer) {
-		Optional<String> larger = this.cascade.larger(answer.confidence());
+		Optional<String> larger = this.cascade.findLargerModel(answer.confidence());
 		if (larger.isEmpty()) {
 			return;
 		}
@@ -204,7 +204,7 @@
 			if (this.done || from.hasEnded()) {
 				return;
 			}
-			if (this.cascade.drops(confidence, larger.get(), choice, this.request.left(MonotonicClock.millis()))) {
+			if (this.cascade.decideDrop(confidence, larger.get(), choice, this.request.left(MonotonicClock.millis()))) {
 				this.tried.remove(from.choice().replica().id());
 				this.nextChoice = choice;
 				from.withdraw(new AttemptEnd.Dropped(confidence));
@@ -245,7 +245,7 @@
 				&& !(counted instanceof AttemptEnd.NotRun)) {
 			this.gateway.routingState().streamed(route(), model(), this.timing);
 		}
-		this.priority.ended(now, from.choice(), this.task, counted);
+		this.priority.onEnded(now, from.choice(), this.task, counted);
 		this.rule.ended(counted);
 		this.gateway.onAttemptEnded(this, from, counted, now);
 		this.request.tried();
@@ -253,7 +253,7 @@
 			return;
 		}
 		if (counted instanceof AttemptEnd.Dropped) {
-			this.cascade.goOn();
+			this.cascade.advance();
 			startNextAttempt();
 			return;
 		}
@@ -275,10 +275,10 @@
 			startNextAttempt();
 			return true;
 		}
-		if (!this.rule.mayTryAgain(this.request.left(now)) || !this.silentReplicaHandler.mayGoOn()) {
+		if (!this.rule.mayTryAgain(this.request.left(now)) || !this.silentReplicaHandler.canContinueElsewhere()) {
 			return false;
 		}
-		if (!this.replicas.another(this.tried, model()) || !this.gateway.routingState().spendRetry()) {
+		if (!this.replicas.hasUntried(this.tried, model()) || !this.gateway.routingState().spendRetry()) {
 			return false;
 		}
 		startNextAttempt();
@@ -311,14 +311,14 @@
 	}
 
 	private void refuseAfter(AttemptEnd end) {
-		refuse(end.why(), this.replicas.comeBackMillis(this.replicas.whyNone(model()), model()));
+		refuse(end.why(), this.replicas.retryAfterMillis(this.replicas.noReplicaReason(model()), model()));
 	}
 
 	/**
 	 * Ends the request without a replica's answer.
 	 */
 	private void refuse(String reason) {
-		refuse(reason, this.gateway.routingState().comeBackMillis());
+		refuse(reason, this.gateway.routingState().retryAfterMillis());
 	}
 
 	private void refuse(String reason, long comeBackMillis) {
@@ -333,7 +333,7 @@
 		boolean notRun = this.rule.verdict() == Verdict.NOT_RUN;
 		int status = notRun ? HttpStatuses.SERVICE_UNAVAILABLE : HttpStatuses.BAD_GATEWAY;
 		Optional<Long> after = notRun
-				? Optional.of(this.gateway.retryAfterAdvisor().backMillis(this.request, comeBackMillis))
+				? Optional.of(this.gateway.retryAfterAdvisor().retryAfterMillis(this.request, comeBackMillis))
 				: Optional.empty();
 		this.relay.sendError(status, after, reason);
 		close(notRun ? "refused" : "failed", status, reason);
@@ -352,7 +352,7 @@
 			return;
 		}
 		if (this.attempt != null) {
-			this.silentReplicaHandler.look(now, this.attempt, this.tried, this.task);
+			this.silentReplicaHandler.check(now, this.attempt, this.tried, this.task);
 		}
 	}
 
@@ -460,7 +460,7 @@
 	DecisionLog.RequestLine requestLine(String outcome, int status, String reason, long now, long age) {
 		return new DecisionLog.RequestLine(id(), route().name(), this.request.team().map(TeamId::value).orElse(""),
 				this.request.content().toString(), outcome, status, reason, this.rule.verdict().toString(),
-				this.attempts, this.priority.over(), this.relay.retryAfterMillis(), route().targetMillis(),
+				this.attempts, this.priority.isOverShare(), this.relay.retryAfterMillis(), route().targetMillis(),
 				this.request.config().version(), age, now - this.request.startedAt());
 	}
 
--- a/daemon/src/main/java/org/gullsaddle/gateway/RequestPriority.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/RequestPriority.java
@@ -27,22 +27,22 @@
 	/**
 	 * Notes that the request came.
 	 */
-	void arrived(long now) {
-		if (this.request.engine().isEmpty() || this.decisions.work().isPresent()) {
+	void onArrival(long now) {
+		if (this.request.engine().isEmpty() || this.decisions.workShares().isPresent()) {
 			return;
 		}
-		this.over = this.request.team().map((id) -> this.decisions.noteShare(id, now)).orElse(false);
+		this.over = this.request.team().map((id) -> this.decisions.recordRequest(id, now)).orElse(false);
 	}
 
 	/**
 	 * Notes that the request is sent to an engine, and returns its urgency there.
 	 * @return the urgency, empty for a plain service
 	 */
-	OptionalInt urgency(long now, Choice choice, Task task) {
+	OptionalInt recordSent(long now, Choice choice, Task task) {
 		if (this.request.engine().isEmpty()) {
 			return OptionalInt.empty();
 		}
-		this.decisions.work().ifPresent((shares) -> this.request.team().ifPresent((id) -> {
+		this.decisions.workShares().ifPresent((shares) -> this.request.team().ifPresent((id) -> {
 			double work = WorkShares.work(choice.unreadTokens(), task);
 			this.over = shares.sent(now, id, this.request.rank(), work);
 		}));
@@ -52,10 +52,10 @@
 	/**
 	 * Notes that an engine is done with the request.
 	 */
-	void ended(long now, Choice choice, Task task, AttemptEnd end) {
+	void onEnded(long now, Choice choice, Task task, AttemptEnd end) {
 		boolean counted = this.request.engine().isPresent() && this.request.team().isPresent();
 		if (counted && !(end instanceof AttemptEnd.NotRun)) {
-			this.decisions.work()
+			this.decisions.workShares()
 				.ifPresent((shares) -> shares.ended(now, WorkShares.work(choice.unreadTokens(), task)));
 		}
 	}
@@ -63,7 +63,7 @@
 	/**
 	 * Says whether the request waited behind others of its rank.
 	 */
-	boolean over() {
+	boolean isOverShare() {
 		return this.over;
 	}
 
--- a/daemon/src/main/java/org/gullsaddle/gateway/RetryAfterAdvisor.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/RetryAfterAdvisor.java
@@ -24,7 +24,7 @@
 		this.telemetry = telemetry;
 	}
 
-	void opened(ServedRequest request) {
+	void onOpened(ServedRequest request) {
 		if (this.pressure) {
 			this.times.opened(MonotonicClock.millis(), request.service(), request.rank());
 		}
@@ -34,7 +34,7 @@
 	 * Notes that a request is open no longer.
 	 * @param ran whether it took room at replicas
 	 */
-	void closed(ServedRequest request, boolean ran) {
+	void onClosed(ServedRequest request, boolean ran) {
 		if (this.pressure) {
 			this.times.closed(MonotonicClock.millis(), request.service(), request.rank(), ran);
 		}
@@ -44,7 +44,7 @@
 	 * Returns when a refused caller is to come back.
 	 * @param soonest the soonest that it may be told, in milliseconds
 	 */
-	long backMillis(ServedRequest request, long soonest) {
+	long retryAfterMillis(ServedRequest request, long soonest) {
 		if (!this.pressure) {
 			return soonest;
 		}
--- a/daemon/src/main/java/org/gullsaddle/gateway/SharedRoutingState.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/SharedRoutingState.java
@@ -28,22 +28,22 @@
 final class SharedRoutingState {
 
 	/** When a refused caller is to come back at the earliest, in milliseconds. */
-	private static final long COME_BACK_MILLIS = 250;
+	private static final long MIN_RETRY_AFTER_MILLIS = 250;
 
 	/**
 	 * When a caller is to come back for whom all replicas are cold: each node is let to
 	 * them again every second, in milliseconds.
 	 */
-	private static final long COLD_BACK_MILLIS = 700;
+	private static final long COLD_RETRY_AFTER_MILLIS = 700;
 
 	/**
 	 * When a caller is to come back whose data centers are being emptied, in
 	 * milliseconds: that takes some seconds, and most callers come back only once.
 	 */
-	private static final long REOPENED_BACK_MILLIS = 2000;
+	private static final long EVACUATION_RETRY_AFTER_MILLIS = 2000;
 
 	/** The part of the objective after which a silent replica is taken as lost. */
-	private static final double SILENT_PART = 0.6;
+	private static final double SILENCE_OBJECTIVE_RATIO = 0.6;
 
 	/**
 	 * Silence that is never taken as a loss, in milliseconds: a pause of a busy engine.
@@ -56,29 +56,29 @@
 
 	private final ReplicaPicker picker;
 
-	private final RetryBudget budget;
+	private final RetryBudget retryBudget;
 
 	private final ModelChooser models;
 
-	private FleetConfig boundsOf;
+	private FleetConfig boundsConfig;
 
 	private QueueBounds bounds;
 
-	private final FairShare shares = new FairShare();
+	private final FairShare requestShares = new FairShare();
 
 	private final SilencePatience patience = new SilencePatience();
 
 	/** The shares of work that count in place of requests, if any do. */
-	private final Optional<WorkShares> work;
+	private final Optional<WorkShares> workShares;
 
 	private final Hopeless hopeless = new Hopeless();
 
 	private final RandomGenerator random = RandomGenerator.getDefault();
 
 	SharedRoutingState(Place here, double retryShare, boolean pressure) {
-		this.work = pressure ? Optional.of(new WorkShares()) : Optional.empty();
+		this.workShares = pressure ? Optional.of(new WorkShares()) : Optional.empty();
 		this.picker = new ReplicaPicker(here);
-		this.budget = new RetryBudget(retryShare);
+		this.retryBudget = new RetryBudget(retryShare);
 		this.models = pressure ? ModelChooser.bounded() : new ModelChooser();
 		if (pressure) {
 			this.picker.keepSizesApart();
@@ -89,8 +89,8 @@
 	 * Returns how long larger models' queues may be under a configuration.
 	 */
 	QueueBounds bounds(FleetConfig config) {
-		if (config != this.boundsOf) {
-			this.boundsOf = config;
+		if (config != this.boundsConfig) {
+			this.boundsConfig = config;
 			this.bounds = QueueBounds.of(config.routes());
 		}
 		return this.bounds;
@@ -103,7 +103,7 @@
 	/**
 	 * Takes in what a replica's answer tells of it.
 	 */
-	void told(long now, Replica replica, ReplicaAnswer answer) {
+	void onAnswerHead(long now, Replica replica, ReplicaAnswer answer) {
 		answer.load().ifPresent((load) -> this.picker.report(now, replica, load));
 		answer.slowdownPercent().ifPresent((percent) -> this.picker.pace(now, replica, percent));
 		this.picker.heard(now, replica);
@@ -114,38 +114,38 @@
 	}
 
 	void earnRetry() {
-		this.budget.earn();
+		this.retryBudget.earn();
 	}
 
 	boolean spendRetry() {
-		return this.budget.spend();
+		return this.retryBudget.spend();
 	}
 
 	/**
 	 * Returns when a refused caller is to come back, spread out, so that callers refused
 	 * together do not return together.
 	 */
-	long comeBackMillis() {
-		return COME_BACK_MILLIS + this.random.nextLong(COME_BACK_MILLIS);
+	long retryAfterMillis() {
+		return MIN_RETRY_AFTER_MILLIS + this.random.nextLong(MIN_RETRY_AFTER_MILLIS);
 	}
 
 	/**
 	 * Returns when a caller is to come back that may be served after some time, spread
 	 * out likewise.
 	 */
-	long comeBackMillis(long soonest) {
-		return Math.max(COME_BACK_MILLIS, soonest) + this.random.nextLong(COME_BACK_MILLIS);
+	long retryAfterMillis(long soonest) {
+		return Math.max(MIN_RETRY_AFTER_MILLIS, soonest) + this.random.nextLong(MIN_RETRY_AFTER_MILLIS);
 	}
 
 	/**
 	 * Returns when a caller is to come back for whom there is no replica: when there may
 	 * be one again, spread out likewise.
 	 */
-	long comeBackMillis(ReplicaRules.NoReplica why) {
+	long retryAfterMillis(ReplicaRules.NoReplica why) {
 		long soonest = switch (why) {
-			case NONE, TRIED, LIMITED, RESTING, CRASHES -> COME_BACK_MILLIS;
-			case COLD -> COLD_BACK_MILLIS;
-			case EVACUATED, OTHER_REGION -> REOPENED_BACK_MILLIS;
+			case NONE, TRIED, LIMITED, RESTING, CRASHES -> MIN_RETRY_AFTER_MILLIS;
+			case COLD -> COLD_RETRY_AFTER_MILLIS;
+			case EVACUATED, OTHER_REGION -> EVACUATION_RETRY_AFTER_MILLIS;
 		};
 		return soonest + this.random.nextLong(soonest);
 	}
@@ -154,16 +154,16 @@
 	 * Counts a generation of a team.
 	 * @return whether the team sent more than its share
 	 */
-	boolean noteShare(TeamId team, long now) {
-		this.shares.sent(team, now);
-		return this.shares.over(team, now);
+	boolean recordRequest(TeamId team, long now) {
+		this.requestShares.sent(team, now);
+		return this.requestShares.over(team, now);
 	}
 
 	/**
 	 * Returns the shares of engines' work, empty where requests are counted instead.
 	 */
-	Optional<WorkShares> work() {
-		return this.work;
+	Optional<WorkShares> workShares() {
+		return this.workShares;
 	}
 
 	Hopeless hopeless() {
@@ -213,9 +213,9 @@
 			return Math.max(MIN_SILENCE_MILLIS, route.gapMillis());
 		}
 		if (route.kind() == RouteKind.STREAM) {
-			return Math.max(MIN_SILENCE_MILLIS, Math.round(SILENT_PART * route.targetMillis()));
+			return Math.max(MIN_SILENCE_MILLIS, Math.round(SILENCE_OBJECTIVE_RATIO * route.targetMillis()));
 		}
-		return Math.round(SILENT_PART * route.targetMillis());
+		return Math.round(SILENCE_OBJECTIVE_RATIO * route.targetMillis());
 	}
 
 }
--- a/daemon/src/main/java/org/gullsaddle/gateway/SilentReplicaHandler.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/SilentReplicaHandler.java
@@ -27,14 +27,14 @@
 	private static final AttemptEnd SILENT = new AttemptEnd.Broken("silent");
 
 	/** How soon a request that could not leave is looked at again, in milliseconds. */
-	private static final long AGAIN_MILLIS = 200;
+	private static final long RECHECK_DELAY_MILLIS = 200;
 
 	/** How often a wait is compared with those at other replicas, in milliseconds. */
-	private static final long COMPARE_MILLIS = 1000;
+	private static final long COMPARISON_INTERVAL_MILLIS = 1000;
 
 	private final Gateway gateway;
 
-	private final RequestExecution serving;
+	private final RequestExecution execution;
 
 	private final RetryRule rule;
 
@@ -42,18 +42,18 @@
 
 	private final AnswerRelay relay;
 
-	private Attempt kept;
+	private Attempt keptAttempt;
 
-	private Attempt stayed;
+	private Attempt queuedAttempt;
 
-	private long nextLook;
+	private long nextCheckAt;
 
-	private long nextComparison;
+	private long nextComparisonAt;
 
 	SilentReplicaHandler(Gateway gateway, RequestExecution serving, RetryRule rule, ReplicaChooser replicas,
 			AnswerRelay relay) {
 		this.gateway = gateway;
-		this.serving = serving;
+		this.execution = serving;
 		this.rule = rule;
 		this.replicas = replicas;
 		this.relay = relay;
@@ -64,15 +64,15 @@
 	 * @param tried the replicas that the request was sent to
 	 * @param task what the next attempt is to do
 	 */
-	void look(long now, Attempt attempt, Set<ReplicaId> tried, Task task) {
-		if (now < this.nextLook || attempt.hasEnded() || !this.rule.mayMove(this.serving.request().left(now))) {
+	void check(long now, Attempt attempt, Set<ReplicaId> tried, Task task) {
+		if (now < this.nextCheckAt || attempt.hasEnded() || !this.rule.mayMove(this.execution.request().left(now))) {
 			return;
 		}
 		switch (advice(now, attempt)) {
 			case WAIT -> {
 			}
-			case ASK -> ask(attempt.choice().replica());
-			case STAY -> compare(now, attempt, tried, task);
+			case ASK -> probe(attempt.choice().replica());
+			case STAY -> compareQueues(now, attempt, tried, task);
 			case LEAVE -> leave(now, attempt, tried, task);
 		}
 	}
@@ -82,18 +82,18 @@
 	 */
 	private SilencePatience.Advice advice(long now, Attempt attempt) {
 		Replica replica = attempt.choice().replica();
-		boolean asks = this.gateway.settings().load().pressure() && this.serving.request().engine().isPresent()
-				&& this.replicas.mayAsk(replica);
+		boolean asks = this.gateway.settings().load().pressure() && this.execution.request().engine().isPresent()
+				&& this.replicas.canProbe(replica);
 		if (!asks) {
-			return silent(now, attempt) ? SilencePatience.Advice.LEAVE : SilencePatience.Advice.WAIT;
+			return isSilent(now, attempt) ? SilencePatience.Advice.LEAVE : SilencePatience.Advice.WAIT;
 		}
-		long patience = picker().patience(attempt.choice(), attempt.answer() == null, patience());
+		long patience = picker().patience(attempt.choice(), attempt.answer() == null, patienceMillis());
 		return this.gateway.routingState()
 			.patience()
-			.look(now, replica.id(), picker().silentSince(attempt.choice(), since(attempt)), patience);
+			.look(now, replica.id(), picker().silentSince(attempt.choice(), silentSince(attempt)), patience);
 	}
 
-	private void ask(Replica replica) {
+	private void probe(Replica replica) {
 		SilencePatience patience = this.gateway.routingState().patience();
 		patience.asked(replica.id());
 		this.gateway.telemetry().count("silent.replicas.asked");
@@ -107,30 +107,31 @@
 	/**
 	 * Stays in a replica's queue, unless another one would begin clearly sooner.
 	 */
-	private void compare(long now, Attempt attempt, Set<ReplicaId> tried, Task task) {
-		if (now < this.nextComparison) {
+	private void compareQueues(long now, Attempt attempt, Set<ReplicaId> tried, Task task) {
+		if (now < this.nextComparisonAt) {
 			return;
 		}
-		this.nextComparison = now + COMPARE_MILLIS;
-		Optional<Choice> other = mayGoOn() ? this.replicas.known(task, tried) : Optional.empty();
-		Delay here = this.replicas.delayAt(attempt.choice().replica(), task);
-		Optional<Delay> there = other.map((choice) -> this.replicas.delayAt(choice.replica(), task));
+		this.nextComparisonAt = now + COMPARISON_INTERVAL_MILLIS;
+		Optional<Choice> other = canContinueElsewhere() ? this.replicas.chooseAmongReported(task, tried)
+				: Optional.empty();
+		Delay here = this.replicas.expectedDelay(attempt.choice().replica(), task);
+		Optional<Delay> there = other.map((choice) -> this.replicas.expectedDelay(choice.replica(), task));
 		if (there.isPresent() && SilencePatience.sooner(here, there.get())) {
 			String why = "begins in " + Math.round(there.get().expectedMillis()) + " ms elsewhere, in "
 					+ Math.round(here.expectedMillis()) + " ms here";
 			leave(attempt, new AttemptEnd.Withdrawn(why), other);
 		}
-		else if (this.stayed != attempt) {
-			this.stayed = attempt;
-			note(attempt, "stayed", "requests wait their turn there");
+		else if (this.queuedAttempt != attempt) {
+			this.queuedAttempt = attempt;
+			recordOutcome(attempt, "stayed", "requests wait their turn there");
 		}
 	}
 
 	private void leave(long now, Attempt attempt, Set<ReplicaId> tried, Task task) {
-		this.nextLook = now + AGAIN_MILLIS;
-		String why = whyKept(tried);
+		this.nextCheckAt = now + RECHECK_DELAY_MILLIS;
+		String why = reasonToStay(tried);
 		if (!why.isEmpty()) {
-			keep(attempt, SILENT, why);
+			stay(attempt, SILENT, why);
 			return;
 		}
 		this.replicas.choose(task, tried, (choice) -> leave(attempt, SILENT, choice));
@@ -140,18 +141,18 @@
 	 * Leaves the replica, unless it has answered while another one was chosen.
 	 */
 	private void leave(Attempt attempt, AttemptEnd end, Optional<Choice> choice) {
-		if (!this.serving.isWaitingFor(attempt) || !silent(MonotonicClock.millis(), attempt)) {
+		if (!this.execution.isWaitingFor(attempt) || !isSilent(MonotonicClock.millis(), attempt)) {
 			return;
 		}
 		if (choice.isEmpty()) {
-			keep(attempt, end, "no replica");
+			stay(attempt, end, "no replica");
 		}
 		else if (!this.gateway.routingState().spendRetry()) {
-			keep(attempt, end, "no retry left");
+			stay(attempt, end, "no retry left");
 		}
 		else {
-			note(attempt, "left", end.why());
-			this.serving.moveTo(attempt, end, choice.get());
+			recordOutcome(attempt, "left", end.why());
+			this.execution.moveTo(attempt, end, choice.get());
 		}
 	}
 
@@ -159,54 +160,55 @@
 	 * Stays where nothing could follow. A silent replica counts as failing all the same,
 	 * so that it gets no more requests.
 	 */
-	private void keep(Attempt attempt, AttemptEnd end, String why) {
-		if (this.kept != attempt) {
-			this.kept = attempt;
+	private void stay(Attempt attempt, AttemptEnd end, String why) {
+		if (this.keptAttempt != attempt) {
+			this.keptAttempt = attempt;
 			if (end instanceof AttemptEnd.Broken) {
 				picker().silent(MonotonicClock.millis(), attempt.choice().replica());
 			}
-			note(attempt, "kept", why);
+			recordOutcome(attempt, "kept", why);
 		}
 	}
 
-	private void note(Attempt attempt, String outcome, String reason) {
+	private void recordOutcome(Attempt attempt, String outcome, String reason) {
 		this.gateway.telemetry().count("silent.replicas." + outcome);
-		this.gateway.log().silent(this.serving.id(), attempt.choice().replica().id(), outcome, reason);
+		this.gateway.log().silent(this.execution.id(), attempt.choice().replica().id(), outcome, reason);
 	}
 
 	/**
 	 * Says why a silent replica is waited for all the same, empty if it need not be.
 	 */
-	private String whyKept(Set<ReplicaId> tried) {
-		if (!mayGoOn()) {
+	private String reasonToStay(Set<ReplicaId> tried) {
+		if (!canContinueElsewhere()) {
 			return "no way to go on with the answer";
 		}
-		return this.replicas.another(tried, this.serving.model()) ? "" : "no replica";
+		return this.replicas.hasUntried(tried, this.execution.model()) ? "" : "no replica";
 	}
 
 	/**
 	 * Says whether another replica could go on with what the caller has.
 	 */
-	boolean mayGoOn() {
-		return !this.relay.hasBegun() || (this.serving.route().resumable() && this.relay.lastEventId().isPresent());
+	boolean canContinueElsewhere() {
+		return !this.relay.hasBegun() || (this.execution.route().resumable() && this.relay.lastEventId().isPresent());
 	}
 
 	/**
 	 * One that answers others is alive, and only busy: moved away, its queue would be
 	 * built up anew elsewhere.
 	 */
-	private boolean silent(long now, Attempt attempt) {
-		if (this.serving.route().kind() == RouteKind.IDEMPOTENT) {
-			return now - since(attempt) > patience();
+	private boolean isSilent(long now, Attempt attempt) {
+		if (this.execution.route().kind() == RouteKind.IDEMPOTENT) {
+			return now - silentSince(attempt) > patienceMillis();
 		}
-		return picker().unresponsive(now, attempt.choice(), since(attempt), attempt.answer() == null, patience());
+		return picker().unresponsive(now, attempt.choice(), silentSince(attempt), attempt.answer() == null,
+				patienceMillis());
 	}
 
-	private long patience() {
-		return this.gateway.routingState().silenceMillis(this.serving.route(), this.relay.hasBegun());
+	private long patienceMillis() {
+		return this.gateway.routingState().silenceMillis(this.execution.route(), this.relay.hasBegun());
 	}
 
-	private long since(Attempt attempt) {
+	private long silentSince(Attempt attempt) {
 		return this.gateway.stallDetector().silentSince(attempt.lastByteAt());
 	}
 
--- a/daemon/src/test/java/org/gullsaddle/gateway/RetryAfterAdvisorTests.java
+++ b/daemon/src/test/java/org/gullsaddle/gateway/RetryAfterAdvisorTests.java
@@ -11,7 +11,7 @@
 	/** Guards against other times where callers do not compete for room. */
 	@Test
 	void withoutPressureTheSoonestIsTold() {
-		assertThat(new RetryAfterAdvisor(false, new Telemetry()).backMillis(null, 300)).isEqualTo(300);
+		assertThat(new RetryAfterAdvisor(false, new Telemetry()).retryAfterMillis(null, 300)).isEqualTo(300);
 	}
 
 }
