--- a/daemon/src/main/java/org/gullsaddle/gateway/BackpressureController.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/BackpressureController.java
@@ -79,11 +79,11 @@
 	void heard(Replica replica, ReplicaAnswer answer) {
 		if (answer.status() != HttpStatuses.MISDIRECTED) {
 			if (answer.leaving() && this.fleet.directory().leave(MonotonicClock.millis(), replica)) {
-				this.log.leaving(replica.id());
+				this.log.replicaLeaving(replica.id());
 				this.telemetry.count("replica.leavings.told");
 			}
 			if (answer.backpressure().restMillis() > 0) {
-				this.log.rest(replica.id(), answer.backpressure().restMillis());
+				this.log.backoffRequested(replica.id(), answer.backpressure().restMillis());
 				this.telemetry.count("replica.rests.asked");
 			}
 			applyAndLog(replica, "answer",
@@ -119,7 +119,7 @@
 			listed.ifPresentOrElse((replica) -> applyAndLog(replica, "note", learn), learn);
 		}
 		catch (IOException ex) {
-			this.log.unreadable(noted.key(), ex.getMessage());
+			this.log.unreadableRecord(noted.key(), ex.getMessage());
 		}
 	}
 
@@ -131,7 +131,7 @@
 		change.run();
 		OptionalDouble now = this.book.limit(replica);
 		if (!now.equals(before)) {
-			this.log.limited(replica.id(), now, source);
+			this.log.rateLimitChanged(replica.id(), now, source);
 			this.telemetry.count(now.isPresent() ? "replica.limits.named" : "replica.limits.ended");
 		}
 	}
--- a/daemon/src/main/java/org/gullsaddle/gateway/BufferManager.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/BufferManager.java
@@ -91,7 +91,7 @@
 
 	private void abort(Holder holder, long now) {
 		Transfer party = this.transfers.get(holder);
-		this.log.givenUp(holder, party.kind(), holder.secondsToEmpty(now), this.budget.orElseThrow().held());
+		this.log.transferAborted(holder, party.kind(), holder.secondsToEmpty(now), this.budget.orElseThrow().held());
 		this.telemetry.count("given.up." + party.kind());
 		close(holder);
 		party.abort();
@@ -102,7 +102,7 @@
 	 * off.
 	 */
 	void recordReadAhead(Holder holder, long pausedMillis) {
-		this.log.readOn(holder, pausedMillis);
+		this.log.answerReadAhead(holder, pausedMillis);
 		this.telemetry.count("read.on.answer");
 	}
 
--- a/daemon/src/main/java/org/gullsaddle/gateway/Cascade.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/Cascade.java
@@ -85,7 +85,8 @@
 	 */
 	boolean decideDrop(int confidence, String larger, Optional<Choice> choice, long left) {
 		String kept = reasonToKeep(confidence, choice, left);
-		this.log.doubted(this.request.id(), this.model, confidence, this.decisions.models().enough(), larger, kept);
+		this.log.answerDoubted(this.request.id(), this.model, confidence, this.decisions.models().enough(), larger,
+				kept);
 		if (kept.isEmpty()) {
 			this.doubtedModel = this.model;
 			this.doubtedConfidence = confidence;
--- a/daemon/src/main/java/org/gullsaddle/gateway/ConfigRefresher.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/ConfigRefresher.java
@@ -91,7 +91,7 @@
 	void checkForSuspension(long now) {
 		long slept = this.suspendDetector.check(now, System.currentTimeMillis());
 		if (slept > 0) {
-			this.log.suspended(slept);
+			this.log.nodeSuspended(slept);
 			this.state.onSuspended(slept);
 		}
 	}
@@ -119,7 +119,7 @@
 		this.state.onConfigRead(askedAt);
 		for (FleetChange change : changes) {
 			if (this.state.apply(MonotonicClock.millis(), change)) {
-				this.log.learned(change, 0, MonotonicClock.millis() - askedAt);
+				this.log.fleetChange(change, 0, MonotonicClock.millis() - askedAt);
 			}
 			this.changeListener.accept(change);
 		}
--- a/daemon/src/main/java/org/gullsaddle/gateway/CrashController.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/CrashController.java
@@ -179,7 +179,7 @@
 		}
 		if (attempt.hasEndedWithConnection()) {
 			ended(request, model, attempt, CrashWatch.Manner.CLOSED);
-			boolean again = this.watch.closedAgain(Trait.content(request.content()));
+			boolean again = this.watch.closedAgain(Trait.content(request.contentHash()));
 			if (again || !this.book.everSound(request.partTraits(model))) {
 				askWhetherItLives(attempt.choice().replica());
 			}
@@ -320,7 +320,7 @@
 	private void sound(List<Trait> traits) {
 		long now = MonotonicClock.millis();
 		List<Trait> cleared = this.book.sound(now, traits);
-		cleared.forEach((trait) -> this.log.acquitted(trait, "this node"));
+		cleared.forEach((trait) -> this.log.traitUnblocked(trait, "this node"));
 		if (!cleared.isEmpty()) {
 			tellIn(GATHER_MILLIS);
 		}
@@ -344,18 +344,18 @@
 			CrashBook.Learned learned = own ? this.book.learnOwn(now, timeOfDay, told)
 					: this.book.learn(now, timeOfDay, told);
 			refused(learned.refused(), noted.key());
-			learned.cleared().forEach((trait) -> this.log.acquitted(trait, noted.key()));
+			learned.cleared().forEach((trait) -> this.log.traitUnblocked(trait, noted.key()));
 			if (this.book.toldRefused(learned.cleared())) {
 				tellIn(GATHER_MILLIS + spreadMillis());
 			}
 		}
 		catch (IOException ex) {
-			this.log.unreadable(noted.key(), ex.getMessage());
+			this.log.unreadableRecord(noted.key(), ex.getMessage());
 		}
 	}
 
 	private void refused(List<Trait> traits, String source) {
-		traits.forEach((trait) -> this.log.convicted(trait, this.book, source));
+		traits.forEach((trait) -> this.log.traitBlocked(trait, this.book, source));
 	}
 
 	private void tellIn(long millis) {
--- a/daemon/src/main/java/org/gullsaddle/gateway/CrashTrials.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/CrashTrials.java
@@ -102,8 +102,8 @@
 		this.book.tried(MonotonicClock.millis(), trial);
 		if (mine) {
 			this.telemetry.count("crash.trials");
-			this.log.trial(trial, request.id());
-			request.letThrough();
+			this.log.trialAdmitted(trial, request.id());
+			request.markTrial();
 		}
 		then.run();
 	}
--- a/daemon/src/main/java/org/gullsaddle/gateway/DecisionLog.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/DecisionLog.java
@@ -21,8 +21,8 @@
 
 /**
  * One line for each decision on a request and each change of what the node believes. The
- * volume is bounded: beyond {@link #LINES_PER_SECOND} only failures are written, beyond
- * twice that nothing; how many lines were left out is told.
+ * volume is bounded: beyond {@link #MAX_LINES_PER_SECOND} only failures are written,
+ * beyond twice that nothing; how many lines were left out is told.
  */
 final class DecisionLog {
 
@@ -32,7 +32,7 @@
 	 * How many lines a second are written: some 60 KB, and ten times an entry's usual
 	 * requests.
 	 */
-	private static final int LINES_PER_SECOND = 200;
+	private static final int MAX_LINES_PER_SECOND = 200;
 
 	private static final long SECOND_MILLIS = 1000;
 
@@ -42,7 +42,7 @@
 
 	private int lines;
 
-	private int leftOut;
+	private int omittedLines;
 
 	void started(String node, String dataCenter) {
 		LOG.atInfo().addKeyValue("node", node).addKeyValue("dataCenter", dataCenter).log("started");
@@ -53,14 +53,14 @@
 	}
 
 	void stopped(int open) {
-		LOG.atInfo().addKeyValue("cutOff", open).addKeyValue("linesLeftOut", this.leftOut).log("stopped");
+		LOG.atInfo().addKeyValue("cutOff", open).addKeyValue("linesLeftOut", this.omittedLines).log("stopped");
 	}
 
 	void reloaded(String what) {
 		LOG.atInfo().addKeyValue("changed", what).log("settings reloaded");
 	}
 
-	void lost(String dependency, String reason, long age) {
+	void dependencyLost(String dependency, String reason, long age) {
 		LOG.atWarn()
 			.addKeyValue("dependency", dependency)
 			.addKeyValue("reason", reason)
@@ -68,12 +68,12 @@
 			.log("dependency lost");
 	}
 
-	void regained(String dependency, long now) {
+	void dependencyRegained(String dependency, long now) {
 		LOG.atInfo().addKeyValue("dependency", dependency).log("dependency regained");
 	}
 
 	void storeCallFailed(String call, long millis, String reason) {
-		if (allowed(true)) {
+		if (shouldWrite(true)) {
 			LOG.atInfo()
 				.addKeyValue("call", call)
 				.addKeyValue("millis", millis)
@@ -87,8 +87,8 @@
 	 * @param askedMillis how long ago the store was asked
 	 * @param tookMillis how long it took to take them in
 	 */
-	void slowNews(int changes, long revision, long askedMillis, long tookMillis) {
-		if (allowed(false)) {
+	void slowUpdate(int changes, long revision, long askedMillis, long tookMillis) {
+		if (shouldWrite(false)) {
 			LOG.atInfo()
 				.addKeyValue("changes", changes)
 				.addKeyValue("revision", revision)
@@ -98,8 +98,8 @@
 		}
 	}
 
-	void learned(FleetChange change, long revision, long askedMillis) {
-		if (!allowed(false)) {
+	void fleetChange(FleetChange change, long revision, long askedMillis) {
+		if (!shouldWrite(false)) {
 			return;
 		}
 		LoggingEventBuilder line = LOG.atInfo()
@@ -131,19 +131,19 @@
 			case FleetChange.EvacuationEnded ended ->
 				line.addKeyValue("dataCenter", ended.dataCenter()).log("evacuation ended");
 			case FleetChange.Noted noted -> line.addKeyValue("key", noted.key()).log("note taken in");
-			case FleetChange.ConfigUnreadable unreadable -> unreadable("configuration", unreadable.reason());
-			case FleetChange.Unreadable unreadable -> unreadable(unreadable.key(), unreadable.reason());
+			case FleetChange.ConfigUnreadable unreadable -> unreadableRecord("configuration", unreadable.reason());
+			case FleetChange.Unreadable unreadable -> unreadableRecord(unreadable.key(), unreadable.reason());
 		}
 	}
 
-	void unreadable(String key, String reason) {
-		if (allowed(true)) {
+	void unreadableRecord(String key, String reason) {
+		if (shouldWrite(true)) {
 			LOG.atInfo().addKeyValue("key", key).addKeyValue("reason", reason).log("unreadable record skipped");
 		}
 	}
 
 	void trialNotDecided(CrashBook.Trial trial, String reason) {
-		if (allowed(true)) {
+		if (shouldWrite(true)) {
 			LOG.atInfo()
 				.addKeyValue("trait", trial.trait().value())
 				.addKeyValue("reason", reason)
@@ -151,7 +151,8 @@
 		}
 	}
 
-	void rollout(String service, String target, String state, double evidence, int answers, String outcome) {
+	void rolloutStateWritten(String service, String target, String state, double evidence, int answers,
+			String outcome) {
 		LOG.atInfo()
 			.addKeyValue("service", service)
 			.addKeyValue("target", target)
@@ -181,13 +182,13 @@
 
 	void attempt(ServedRequest request, Attempt attempt, String model, String end, long millis, StreamTiming stream,
 			boolean failure) {
-		if (allowed(failure)) {
+		if (shouldWrite(failure)) {
 			Choice choice = attempt.choice();
 			Optional<LoadReport> told = Optional.ofNullable(attempt.answer()).flatMap(ReplicaAnswer::load);
 			LOG.atInfo()
 				.addKeyValue("id", request.id())
 				.addKeyValue("parts", request.caller().prompt().sharedParts())
-				.addKeyValue("content", request.content().toString())
+				.addKeyValue("content", request.contentHash().toString())
 				.addKeyValue("releaseKey", request.releaseKey().value())
 				.addKeyValue("confidence", attempt.confidence())
 				.addKeyValue("replica", choice.replica().id().value())
@@ -211,8 +212,8 @@
 		}
 	}
 
-	void doubted(String id, String model, int confidence, double enough, String larger, String kept) {
-		if (allowed(false)) {
+	void answerDoubted(String id, String model, int confidence, double enough, String larger, String kept) {
+		if (shouldWrite(false)) {
 			LOG.atInfo()
 				.addKeyValue("id", id)
 				.addKeyValue("model", model)
@@ -225,8 +226,8 @@
 		}
 	}
 
-	void loadUnknown(ReplicaId replica, String reason) {
-		if (allowed(false)) {
+	void loadProbeFailed(ReplicaId replica, String reason) {
+		if (shouldWrite(false)) {
 			LOG.atInfo()
 				.addKeyValue("replica", replica.value())
 				.addKeyValue("reason", reason)
@@ -234,8 +235,8 @@
 		}
 	}
 
-	void silent(String id, ReplicaId replica, String outcome, String reason) {
-		if (allowed(false)) {
+	void replicaSilent(String id, ReplicaId replica, String outcome, String reason) {
+		if (shouldWrite(false)) {
 			LOG.atInfo()
 				.addKeyValue("id", id)
 				.addKeyValue("replica", replica.value())
@@ -245,8 +246,8 @@
 		}
 	}
 
-	void limited(ReplicaId replica, OptionalDouble perSecond, String source) {
-		if (allowed(true)) {
+	void rateLimitChanged(ReplicaId replica, OptionalDouble perSecond, String source) {
+		if (shouldWrite(true)) {
 			LOG.atInfo()
 				.addKeyValue("replica", replica.value())
 				.addKeyValue("perSecond", perSecond.orElse(-1))
@@ -255,14 +256,14 @@
 		}
 	}
 
-	void leaving(ReplicaId replica) {
-		if (allowed(true)) {
+	void replicaLeaving(ReplicaId replica) {
+		if (shouldWrite(true)) {
 			LOG.atInfo().addKeyValue("replica", replica.value()).log("replica says that it leaves");
 		}
 	}
 
-	void rest(ReplicaId replica, long millis) {
-		if (allowed(true)) {
+	void backoffRequested(ReplicaId replica, long millis) {
+		if (shouldWrite(true)) {
 			LOG.atInfo()
 				.addKeyValue("replica", replica.value())
 				.addKeyValue("millis", millis)
@@ -270,8 +271,8 @@
 		}
 	}
 
-	void readOn(Holder holder, long pausedMillis) {
-		if (allowed(false)) {
+	void answerReadAhead(Holder holder, long pausedMillis) {
+		if (shouldWrite(false)) {
 			LOG.atInfo()
 				.addKeyValue("id", holder.id())
 				.addKeyValue("heldBytes", holder.held())
@@ -280,8 +281,8 @@
 		}
 	}
 
-	void givenUp(Holder holder, String what, double secondsToEmpty, long held) {
-		if (allowed(true)) {
+	void transferAborted(Holder holder, String what, double secondsToEmpty, long held) {
+		if (shouldWrite(true)) {
 			LOG.atInfo()
 				.addKeyValue("id", holder.id())
 				.addKeyValue("what", what)
@@ -292,11 +293,11 @@
 		}
 	}
 
-	void suspended(long millis) {
+	void nodeSuspended(long millis) {
 		LOG.atWarn().addKeyValue("millis", millis).log("was suspended");
 	}
 
-	void stalled(long millis, int open) {
+	void nodeStalled(long millis, int open) {
 		LOG.atWarn().addKeyValue("millis", millis).addKeyValue("open", open).log("stood still");
 	}
 
@@ -305,7 +306,7 @@
 	 * @param how what showed it
 	 */
 	void replicaEnded(Crash crash, long now, String how) {
-		if (allowed(true)) {
+		if (shouldWrite(true)) {
 			LOG.atInfo()
 				.addKeyValue("process", crash.process())
 				.addKeyValue("how", how)
@@ -316,8 +317,8 @@
 		}
 	}
 
-	void convicted(Trait trait, CrashBook book, String source) {
-		if (allowed(true)) {
+	void traitBlocked(Trait trait, CrashBook book, String source) {
+		if (shouldWrite(true)) {
 			LOG.atInfo()
 				.addKeyValue("trait", trait.value())
 				.addKeyValue("source", source)
@@ -327,8 +328,8 @@
 		}
 	}
 
-	void acquitted(Trait trait, String source) {
-		if (allowed(true)) {
+	void traitUnblocked(Trait trait, String source) {
+		if (shouldWrite(true)) {
 			LOG.atInfo()
 				.addKeyValue("trait", trait.value())
 				.addKeyValue("source", source)
@@ -336,8 +337,8 @@
 		}
 	}
 
-	void trial(CrashBook.Trial trial, String id) {
-		if (allowed(true)) {
+	void trialAdmitted(CrashBook.Trial trial, String id) {
+		if (shouldWrite(true)) {
 			LOG.atInfo()
 				.addKeyValue("trait", trial.trait().value())
 				.addKeyValue("number", trial.number())
@@ -347,7 +348,7 @@
 	}
 
 	void request(RequestLine request) {
-		if (allowed(!request.outcome().equals("served"))) {
+		if (shouldWrite(!request.outcome().equals("served"))) {
 			LOG.atInfo()
 				.addKeyValue("id", request.id())
 				.addKeyValue("route", request.route())
@@ -359,7 +360,7 @@
 				.addKeyValue("verdict", request.verdict())
 				.addKeyValue("attempts", request.attempts())
 				.addKeyValue("overShare", request.overShare())
-				.addKeyValue("toldMillis", request.toldMillis())
+				.addKeyValue("toldMillis", request.retryAfterMillis())
 				.addKeyValue("objectiveMillis", request.objectiveMillis())
 				.addKeyValue("configVersion", request.configVersion())
 				.addKeyValue("fleetAgeMillis", request.fleetAgeMillis())
@@ -371,20 +372,20 @@
 	/**
 	 * Returns how many lines were left out since the start.
 	 */
-	int leftOut() {
-		return this.leftOut;
+	int omittedLines() {
+		return this.omittedLines;
 	}
 
-	private boolean allowed(boolean urgent) {
+	private boolean shouldWrite(boolean urgent) {
 		long now = MonotonicClock.millis();
 		if (now - this.windowStart >= SECOND_MILLIS) {
 			this.windowStart = now;
 			this.lines = 0;
 		}
 		this.lines++;
-		boolean allowed = this.lines <= (urgent ? 2 * LINES_PER_SECOND : LINES_PER_SECOND);
+		boolean allowed = this.lines <= (urgent ? 2 * MAX_LINES_PER_SECOND : MAX_LINES_PER_SECOND);
 		if (!allowed) {
-			this.leftOut++;
+			this.omittedLines++;
 		}
 		return allowed;
 	}
@@ -410,8 +411,8 @@
 	 * @param millis how long it took
 	 */
 	record RequestLine(String id, String route, String team, String content, String outcome, int status, String reason,
-			String verdict, int attempts, boolean overShare, long toldMillis, long objectiveMillis, long configVersion,
-			long fleetAgeMillis, long millis) {
+			String verdict, int attempts, boolean overShare, long retryAfterMillis, long objectiveMillis,
+			long configVersion, long fleetAgeMillis, long millis) {
 	}
 
 }
--- a/daemon/src/main/java/org/gullsaddle/gateway/FleetPoller.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/FleetPoller.java
@@ -131,7 +131,7 @@
 	void onUpdate(FleetSource.Update news, boolean whole) {
 		long now = MonotonicClock.millis();
 		if (this.failures >= FAILURES_UNTIL_UNAVAILABLE) {
-			this.log.regained("store", now);
+			this.log.dependencyRegained("store", now);
 		}
 		this.failures = 0;
 		this.state.directory().storeAway(now, false);
@@ -142,7 +142,7 @@
 		}
 		for (FleetChange change : news.changes()) {
 			if (this.state.apply(now, change)) {
-				this.log.learned(change, news.revision(), now - this.requestedAt);
+				this.log.fleetChange(change, news.revision(), now - this.requestedAt);
 			}
 			this.listener.accept(change);
 		}
@@ -159,7 +159,7 @@
 	private void logIfSlow(FleetSource.Update news, long now) {
 		long took = MonotonicClock.millis() - now;
 		if (took >= SLOW_MILLIS || now - this.requestedAt >= POLL_WAIT_MILLIS + SLOW_MILLIS) {
-			this.log.slowNews(news.changes().size(), news.revision(), now - this.requestedAt, took);
+			this.log.slowUpdate(news.changes().size(), news.revision(), now - this.requestedAt, took);
 		}
 	}
 
@@ -201,7 +201,7 @@
 			// What changed meanwhile is read anew as a whole: an entry that lapsed in the
 			// outage and came back shows nothing in the changes alone.
 			this.state.directory().storeAway(now, true);
-			this.log.lost("store", failure.getMessage(), this.state.ageMillis(now));
+			this.log.dependencyLost("store", failure.getMessage(), this.state.ageMillis(now));
 		}
 		if (failure instanceof HistoryCompactedException) {
 			poll();
--- a/daemon/src/main/java/org/gullsaddle/gateway/Gateway.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/Gateway.java
@@ -140,7 +140,7 @@
 
 	private void registerGauges() {
 		this.telemetry.gauge("open.requests", this.openRequests::size);
-		this.telemetry.gauge("held.requests", this.dispatcher::held);
+		this.telemetry.gauge("held.requests", this.dispatcher::heldCount);
 		this.telemetry.gauge("replicas.known", () -> this.fleet.directory().known().size());
 		this.telemetry.gauge("replicas.cold", () -> this.fleet.directory().countCold(MonotonicClock.millis()));
 		this.telemetry.gauge("replicas.telling.pace", this.routingState.picker()::countPaces);
@@ -150,7 +150,7 @@
 		this.telemetry.gauge("config.age.milliseconds", () -> this.fleet.configAgeMillis(MonotonicClock.millis()));
 		this.telemetry.gauge("config.version", this::configVersion);
 		this.telemetry.gauge("fleet.age.milliseconds", () -> this.fleet.ageMillis(MonotonicClock.millis()));
-		this.telemetry.gauge("log.lines.left.out", this.log::leftOut);
+		this.telemetry.gauge("log.lines.left.out", this.log::omittedLines);
 		this.telemetry.gauge("probes.sent", this.loadProbe::sentCount);
 		this.telemetry.gauge("probes.failed", this.loadProbe::failedCount);
 		this.buffers.registerGauges();
@@ -172,12 +172,12 @@
 			.setHttp2ClearTextEnabled(false)
 			.setAcceptBacklog(EarlyListener.BACKLOG);
 		this.server = this.vertx.createHttpServer(options)
-			.connectionHandler(this.dispatcher::connected)
+			.connectionHandler(this.dispatcher::onConnected)
 			.requestHandler((request) -> new RequestBodyReader(this, request).begin());
 		registerGauges();
 		this.poller.start();
 		this.rollouts.start();
-		this.vertx.setTimer(StartupRequestQueue.HOLD_MILLIS, (timer) -> this.dispatcher.release());
+		this.vertx.setTimer(StartupRequestQueue.HOLD_MILLIS, (timer) -> this.dispatcher.releaseHeld());
 		this.stallDetector.check(MonotonicClock.millis());
 		this.vertx.setPeriodic(TICK_INTERVAL_MILLIS, (timer) -> tick());
 		this.vertx.setPeriodic(CLEANUP_INTERVAL_MILLIS, (timer) -> cleanUp());
@@ -272,13 +272,13 @@
 	 * @return the number
 	 */
 	public int heldRequestCount() {
-		return this.dispatcher.held();
+		return this.dispatcher.heldCount();
 	}
 
 	void onOpened(RequestExecution serving) {
 		this.openRequests.add(serving);
 		this.retryAfterAdvisor.onOpened(serving.request());
-		this.rollouts.asked(serving.request());
+		this.rollouts.recordRequest(serving.request());
 	}
 
 	void onAttemptEnded(RequestExecution serving, Attempt attempt, AttemptEnd end, long now) {
@@ -296,7 +296,7 @@
 					first - Math.round(attempt.choice().delay().expectedMillis()));
 		}
 		if (end instanceof AttemptEnd.NotRun notRun && notRun.unreachable()) {
-			this.rollouts.unreachable(attempt.choice().replica());
+			this.rollouts.onUnreachable(attempt.choice().replica());
 		}
 	}
 
@@ -312,10 +312,10 @@
 	private void onFleetChange(FleetChange change) {
 		if (change instanceof FleetChange.Configured) {
 			// The replicas that were read with it are taken in first.
-			this.vertx.runOnContext((nothing) -> this.dispatcher.release());
+			this.vertx.runOnContext((nothing) -> this.dispatcher.releaseHeld());
 		}
 		this.nodeRegistry.onFleetChange(change);
-		this.rollouts.learned(change);
+		this.rollouts.onFleetChange(change);
 		this.crashes.learned(change);
 		this.backpressure.learned(change);
 	}
@@ -325,7 +325,7 @@
 		this.configRefresher.checkForSuspension(now);
 		long stalled = this.stallDetector.check(now);
 		if (stalled > 0) {
-			this.log.stalled(stalled, this.openRequests.size());
+			this.log.nodeStalled(stalled, this.openRequests.size());
 		}
 		if (!this.openRequests.isEmpty()) {
 			List.copyOf(this.openRequests).forEach((serving) -> serving.tick(now));
--- a/daemon/src/main/java/org/gullsaddle/gateway/LoadProbe.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/LoadProbe.java
@@ -127,7 +127,7 @@
 
 	private Optional<EngineReport> onFailure(Replica replica, String reason) {
 		this.failedCount++;
-		this.log.loadUnknown(replica.id(), reason);
+		this.log.loadProbeFailed(replica.id(), reason);
 		return Optional.empty();
 	}
 
--- a/daemon/src/main/java/org/gullsaddle/gateway/ReplicaChooser.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/ReplicaChooser.java
@@ -113,7 +113,7 @@
 		CrashBook crashes = this.gateway.crashes().book();
 		List<Trait> traits = (crashes.countRefused() == 0 || this.request.isTrial()) ? List.of()
 				: this.request.traits(model);
-		return new ReplicaRules.Wanted(this.request.service(), this.request.limit(), this.request.coldStart(),
+		return new ReplicaRules.Wanted(this.request.service(), this.request.regionLimit(), this.request.coldStart(),
 				this.gateway.nodeRegistry().knownCount(), this.gateway.fleet().rollout(this.request.service()),
 				this.request.releaseKey(), traits);
 	}
--- a/daemon/src/main/java/org/gullsaddle/gateway/RequestBodyReader.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/RequestBodyReader.java
@@ -56,7 +56,7 @@
 			if (!this.done) {
 				this.done = true;
 				this.holder.ifPresent((each) -> each.holds(this.body.length(), false, MonotonicClock.millis()));
-				this.gateway.dispatcher().take(this.request, caller, this.body, this.startedAt);
+				this.gateway.dispatcher().dispatch(this.request, caller, this.body, this.startedAt);
 			}
 		});
 	}
@@ -133,7 +133,7 @@
 	private void reject(int status, Optional<Long> after, String reason) {
 		this.done = true;
 		CallerAnswerWriter writer = new CallerAnswerWriter(this.request.response(), () -> true);
-		this.gateway.dispatcher().refused(writer, CallerRequest.unreadable(), status, after, reason);
+		this.gateway.dispatcher().sendRefusal(writer, CallerRequest.unreadable(), status, after, reason);
 	}
 
 }
--- a/daemon/src/main/java/org/gullsaddle/gateway/RequestDispatcher.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/RequestDispatcher.java
@@ -26,7 +26,7 @@
 	private final StartupRequestQueue held = new StartupRequestQueue();
 
 	/** Callers' connections that were opened after the balancer should have noticed. */
-	private final Set<HttpConnection> lateCallers = new HashSet<>();
+	private final Set<HttpConnection> lateConnections = new HashSet<>();
 
 	RequestDispatcher(Vertx vertx, Gateway gateway) {
 		this.vertx = vertx;
@@ -36,24 +36,24 @@
 	/**
 	 * Takes in that a caller has connected.
 	 */
-	void connected(HttpConnection connection) {
+	void onConnected(HttpConnection connection) {
 		if (!this.gateway.drainPolicy().acceptsAll(MonotonicClock.millis())) {
-			this.lateCallers.add(connection);
-			connection.closeHandler((nothing) -> this.lateCallers.remove(connection));
+			this.lateConnections.add(connection);
+			connection.closeHandler((nothing) -> this.lateConnections.remove(connection));
 		}
 	}
 
 	/**
 	 * Returns how many requests wait for the configuration.
 	 */
-	int held() {
+	int heldCount() {
 		return this.held.count();
 	}
 
 	/**
 	 * Decides on the requests that are held.
 	 */
-	void release() {
+	void releaseHeld() {
 		this.held.release();
 	}
 
@@ -62,7 +62,7 @@
 	 * its caller has left. The close of its connection, which is read in the next turn of
 	 * the event loop, is waited for then, so that no replica gets work for nobody.
 	 */
-	void take(HttpServerRequest request, CallerRequest caller, Buffer body, long startedAt) {
+	void dispatch(HttpServerRequest request, CallerRequest caller, Buffer body, long startedAt) {
 		Runnable serve = () -> serve(request, caller, body, startedAt, false);
 		if (this.gateway.stallDetector().isBehind(MonotonicClock.millis())) {
 			// A timer that is due may still run in this turn; one that it sets does not.
@@ -88,7 +88,7 @@
 			return;
 		}
 		if (config.isEmpty()) {
-			refused(writer, caller, HttpStatuses.SERVICE_UNAVAILABLE,
+			sendRefusal(writer, caller, HttpStatuses.SERVICE_UNAVAILABLE,
 					Optional.of(this.gateway.routingState().retryAfterMillis()), "no configuration yet");
 			return;
 		}
@@ -105,21 +105,21 @@
 			return;
 		}
 		if (!this.gateway.drainPolicy().accepts(route.get(), MonotonicClock.millis())) {
-			boolean noNodeReady = this.lateCallers.contains(request.connection());
+			boolean noNodeReady = this.lateConnections.contains(request.connection());
 			long after = noNodeReady ? this.gateway.drainPolicy().retryAfterMillis(MonotonicClock.millis()) : 0;
-			refused(writer, caller, HttpStatuses.SERVICE_UNAVAILABLE,
+			sendRefusal(writer, caller, HttpStatuses.SERVICE_UNAVAILABLE,
 					Optional.of(after + this.gateway.routingState().retryAfterMillis()), "stopping");
 			return;
 		}
 		ServedRequest served = ServedRequest.of(request)
 			.caller(caller, team)
-			.under(config.get(), route.get(),
+			.routing(config.get(), route.get(),
 					this.gateway.routingState().service(route.get(), caller.attemptId().orElse("")))
 			.body(body)
 			.time(startedAt, this.gateway.drainPolicy().latestAnswerAt(route.get()))
 			.build();
-		if (this.gateway.buffers().isEnabled() && !served.fits()) {
-			refused(writer, caller, HttpStatuses.SERVICE_UNAVAILABLE,
+		if (this.gateway.buffers().isEnabled() && !served.fitsReplicaMemory()) {
+			sendRefusal(writer, caller, HttpStatuses.SERVICE_UNAVAILABLE,
 					Optional.of(this.gateway.routingState().retryAfterMillis()), "larger than a replica's memory");
 			return;
 		}
@@ -132,14 +132,14 @@
 	 */
 	private void refuse(CallerAnswerWriter writer, CallerRequest caller, boolean noRoute) {
 		if (this.gateway.configRefresher().isDue(false)) {
-			refused(writer, caller, HttpStatuses.SERVICE_UNAVAILABLE,
+			sendRefusal(writer, caller, HttpStatuses.SERVICE_UNAVAILABLE,
 					Optional.of(this.gateway.routingState().retryAfterMillis()), "the configuration may have changed");
 		}
 		else if (noRoute) {
-			refused(writer, caller, HttpStatuses.NOT_FOUND, Optional.empty(), "no route");
+			sendRefusal(writer, caller, HttpStatuses.NOT_FOUND, Optional.empty(), "no route");
 		}
 		else {
-			refused(writer, caller, HttpStatuses.UNAUTHORIZED, Optional.empty(), "unknown key");
+			sendRefusal(writer, caller, HttpStatuses.UNAUTHORIZED, Optional.empty(), "unknown key");
 		}
 	}
 
@@ -147,7 +147,7 @@
 	 * Ends a request that no route took.
 	 * @param after when the caller may come back, in milliseconds
 	 */
-	void refused(CallerAnswerWriter writer, CallerRequest caller, int status, Optional<Long> after, String reason) {
+	void sendRefusal(CallerAnswerWriter writer, CallerRequest caller, int status, Optional<Long> after, String reason) {
 		writer.writeError(status, after, reason);
 		long version = this.gateway.fleet().config().map(FleetConfig::version).orElse(0L);
 		this.gateway.log()
--- a/daemon/src/main/java/org/gullsaddle/gateway/RequestExecution.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/RequestExecution.java
@@ -97,7 +97,7 @@
 
 	private void startNextAttempt() {
 		long now = MonotonicClock.millis();
-		long left = this.request.left(now);
+		long left = this.request.remainingMillis(now);
 		if (left <= 0) {
 			refuse("no time left");
 			return;
@@ -119,7 +119,7 @@
 		if (this.done) {
 			return;
 		}
-		long left = this.request.left(MonotonicClock.millis());
+		long left = this.request.remainingMillis(MonotonicClock.millis());
 		if (left <= 0) {
 			refuse("no time left");
 		}
@@ -147,7 +147,7 @@
 		this.timing.begin(MonotonicClock.millis());
 		this.gateway.routingState().picker().sent(MonotonicClock.millis(), choice, this.task);
 		this.replicas.recordSent(choice.replica());
-		this.gateway.rollouts().sent(choice.replica());
+		this.gateway.rollouts().recordSent(choice.replica());
 		Admission admission = this.replicas.admit(choice.replica());
 		Optional<String> lastEvent = this.relay.lastEventId().or(this.request.caller()::lastEventId);
 		ForwardingContext handover = ForwardingContext.of(this.request, choice.replica().id(), left, model(),
@@ -174,7 +174,7 @@
 		recordPromptRead(from);
 		this.gateway.crashes().head(from);
 		this.gateway.routingState().onAnswerHead(MonotonicClock.millis(), from.choice().replica(), answer);
-		this.gateway.rollouts().answered(new AnswerKind(route().name(), model()), from, answer);
+		this.gateway.rollouts().onAnswer(new AnswerKind(route().name(), model()), from, answer);
 		if (answer.isSuccess()) {
 			this.gateway.routingState()
 				.picker()
@@ -204,7 +204,8 @@
 			if (this.done || from.hasEnded()) {
 				return;
 			}
-			if (this.cascade.decideDrop(confidence, larger.get(), choice, this.request.left(MonotonicClock.millis()))) {
+			if (this.cascade.decideDrop(confidence, larger.get(), choice,
+					this.request.remainingMillis(MonotonicClock.millis()))) {
 				this.tried.remove(from.choice().replica().id());
 				this.nextChoice = choice;
 				from.withdraw(new AttemptEnd.Dropped(confidence));
@@ -241,14 +242,14 @@
 		if (from.answer() == null && !(counted instanceof AttemptEnd.NotRun)) {
 			this.gateway.routingState().picker().began(from.choice(), this.task, now - from.startedAt(), false);
 		}
-		if (this.request.stream() && !(counted instanceof AttemptEnd.Dropped)
+		if (this.request.isStream() && !(counted instanceof AttemptEnd.Dropped)
 				&& !(counted instanceof AttemptEnd.NotRun)) {
 			this.gateway.routingState().streamed(route(), model(), this.timing);
 		}
 		this.priority.onEnded(now, from.choice(), this.task, counted);
 		this.rule.ended(counted);
 		this.gateway.onAttemptEnded(this, from, counted, now);
-		this.request.tried();
+		this.request.endTrial();
 		if (this.done) {
 			return;
 		}
@@ -275,7 +276,8 @@
 			startNextAttempt();
 			return true;
 		}
-		if (!this.rule.mayTryAgain(this.request.left(now)) || !this.silentReplicaHandler.canContinueElsewhere()) {
+		if (!this.rule.mayTryAgain(this.request.remainingMillis(now))
+				|| !this.silentReplicaHandler.canContinueElsewhere()) {
 			return false;
 		}
 		if (!this.replicas.hasUntried(this.tried, model()) || !this.gateway.routingState().spendRetry()) {
@@ -346,7 +348,7 @@
 		if (this.done) {
 			return;
 		}
-		if (this.request.left(now) <= 0
+		if (this.request.remainingMillis(now) <= 0
 				|| (!this.relay.hasBegun() && this.gateway.drainPolicy().shouldAnswerNow(now))) {
 			expire();
 			return;
@@ -423,7 +425,7 @@
 	}
 
 	private boolean isStreamed(Attempt from) {
-		return this.request.stream() && from.answer() != null && from.answer().isSuccess();
+		return this.request.isStream() && from.answer() != null && from.answer().isSuccess();
 	}
 
 	/**
@@ -459,7 +461,7 @@
 
 	DecisionLog.RequestLine requestLine(String outcome, int status, String reason, long now, long age) {
 		return new DecisionLog.RequestLine(id(), route().name(), this.request.team().map(TeamId::value).orElse(""),
-				this.request.content().toString(), outcome, status, reason, this.rule.verdict().toString(),
+				this.request.contentHash().toString(), outcome, status, reason, this.rule.verdict().toString(),
 				this.attempts, this.priority.isOverShare(), this.relay.retryAfterMillis(), route().targetMillis(),
 				this.request.config().version(), age, now - this.request.startedAt());
 	}
--- a/daemon/src/main/java/org/gullsaddle/gateway/RetryAfterAdvisor.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/RetryAfterAdvisor.java
@@ -49,7 +49,7 @@
 			return soonest;
 		}
 		long now = MonotonicClock.millis();
-		Refused refused = new Refused(request.service(), request.rank(), request.teamName(), request.content());
+		Refused refused = new Refused(request.service(), request.rank(), request.teamName(), request.contentHash());
 		ReturnTime time = this.times.next(now, refused, soonest, request.timeLeft(now));
 		this.telemetry.count(time.hope() ? "returns.told" : "returns.told.without.hope");
 		return time.millis();
--- a/daemon/src/main/java/org/gullsaddle/gateway/RolloutController.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/RolloutController.java
@@ -33,22 +33,22 @@
  */
 final class RolloutController {
 
-	static final String NOTES = "gullsaddle/rollouts/";
+	static final String NOTE_PREFIX = "gullsaddle/rollouts/";
 
 	/** How often roll-outs are looked at, in milliseconds; spread out between nodes. */
-	private static final long LOOK_MILLIS = 200;
+	private static final long CHECK_INTERVAL_MILLIS = 200;
 
 	/** How often a note is written while it changes, in milliseconds: each is a call. */
-	private static final long NOTE_MILLIS = 2000;
+	private static final long MAX_NOTE_INTERVAL_MILLIS = 2000;
 
 	/** The same as a part of a short roll-out's time. */
-	private static final double NOTE_PART = 0.06;
+	private static final double NOTE_INTERVAL_RATIO = 0.06;
 
 	/** New evidence that is told at once: that of a failure. */
 	private static final double URGENT_EVIDENCE = 1;
 
 	/** How long urgent notes are apart at least, in milliseconds. */
-	private static final long URGENT_NOTE_MILLIS = 400;
+	private static final long MIN_URGENT_INTERVAL_MILLIS = 400;
 
 	private final Vertx vertx;
 
@@ -68,10 +68,10 @@
 
 	private final RolloutTurns turns;
 
-	private final Map<String, ReportedNote> told = new HashMap<>();
+	private final Map<String, ReportedNote> reportedNotes = new HashMap<>();
 
 	/** What was reported last of each roll-out. */
-	private final Map<String, LoggedShare> shown = new HashMap<>();
+	private final Map<String, LoggedShare> loggedShares = new HashMap<>();
 
 	RolloutController(Vertx vertx, RolloutStateWriter board, Store store, String node, FleetState fleet,
 			DecisionLog log) {
@@ -85,8 +85,8 @@
 	}
 
 	void start() {
-		this.vertx.setTimer(LOOK_MILLIS + this.random.nextLong(LOOK_MILLIS), (timer) -> {
-			this.fleet.rollouts().forEach(this::look);
+		this.vertx.setTimer(CHECK_INTERVAL_MILLIS + this.random.nextLong(CHECK_INTERVAL_MILLIS), (timer) -> {
+			this.fleet.rollouts().forEach(this::check);
 			start();
 		});
 	}
@@ -94,7 +94,7 @@
 	/**
 	 * Notes that a request was sent to a replica.
 	 */
-	void sent(Replica replica) {
+	void recordSent(Replica replica) {
 		this.fleet.rollout(replica.service()).ifPresent((rollout) -> rollout.sent(replica));
 	}
 
@@ -104,7 +104,7 @@
 	 * that stands in the head.
 	 * @param kind the route, and the model that answers
 	 */
-	void answered(AnswerKind kind, Attempt attempt, ReplicaAnswer answer) {
+	void onAnswer(AnswerKind kind, Attempt attempt, ReplicaAnswer answer) {
 		Replica replica = attempt.choice().replica();
 		this.fleet.rollout(replica.service()).ifPresent((rollout) -> {
 			answer.load()
@@ -117,49 +117,49 @@
 	/**
 	 * Notes that a replica could not be reached.
 	 */
-	void unreachable(Replica replica) {
+	void onUnreachable(Replica replica) {
 		this.fleet.rollout(replica.service()).ifPresent((rollout) -> rollout.unreachable(replica));
 	}
 
 	/**
 	 * Notes that a request came for a service.
 	 */
-	void asked(ServedRequest request) {
+	void recordRequest(ServedRequest request) {
 		this.fleet.rollout(request.service()).ifPresent((rollout) -> rollout.asked(request.releaseKey()));
 	}
 
 	/**
 	 * Takes in another node's note.
 	 */
-	void learned(FleetChange change) {
-		if (!(change instanceof FleetChange.Noted noted) || !noted.key().startsWith(NOTES)) {
+	void onFleetChange(FleetChange change) {
+		if (!(change instanceof FleetChange.Noted noted) || !noted.key().startsWith(NOTE_PREFIX)) {
 			return;
 		}
 		for (Rollout rollout : this.fleet.rollouts()) {
 			if (noted.key().startsWith(prefix(rollout)) && !noted.key().equals(key(rollout))) {
-				learn(rollout, noted);
+				onPeerNote(rollout, noted);
 			}
 		}
 	}
 
-	private void learn(Rollout rollout, FleetChange.Noted noted) {
+	private void onPeerNote(Rollout rollout, FleetChange.Noted noted) {
 		try {
 			rollout.learn(MonotonicClock.millis(), Json.read(noted.value(), RolloutNote.class));
 		}
 		catch (IOException ex) {
-			this.log.unreadable(noted.key(), ex.getMessage());
+			this.log.unreadableRecord(noted.key(), ex.getMessage());
 		}
 	}
 
-	private void look(Rollout rollout) {
+	private void check(Rollout rollout) {
 		long now = MonotonicClock.millis();
 		rollout.look(now, this.fleet.ageMillis(now));
-		reportShare(rollout, rollout.progress(now));
+		logShareIfChanged(rollout, rollout.progress(now));
 		rollout.due(now)
 			.filter((state) -> this.turns.mine(now, rollout, state))
 			.ifPresent((state) -> write(rollout, state));
 		if (rollout.state().equals(Optional.of(RolloutState.RUNNING))) {
-			tell(rollout, now);
+			writeNoteIfDue(rollout, now);
 		}
 	}
 
@@ -171,45 +171,48 @@
 		this.board.write(rollout.order(), state, rollout.stateRevision()).subscribe((written) -> {
 			this.writing.remove(service);
 			this.turns.answered(MonotonicClock.millis(), rollout, state);
-			report(rollout, state, written ? "written" : "another node was first");
+			logStateWrite(rollout, state, written ? "written" : "another node was first");
 		}, (failure) -> {
 			this.writing.remove(service);
-			report(rollout, state, "not answered: " + failure.getMessage());
+			logStateWrite(rollout, state, "not answered: " + failure.getMessage());
 		});
 	}
 
-	private void report(Rollout rollout, RolloutState state, String outcome) {
-		this.log.rollout(rollout.order().service().value(), rollout.order().target(), state.name(), rollout.evidence(),
-				rollout.answers(), outcome);
+	private void logStateWrite(Rollout rollout, RolloutState state, String outcome) {
+		this.log.rolloutStateWritten(rollout.order().service().value(), rollout.order().target(), state.name(),
+				rollout.evidence(), rollout.answers(), outcome);
 	}
 
-	private void reportShare(Rollout rollout, RolloutProgress progress) {
+	private void logShareIfChanged(Rollout rollout, RolloutProgress progress) {
 		LoggedShare shown = new LoggedShare(progress.share(), progress.provedMillis());
-		if (!shown.equals(this.shown.put(key(rollout), shown))) {
+		if (!shown.equals(this.loggedShares.put(key(rollout), shown))) {
 			this.log.rolloutShare(rollout, progress);
 		}
 	}
 
-	private void tell(Rollout rollout, long now) {
-		ReportedNote last = this.told.computeIfAbsent(key(rollout), (key) -> new ReportedNote(this.store, key));
+	private void writeNoteIfDue(Rollout rollout, long now) {
+		ReportedNote last = this.reportedNotes.computeIfAbsent(key(rollout),
+				(key) -> new ReportedNote(this.store, key));
 		RolloutNote note = rollout.note(now, this.node);
-		last.lowest = Math.min(last.lowest, note.evidence());
-		boolean urgent = note.evidence() - last.lowest >= URGENT_EVIDENCE && now - last.at >= URGENT_NOTE_MILLIS;
+		last.lowestEvidence = Math.min(last.lowestEvidence, note.evidence());
+		boolean urgent = note.evidence() - last.lowestEvidence >= URGENT_EVIDENCE
+				&& now - last.writtenAt >= MIN_URGENT_INTERVAL_MILLIS;
 		boolean news = note.provedMillis() != last.provedMillis;
-		long every = Math.min(NOTE_MILLIS, Math.round(NOTE_PART * rollout.order().durationMillis()));
-		boolean due = news || (note.answers() != last.answers && now - last.at >= every);
-		if (last.note.isBusy() || !(urgent || due)) {
+		long every = Math.min(MAX_NOTE_INTERVAL_MILLIS,
+				Math.round(NOTE_INTERVAL_RATIO * rollout.order().durationMillis()));
+		boolean due = news || (note.answers() != last.answers && now - last.writtenAt >= every);
+		if (last.writer.isBusy() || !(urgent || due)) {
 			return;
 		}
-		last.at = now;
-		last.lowest = note.evidence();
+		last.writtenAt = now;
+		last.lowestEvidence = note.evidence();
 		last.answers = note.answers();
 		last.provedMillis = note.provedMillis();
-		last.note.write(Json.write(note), () -> last.answers = -1);
+		last.writer.write(Json.write(note), () -> last.answers = -1);
 	}
 
 	private String prefix(Rollout rollout) {
-		return NOTES + rollout.order().service() + '/' + rollout.order().target() + '/';
+		return NOTE_PREFIX + rollout.order().service() + '/' + rollout.order().target() + '/';
 	}
 
 	private String key(Rollout rollout) {
@@ -221,19 +224,19 @@
 
 	private static final class ReportedNote {
 
-		private final NodeNoteWriter note;
+		private final NodeNoteWriter writer;
 
-		private long at;
+		private long writtenAt;
 
 		/** The least evidence since the last note: what has risen since is news. */
-		private double lowest;
+		private double lowestEvidence;
 
 		private int answers;
 
 		private long provedMillis;
 
 		ReportedNote(Store store, String key) {
-			this.note = new NodeNoteWriter(store, key);
+			this.writer = new NodeNoteWriter(store, key);
 		}
 
 	}
--- a/daemon/src/main/java/org/gullsaddle/gateway/ServedRequest.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/ServedRequest.java
@@ -46,11 +46,11 @@
 
 	private final long startedAt;
 
-	private final long endsAt;
+	private final long deadlineAt;
 
 	private final ServiceName service;
 
-	private Fingerprint content;
+	private Fingerprint contentHash;
 
 	private boolean letThrough;
 
@@ -65,7 +65,7 @@
 		this.service = builder.service;
 		long patience = Math.min(this.caller.timeoutMillis().orElse(this.route.timeoutMillis()),
 				this.route.timeoutMillis());
-		this.endsAt = Math.min(this.startedAt + patience, builder.latest);
+		this.deadlineAt = Math.min(this.startedAt + patience, builder.latestAnswerAt);
 	}
 
 	static Builder of(HttpServerRequest http) {
@@ -115,15 +115,15 @@
 	/**
 	 * Returns how long the caller, the route and this node still wait, in milliseconds.
 	 */
-	long left(long now) {
-		return this.endsAt - now;
+	long remainingMillis(long now) {
+		return this.deadlineAt - now;
 	}
 
 	/**
 	 * Returns the time that its caller has left, if it was refused now.
 	 */
 	TimeLeft timeLeft(long now) {
-		return new TimeLeft(left(now), this.route.targetMillis() - (now - this.startedAt));
+		return new TimeLeft(remainingMillis(now), this.route.targetMillis() - (now - this.startedAt));
 	}
 
 	/**
@@ -137,7 +137,7 @@
 	 * Says whether the memory of a replica has room for it. One larger than that is
 	 * turned away by each of them, or crashes it.
 	 */
-	boolean fits() {
+	boolean fitsReplicaMemory() {
 		return engine().map((engine) -> engine.fits(this.caller.prompt().mostTokens())).orElse(true);
 	}
 
@@ -151,11 +151,11 @@
 	/**
 	 * Returns where it may be served, by its route and by its team.
 	 */
-	RegionLimit limit() {
+	RegionLimit regionLimit() {
 		return this.team.map(Team::limit).orElse(RegionLimit.ANYWHERE).and(this.route.limit());
 	}
 
-	boolean stream() {
+	boolean isStream() {
 		return this.route.kind() == RouteKind.STREAM;
 	}
 
@@ -190,12 +190,12 @@
 	/**
 	 * Returns a hash of its team and content, the same when it is sent again.
 	 */
-	Fingerprint content() {
-		if (this.content == null) {
-			this.content = ContentHash.of(teamName(), this.http.method(), this.caller.host(), this.http.uri(),
+	Fingerprint contentHash() {
+		if (this.contentHash == null) {
+			this.contentHash = ContentHash.of(teamName(), this.http.method(), this.caller.host(), this.http.uri(),
 					this.body);
 		}
-		return this.content;
+		return this.contentHash;
 	}
 
 	/**
@@ -218,21 +218,21 @@
 	 */
 	List<Trait> traits(String model) {
 		List<Trait> traits = partTraits(model);
-		traits.add(Trait.content(content()));
+		traits.add(Trait.content(contentHash()));
 		return traits;
 	}
 
 	/**
 	 * Lets it go to one replica although one of its traits is refused.
 	 */
-	void letThrough() {
+	void markTrial() {
 		this.letThrough = true;
 	}
 
 	/**
 	 * Notes that it was tried: no other replica gets it for the same reason.
 	 */
-	void tried() {
+	void endTrial() {
 		this.letThrough = false;
 	}
 
@@ -264,7 +264,7 @@
 
 		private long startedAt;
 
-		private long latest;
+		private long latestAnswerAt;
 
 		private Builder(HttpServerRequest http) {
 			this.http = http;
@@ -276,7 +276,7 @@
 			return this;
 		}
 
-		Builder under(FleetConfig newConfig, Route newRoute, ServiceName newService) {
+		Builder routing(FleetConfig newConfig, Route newRoute, ServiceName newService) {
 			this.config = newConfig;
 			this.route = newRoute;
 			this.service = newService;
@@ -295,7 +295,7 @@
 		 */
 		Builder time(long newStartedAt, long newLatest) {
 			this.startedAt = newStartedAt;
-			this.latest = newLatest;
+			this.latestAnswerAt = newLatest;
 			return this;
 		}
 
--- a/daemon/src/main/java/org/gullsaddle/gateway/SilentReplicaHandler.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/SilentReplicaHandler.java
@@ -65,7 +65,8 @@
 	 * @param task what the next attempt is to do
 	 */
 	void check(long now, Attempt attempt, Set<ReplicaId> tried, Task task) {
-		if (now < this.nextCheckAt || attempt.hasEnded() || !this.rule.mayMove(this.execution.request().left(now))) {
+		if (now < this.nextCheckAt || attempt.hasEnded()
+				|| !this.rule.mayMove(this.execution.request().remainingMillis(now))) {
 			return;
 		}
 		switch (advice(now, attempt)) {
@@ -172,7 +173,7 @@
 
 	private void recordOutcome(Attempt attempt, String outcome, String reason) {
 		this.gateway.telemetry().count("silent.replicas." + outcome);
-		this.gateway.log().silent(this.execution.id(), attempt.choice().replica().id(), outcome, reason);
+		this.gateway.log().replicaSilent(this.execution.id(), attempt.choice().replica().id(), outcome, reason);
 	}
 
 	/**
