--- a/daemon/src/main/java/org/gullsaddle/gateway/BackpressureController.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/BackpressureController.java
@@ -28,13 +28,13 @@
  */
 final class BackpressureController {
 
-	static final String NOTES = "gullsaddle/limits/";
+	static final String NOTE_PREFIX = "gullsaddle/limits/";
 
 	/**
 	 * When a note is written again that the store may not have, in milliseconds: what
 	 * another node wrote instead is known by then.
 	 */
-	private static final long AGAIN_MILLIS = 2000;
+	private static final long RETRY_DELAY_MILLIS = 2000;
 
 	private final Vertx vertx;
 
@@ -42,7 +42,7 @@
 
 	private final FleetState fleet;
 
-	private final BackpressureBook book;
+	private final BackpressureBook table;
 
 	private final LimitNews news;
 
@@ -53,30 +53,30 @@
 	private final Map<ReplicaId, NodeNoteWriter> notes = new HashMap<>();
 
 	/** Replicas of which something is to be told soon. */
-	private final Set<ReplicaId> due = new HashSet<>();
+	private final Set<ReplicaId> scheduled = new HashSet<>();
 
 	BackpressureController(Vertx vertx, Store store, FleetState fleet, BackpressureBook book, DecisionLog log,
 			Telemetry telemetry) {
 		this.vertx = vertx;
 		this.store = store;
 		this.fleet = fleet;
-		this.book = book;
+		this.table = book;
 		this.news = new LimitNews(book, RandomGenerator.getDefault());
 		this.log = log;
 		this.telemetry = telemetry;
-		telemetry.gauge("replicas.limited", this.book::countLimited);
-		telemetry.gauge("replicas.resting", () -> this.book.countResting(MonotonicClock.millis()));
+		telemetry.gauge("replicas.limited", this.table::countLimited);
+		telemetry.gauge("replicas.resting", () -> this.table.countResting(MonotonicClock.millis()));
 	}
 
-	BackpressureBook book() {
-		return this.book;
+	BackpressureBook table() {
+		return this.table;
 	}
 
 	/**
 	 * Takes in the head of an answer. One that says that it was meant for another replica
 	 * tells nothing of the replica that was asked.
 	 */
-	void heard(Replica replica, ReplicaAnswer answer) {
+	void onAnswer(Replica replica, ReplicaAnswer answer) {
 		if (answer.status() != HttpStatuses.MISDIRECTED) {
 			if (answer.leaving() && this.fleet.directory().leave(MonotonicClock.millis(), replica)) {
 				this.log.replicaLeaving(replica.id());
@@ -88,34 +88,34 @@
 			}
 			applyAndLog(replica, "answer",
 					() -> this.news.heard(MonotonicClock.millis(), replica, answer.backpressure())
-						.ifPresent((millis) -> tellIn(millis, replica.id())));
+						.ifPresent((millis) -> scheduleNote(millis, replica.id())));
 		}
 	}
 
 	/**
 	 * Takes in a change of the deployment, or another node's note.
 	 */
-	void learned(FleetChange change) {
+	void onFleetChange(FleetChange change) {
 		if (change instanceof FleetChange.Listed listed) {
-			listed(listed.replica());
+			onListed(listed.replica());
 		}
-		else if (change instanceof FleetChange.Noted noted && noted.key().startsWith(NOTES)) {
-			learn(noted);
+		else if (change instanceof FleetChange.Noted noted && noted.key().startsWith(NOTE_PREFIX)) {
+			onPeerNote(noted);
 		}
 	}
 
-	private void listed(Replica replica) {
+	private void onListed(Replica replica) {
 		applyAndLog(replica, "note", () -> this.news.listed(MonotonicClock.millis(), replica));
 	}
 
-	private void learn(FleetChange.Noted noted) {
-		ReplicaId id = new ReplicaId(noted.key().substring(NOTES.length()));
+	private void onPeerNote(FleetChange.Noted noted) {
+		ReplicaId id = new ReplicaId(noted.key().substring(NOTE_PREFIX.length()));
 		Optional<Replica> listed = this.fleet.directory().find(id);
 		try {
 			LimitNote note = Json.read(noted.value(), LimitNote.class);
 			Runnable learn = () -> this.news.learned(MonotonicClock.millis(), id, note, listed)
 				.ifPresent((millis) -> this.vertx.setTimer(millis,
-						(timer) -> this.fleet.directory().find(id).ifPresent(this::listed)));
+						(timer) -> this.fleet.directory().find(id).ifPresent(this::onListed)));
 			listed.ifPresentOrElse((replica) -> applyAndLog(replica, "note", learn), learn);
 		}
 		catch (IOException ex) {
@@ -127,46 +127,47 @@
 	 * Does something by which a replica's limit may change, and logs the change.
 	 */
 	private void applyAndLog(Replica replica, String source, Runnable change) {
-		OptionalDouble before = this.book.limit(replica);
+		OptionalDouble before = this.table.limit(replica);
 		change.run();
-		OptionalDouble now = this.book.limit(replica);
+		OptionalDouble now = this.table.limit(replica);
 		if (!now.equals(before)) {
 			this.log.rateLimitChanged(replica.id(), now, source);
 			this.telemetry.count(now.isPresent() ? "replica.limits.named" : "replica.limits.ended");
 		}
 	}
 
-	private void tellIn(long millis, ReplicaId id) {
-		if (this.due.add(id)) {
-			this.vertx.setTimer(Math.max(1, millis), (timer) -> tell(id));
+	private void scheduleNote(long millis, ReplicaId id) {
+		if (this.scheduled.add(id)) {
+			this.vertx.setTimer(Math.max(1, millis), (timer) -> writeNote(id));
 		}
 	}
 
-	private void tell(ReplicaId id) {
-		this.due.remove(id);
-		NodeNoteWriter note = this.notes.computeIfAbsent(id, (key) -> new NodeNoteWriter(this.store, NOTES + key));
+	private void writeNote(ReplicaId id) {
+		this.scheduled.remove(id);
+		NodeNoteWriter note = this.notes.computeIfAbsent(id,
+				(key) -> new NodeNoteWriter(this.store, NOTE_PREFIX + key));
 		if (note.isBusy()) {
-			tellIn(AGAIN_MILLIS, id);
+			scheduleNote(RETRY_DELAY_MILLIS, id);
 			return;
 		}
 		this.news.toTell(id).ifPresent((told) -> note.write(Json.write(told), () -> {
 			this.news.notWritten(id);
-			tellIn(AGAIN_MILLIS, id);
+			scheduleNote(RETRY_DELAY_MILLIS, id);
 		}));
 	}
 
 	/**
 	 * Says whether a replica may be asked for its load.
 	 */
-	boolean mayAsk(Replica replica) {
-		return this.book.mayAsk(MonotonicClock.millis(), replica) && !this.fleet.directory().leaving(replica);
+	boolean canProbe(Replica replica) {
+		return this.table.mayAsk(MonotonicClock.millis(), replica) && !this.fleet.directory().leaving(replica);
 	}
 
 	/**
 	 * Forgets replicas that are gone.
 	 */
 	void retain(Set<ReplicaId> known) {
-		this.book.retain(known);
+		this.table.retain(known);
 		this.news.retain(known);
 		this.notes.keySet().retainAll(known);
 	}
--- a/daemon/src/main/java/org/gullsaddle/gateway/CrashTrials.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/CrashTrials.java
@@ -22,30 +22,30 @@
  */
 final class CrashTrials {
 
-	private static final String TRIALS = "gullsaddle/crash-trials/";
+	private static final String KEY_PREFIX = "gullsaddle/crash-trials/";
 
 	/**
 	 * How long ago a trial was at least that another node decided on for it not to be the
 	 * one that is due here, in milliseconds.
 	 */
-	private static final long APART_MILLIS = 20_000;
+	private static final long MIN_INTERVAL_MILLIS = 20_000;
 
 	private final Store store;
 
 	private final String node;
 
-	private final CrashBook book;
+	private final CrashBook crashTable;
 
 	private final DecisionLog log;
 
 	private final Telemetry telemetry;
 
-	private final Set<Trait> asking = new HashSet<>();
+	private final Set<Trait> pending = new HashSet<>();
 
 	CrashTrials(Store store, String node, CrashBook book, DecisionLog log, Telemetry telemetry) {
 		this.store = store;
 		this.node = node;
-		this.book = book;
+		this.crashTable = book;
 		this.log = log;
 		this.telemetry = telemetry;
 	}
@@ -55,9 +55,9 @@
 	 * @param traits the request's traits
 	 * @param then goes on with it
 	 */
-	void ask(ServedRequest request, List<Trait> traits, Runnable then) {
-		Optional<CrashBook.Trial> trial = this.book.trial(MonotonicClock.millis(), traits);
-		if (trial.isEmpty() || !this.asking.add(trial.get().trait())) {
+	void requestTrial(ServedRequest request, List<Trait> traits, Runnable then) {
+		Optional<CrashBook.Trial> trial = this.crashTable.trial(MonotonicClock.millis(), traits);
+		if (trial.isEmpty() || !this.pending.add(trial.get().trait())) {
 			then.run();
 			return;
 		}
@@ -70,25 +70,26 @@
 	 */
 	private void claim(CrashBook.Trial trial, ServedRequest request, Runnable then) {
 		// Keys are short: traits of the same hash share their trials.
-		String key = TRIALS + Integer.toHexString(trial.trait().value().hashCode());
+		String key = KEY_PREFIX + Integer.toHexString(trial.trait().value().hashCode());
 		this.store.get(key).flatMap((before) -> {
-			if (before.isPresent() && System.currentTimeMillis() - at(before.get().value()) < APART_MILLIS) {
+			if (before.isPresent()
+					&& System.currentTimeMillis() - parseTime(before.get().value()) < MIN_INTERVAL_MILLIS) {
 				return Single.just(Optional.<Long>empty());
 			}
 			String value = Json.write(Map.of("at", System.currentTimeMillis(), "node", this.node));
 			return this.store.write(key, before.map(Store.StoredValue::revision).orElse(0L),
 					List.of(new Store.Put(key, value)));
 		})
-			.subscribe((written) -> decided(trial, written.isPresent(), request, then),
-					(failure) -> notDecided(trial, failure, request, then));
+			.subscribe((written) -> onDecided(trial, written.isPresent(), request, then),
+					(failure) -> onFailure(trial, failure, request, then));
 	}
 
-	private void notDecided(CrashBook.Trial trial, Throwable failure, ServedRequest request, Runnable then) {
+	private void onFailure(CrashBook.Trial trial, Throwable failure, ServedRequest request, Runnable then) {
 		this.log.trialNotDecided(trial, failure.getMessage());
-		decided(trial, false, request, then);
+		onDecided(trial, false, request, then);
 	}
 
-	private static long at(String value) {
+	private static long parseTime(String value) {
 		try {
 			return Json.tree(value).path("at").asLong(0);
 		}
@@ -97,9 +98,9 @@
 		}
 	}
 
-	private void decided(CrashBook.Trial trial, boolean mine, ServedRequest request, Runnable then) {
-		this.asking.remove(trial.trait());
-		this.book.tried(MonotonicClock.millis(), trial);
+	private void onDecided(CrashBook.Trial trial, boolean mine, ServedRequest request, Runnable then) {
+		this.pending.remove(trial.trait());
+		this.crashTable.tried(MonotonicClock.millis(), trial);
 		if (mine) {
 			this.telemetry.count("crash.trials");
 			this.log.trialAdmitted(trial, request.id());
--- a/daemon/src/main/java/org/gullsaddle/gateway/Gateway.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/Gateway.java
@@ -119,12 +119,12 @@
 		this.crashes = new CrashController(vertx, builder.store, this.settings.node(), this.pool, this.routingState,
 				this.nodeRegistry, this.log, this.telemetry);
 		this.rules = new ReplicaRules(this.fleet.directory(), this.settings.place(), this.coldPace, book,
-				this.crashes.book());
+				this.crashes.crashTable());
 		this.rollouts = new RolloutController(vertx, builder.board, builder.store, this.settings.node(), this.fleet,
 				this.log);
 		this.dispatcher = new RequestDispatcher(vertx, this);
 		this.poller = new FleetPoller(vertx, builder.source, this.fleet, this.log, this::onFleetChange,
-				this.settings.maxPropagationMillis(), this.crashes::unsettled);
+				this.settings.maxPropagationMillis(), this.crashes::awaitsCrashNotes);
 		this.configRefresher = new ConfigRefresher(builder.source, this.fleet, this.settings.maxPropagationMillis(),
 				this::onFleetChange, this.log, this.telemetry);
 	}
@@ -284,7 +284,7 @@
 	void onAttemptEnded(RequestExecution serving, Attempt attempt, AttemptEnd end, long now) {
 		long millis = now - attempt.startedAt();
 		this.routingState.picker().ended(now, attempt.choice(), end);
-		this.crashes.ended(serving.request(), serving.model(), attempt, end);
+		this.crashes.onEnded(serving.request(), serving.model(), attempt, end);
 		this.log.attempt(serving.request(), attempt, serving.model(), end.toString(), millis, serving.timing(),
 				!(end instanceof AttemptEnd.Answered answered) || answered.failure());
 		this.telemetry.attempt(serving.service().value(), end.word());
@@ -316,8 +316,8 @@
 		}
 		this.nodeRegistry.onFleetChange(change);
 		this.rollouts.onFleetChange(change);
-		this.crashes.learned(change);
-		this.backpressure.learned(change);
+		this.crashes.onFleetChange(change);
+		this.backpressure.onFleetChange(change);
 	}
 
 	private void tick() {
@@ -331,7 +331,7 @@
 			List.copyOf(this.openRequests).forEach((serving) -> serving.tick(now));
 		}
 		this.buffers.check(now);
-		this.crashes.look(now);
+		this.crashes.check(now);
 	}
 
 	private void cleanUp() {
--- a/daemon/src/main/java/org/gullsaddle/gateway/LoadProbe.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/LoadProbe.java
@@ -108,7 +108,7 @@
 				return;
 			}
 			answer.future().onFailure((failure) -> channel.close());
-			if (!this.backpressure.mayAsk(replica)) {
+			if (!this.backpressure.canProbe(replica)) {
 				answer.tryFail("asks for fewer requests");
 			}
 			else if (!answer.future().isComplete()) {
@@ -135,7 +135,7 @@
 		RequestOptions options = new RequestOptions().setMethod(HttpMethod.GET).setURI(this.codec.loadReportPath());
 		return channel.connection().request(options).compose(HttpClientRequest::send).compose((response) -> {
 			ReplicaAnswer answer = this.codec.read(response);
-			this.backpressure.heard(replica, answer);
+			this.backpressure.onAnswer(replica, answer);
 			answer.slowdownPercent()
 				.ifPresent((percent) -> this.picker.pace(MonotonicClock.millis(), replica, percent));
 			return response.body().compose((body) -> parseReport(channel, answer, body));
--- a/daemon/src/main/java/org/gullsaddle/gateway/ReplicaChooser.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/ReplicaChooser.java
@@ -76,7 +76,7 @@
 	 * Gives the request to a replica.
 	 */
 	Admission admit(Replica replica) {
-		return this.gateway.backpressure().book().admit(MonotonicClock.millis(), replica);
+		return this.gateway.backpressure().table().admit(MonotonicClock.millis(), replica);
 	}
 
 	/**
@@ -84,7 +84,7 @@
 	 */
 	boolean canStillSend(Replica chosen, Admission admission, String model) {
 		return !isBlocked(model) && this.gateway.fleet().directory().stillTakes(MonotonicClock.millis(), chosen)
-				&& this.gateway.backpressure().book().mayStillSend(MonotonicClock.millis(), chosen, admission);
+				&& this.gateway.backpressure().table().mayStillSend(MonotonicClock.millis(), chosen, admission);
 	}
 
 	/**
@@ -110,7 +110,7 @@
 	}
 
 	private ReplicaRules.Wanted requirements(String model) {
-		CrashBook crashes = this.gateway.crashes().book();
+		CrashBook crashes = this.gateway.crashes().crashTable();
 		List<Trait> traits = (crashes.countRefused() == 0 || this.request.isTrial()) ? List.of()
 				: this.request.traits(model);
 		return new ReplicaRules.Wanted(this.request.service(), this.request.regionLimit(), this.request.coldStart(),
@@ -210,7 +210,7 @@
 	 */
 	boolean canProbe(Replica replica) {
 		return !rules().cold(MonotonicClock.millis(), requirements(""), replica)
-				&& this.gateway.backpressure().mayAsk(replica);
+				&& this.gateway.backpressure().canProbe(replica);
 	}
 
 	private static List<Replica> withoutUnanswered(List<Replica> usable, List<Replica> asked, List<Replica> told) {
--- a/daemon/src/main/java/org/gullsaddle/gateway/RequestExecution.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/RequestExecution.java
@@ -79,7 +79,7 @@
 		response.closeHandler((nothing) -> onCallerLeft());
 		response.exceptionHandler((failure) -> onCallerLeft());
 		this.gateway.onOpened(this);
-		this.gateway.crashes().ask(this.request, model(), this::admit);
+		this.gateway.crashes().admit(this.request, model(), this::admit);
 	}
 
 	private void admit() {
@@ -166,13 +166,13 @@
 
 	@Override
 	public void onAnswer(Attempt from, ReplicaAnswer answer) {
-		this.gateway.backpressure().heard(from.choice().replica(), answer);
+		this.gateway.backpressure().onAnswer(from.choice().replica(), answer);
 	}
 
 	@Override
 	public void onHead(Attempt from, ReplicaAnswer answer, MultiMap headers) {
 		recordPromptRead(from);
-		this.gateway.crashes().head(from);
+		this.gateway.crashes().onHead(from);
 		this.gateway.routingState().onAnswerHead(MonotonicClock.millis(), from.choice().replica(), answer);
 		this.gateway.rollouts().onAnswer(new AnswerKind(route().name(), model()), from, answer);
 		if (answer.isSuccess()) {
@@ -222,7 +222,7 @@
 			return;
 		}
 		this.gateway.routingState().picker().heard(MonotonicClock.millis(), from.choice().replica());
-		this.gateway.crashes().data(this.request, model(), from);
+		this.gateway.crashes().onData(this.request, model(), from);
 		if (!isStreamed(from)) {
 			this.relay.buffer(from, bytes);
 		}
