--- a/daemon/src/main/java/org/gullsaddle/gateway/Attempt.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/Attempt.java
@@ -56,10 +56,10 @@
 	private boolean ended;
 
 	/** Whether its connection broke. */
-	private boolean lost;
+	private boolean connectionLost;
 
 	/** Whether it got no connection as nothing listens there. */
-	private boolean connectRefused;
+	private boolean connectionRefused;
 
 	/** When the first bytes of the body came, negative before. */
 	private long bodyAt = -1;
@@ -91,7 +91,7 @@
 	void send(HttpMethod method, String uri, MultiMap headers, Buffer body, boolean fresh) {
 		this.pool.acquire(this.choice.replica(), fresh).onComplete((taken, failure) -> {
 			if (failure != null) {
-				this.connectRefused = ChannelPool.isConnectionRefused(failure);
+				this.connectionRefused = ChannelPool.isConnectionRefused(failure);
 				end(new AttemptEnd.NotRun(true, "unreachable"));
 				return;
 			}
@@ -217,14 +217,14 @@
 	 * Says whether the connection broke before the answer was whole.
 	 */
 	boolean isConnectionLost() {
-		return this.lost;
+		return this.connectionLost;
 	}
 
 	/**
 	 * Says whether nothing listens where the replica was.
 	 */
 	boolean isConnectionRefused() {
-		return this.connectRefused;
+		return this.connectionRefused;
 	}
 
 	/**
@@ -252,7 +252,7 @@
 	}
 
 	private void onConnectionLost(String reason) {
-		this.lost = true;
+		this.connectionLost = true;
 		fail(reason);
 	}
 
--- a/daemon/src/main/java/org/gullsaddle/gateway/FleetState.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/FleetState.java
@@ -47,7 +47,7 @@
 	/** The same of the deployment before the latest news. */
 	private long previouslyKnownAt = NEVER;
 
-	private boolean heard;
+	private boolean everUpdated;
 
 	FleetState(RolloutLimits limits) {
 		this.limits = limits;
@@ -161,8 +161,8 @@
 	 * @param askedAt when it was asked: of later ones nothing is known
 	 */
 	void onUpdate(long askedAt) {
-		this.previouslyKnownAt = this.heard ? this.knownAt : NEVER;
-		this.heard = true;
+		this.previouslyKnownAt = this.everUpdated ? this.knownAt : NEVER;
+		this.everUpdated = true;
 		this.knownAt = askedAt;
 		onConfigRead(askedAt);
 	}
--- a/daemon/src/main/java/org/gullsaddle/gateway/RequestDispatcher.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/RequestDispatcher.java
@@ -23,7 +23,7 @@
 
 	private final Gateway gateway;
 
-	private final StartupRequestQueue held = new StartupRequestQueue();
+	private final StartupRequestQueue startupQueue = new StartupRequestQueue();
 
 	/** Callers' connections that were opened after the balancer should have noticed. */
 	private final Set<HttpConnection> lateConnections = new HashSet<>();
@@ -47,14 +47,14 @@
 	 * Returns how many requests wait for the configuration.
 	 */
 	int heldCount() {
-		return this.held.count();
+		return this.startupQueue.count();
 	}
 
 	/**
 	 * Decides on the requests that are held.
 	 */
 	void releaseHeld() {
-		this.held.release();
+		this.startupQueue.release();
 	}
 
 	/**
@@ -84,7 +84,7 @@
 			return;
 		}
 		if (config.isEmpty() && !this.gateway.isStopping()
-				&& this.held.offer(() -> serve(request, caller, body, startedAt, checked))) {
+				&& this.startupQueue.offer(() -> serve(request, caller, body, startedAt, checked))) {
 			return;
 		}
 		if (config.isEmpty()) {
--- a/daemon/src/main/java/org/gullsaddle/gateway/RequestPriority.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/RequestPriority.java
@@ -17,7 +17,7 @@
 
 	private final ServedRequest request;
 
-	private boolean over;
+	private boolean overShare;
 
 	RequestPriority(SharedRoutingState decisions, ServedRequest request) {
 		this.decisions = decisions;
@@ -31,7 +31,7 @@
 		if (this.request.engine().isEmpty() || this.decisions.workShares().isPresent()) {
 			return;
 		}
-		this.over = this.request.team().map((id) -> this.decisions.recordRequest(id, now)).orElse(false);
+		this.overShare = this.request.team().map((id) -> this.decisions.recordRequest(id, now)).orElse(false);
 	}
 
 	/**
@@ -44,9 +44,9 @@
 		}
 		this.decisions.workShares().ifPresent((shares) -> this.request.team().ifPresent((id) -> {
 			double work = WorkShares.work(choice.unreadTokens(), task);
-			this.over = shares.sent(now, id, this.request.rank(), work);
+			this.overShare = shares.sent(now, id, this.request.rank(), work);
 		}));
-		return OptionalInt.of(SharedRoutingState.urgency(this.request.rank(), this.over));
+		return OptionalInt.of(SharedRoutingState.urgency(this.request.rank(), this.overShare));
 	}
 
 	/**
@@ -64,7 +64,7 @@
 	 * Says whether the request waited behind others of its rank.
 	 */
 	boolean isOverShare() {
-		return this.over;
+		return this.overShare;
 	}
 
 }
--- a/daemon/src/main/java/org/gullsaddle/gateway/ServedRequest.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/ServedRequest.java
@@ -52,7 +52,7 @@
 
 	private Fingerprint contentHash;
 
-	private boolean letThrough;
+	private boolean trial;
 
 	private ServedRequest(Builder builder) {
 		this.http = builder.http;
@@ -226,21 +226,21 @@
 	 * Lets it go to one replica although one of its traits is refused.
 	 */
 	void markTrial() {
-		this.letThrough = true;
+		this.trial = true;
 	}
 
 	/**
 	 * Notes that it was tried: no other replica gets it for the same reason.
 	 */
 	void endTrial() {
-		this.letThrough = false;
+		this.trial = false;
 	}
 
 	/**
 	 * Says whether it may go to one replica although one of its traits is refused.
 	 */
 	boolean isTrial() {
-		return this.letThrough;
+		return this.trial;
 	}
 
 	/**
