--- a/daemon/src/main/java/org/gullsaddle/gateway/AnswerRelay.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/AnswerRelay.java
@@ -7,12 +7,13 @@
 import io.vertx.core.http.HttpHeaders;
 
 /**
- * Passes answers on to one caller: a stream's whole events as they come, anything else
- * once it is whole, so that until then it can be dropped for another answer.
+ * Relays replicas' answers to one caller: complete events of a stream as they arrive, any
+ * other answer once it is complete, so that it can still be replaced by another replica's
+ * answer until then.
  */
 final class AnswerRelay {
 
-	/** An answer up to this size is held back until it is whole, in bytes. */
+	/** Largest answer, in bytes, that is buffered until it is complete. */
 	private static final int MAX_BUFFERED_BYTES = 262_144;
 
 	private final ServerSentEventSplitter events = new ServerSentEventSplitter();
@@ -28,8 +29,8 @@
 	private long retryAfterMillis = -1;
 
 	/**
-	 * Makes a relay.
-	 * @param giveUp ends the request, as its caller reads too slowly
+	 * Creates a relay.
+	 * @param giveUp ends the request if its caller reads too slowly
 	 */
 	AnswerRelay(ServedRequest request, Gateway gateway, Runnable giveUp) {
 		this.sink = gateway.buffers().newSink(request, giveUp);
@@ -37,28 +38,28 @@
 	}
 
 	/**
-	 * Says whether the caller has got any of an answer.
+	 * Returns whether any part of an answer was written to the caller.
 	 */
 	boolean hasBegun() {
 		return this.writer.hasBegun();
 	}
 
 	/**
-	 * Returns the last event that the caller has.
+	 * Returns the id of the last event that was relayed.
 	 */
 	Optional<String> lastEventId() {
 		return this.events.lastEventId();
 	}
 
 	/**
-	 * Says whether a stream has come to the end of an event.
+	 * Returns whether all bytes of the stream so far form complete events.
 	 */
 	boolean isAtEventEnd() {
 		return this.events.isAtEventEnd();
 	}
 
 	/**
-	 * Begins with a replica's answer; what was held of an earlier one is dropped.
+	 * Starts a replica's answer and discards what was buffered of an earlier one.
 	 */
 	void onHead(MultiMap newHeaders) {
 		this.buffered = Buffer.buffer();
@@ -67,8 +68,8 @@
 	}
 
 	/**
-	 * Passes a stream's bytes on, as far as they make whole events.
-	 * @return whether the caller got an event
+	 * Relays bytes of a stream as far as they form complete events.
+	 * @return whether at least one event was written
 	 */
 	boolean relayEvents(Attempt from, Buffer bytes) {
 		Buffer whole = this.events.add(bytes);
@@ -81,7 +82,7 @@
 	}
 
 	/**
-	 * Holds bytes back, or passes them on if they are too many to hold.
+	 * Buffers bytes, or relays them once they exceed {@link #MAX_BUFFERED_BYTES}.
 	 */
 	void buffer(Attempt from, Buffer bytes) {
 		this.buffered.appendBuffer(bytes);
@@ -94,8 +95,8 @@
 	}
 
 	/**
-	 * Ends the answer, which is whole.
-	 * @param withoutBody whether the caller asked for the head only
+	 * Ends a complete answer.
+	 * @param withoutBody whether it is the answer to a HEAD request
 	 */
 	void end(int status, boolean withoutBody) {
 		if (this.writer.hasBegun()) {
@@ -109,8 +110,9 @@
 	}
 
 	/**
-	 * Sends an answer of the router's own instead.
-	 * @param afterMillis when to come back, in milliseconds, if the request was not run
+	 * Sends an error of the gateway itself instead.
+	 * @param afterMillis when the caller may retry, in milliseconds, if the request was
+	 * not run
 	 */
 	void sendError(int status, Optional<Long> afterMillis, String reason) {
 		this.retryAfterMillis = afterMillis.orElse(-1L);
@@ -118,15 +120,15 @@
 	}
 
 	/**
-	 * Returns when the caller was told to come back, in milliseconds, negative if it was
-	 * not.
+	 * Returns the retry delay that was sent to the caller, in milliseconds, negative if
+	 * none was.
 	 */
 	long retryAfterMillis() {
 		return this.retryAfterMillis;
 	}
 
 	/**
-	 * Breaks the answer off, so that the caller sees it is not whole.
+	 * Aborts the answer so that the caller sees that it is incomplete.
 	 */
 	void abort() {
 		this.writer.abort();
--- a/daemon/src/main/java/org/gullsaddle/gateway/AnswerSink.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/AnswerSink.java
@@ -4,33 +4,35 @@
 import io.vertx.core.http.HttpServerResponse;
 
 /**
- * Where the bytes of a caller's answer go.
+ * Receives the bytes of an answer to a caller.
  */
 sealed interface AnswerSink permits AnswerSink.Direct, FlowControlledSink {
 
 	void write(Buffer bytes);
 
 	/**
-	 * Ends the answer, which is whole.
+	 * Ends a complete answer.
 	 */
 	void end(Buffer rest);
 
 	/**
-	 * Forgets what was not sent, as the answer is broken off.
+	 * Discards unsent bytes because the answer is aborted.
 	 */
 	void discard();
 
 	/**
-	 * Notes that bytes were read from a replica.
-	 * @param from the attempt that they are of
-	 * @param kept how many are held back, as they make no event or answer yet
+	 * Handles bytes that were read from a replica.
+	 * @param from the attempt that received them
+	 * @param kept number of bytes buffered because they do not yet form a complete event
+	 * or answer
 	 */
 	void onRead(Attempt from, int kept);
 
 	/**
-	 * Leaves it to the connection what its caller does not take.
+	 * Writes straight to the response; the connection buffers what the caller does not
+	 * read.
 	 *
-	 * @param response the answer
+	 * @param response the response to the caller
 	 */
 	record Direct(HttpServerResponse response) implements AnswerSink {
 
@@ -46,12 +48,12 @@
 
 		@Override
 		public void discard() {
-			// Nothing is held here.
+			// Nothing is buffered here.
 		}
 
 		@Override
 		public void onRead(Attempt from, int kept) {
-			// The replica is read as fast as it sends.
+			// No flow control: the replica is read as fast as it sends.
 		}
 
 	}
--- a/daemon/src/main/java/org/gullsaddle/gateway/CallerAnswerWriter.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/CallerAnswerWriter.java
@@ -35,14 +35,14 @@
 	}
 
 	/**
-	 * Says whether the caller has got any of the answer.
+	 * Returns whether any part of the answer was written.
 	 */
 	boolean hasBegun() {
 		return this.begun;
 	}
 
 	/**
-	 * Begins an answer whose length is not known, unless it has begun.
+	 * Begins an answer of unknown length, unless it has begun.
 	 */
 	void begin(int status, MultiMap headers) {
 		if (this.begun || this.response.closed()) {
@@ -67,7 +67,7 @@
 	}
 
 	/**
-	 * Sends a whole answer.
+	 * Writes a complete answer.
 	 */
 	void writeWhole(int status, MultiMap headers, Buffer body) {
 		if (!this.response.closed()) {
@@ -78,8 +78,9 @@
 	}
 
 	/**
-	 * Sends an answer of the router's own.
-	 * @param afterMillis when to come back, in milliseconds, if the request was not run
+	 * Writes an error of the gateway itself.
+	 * @param afterMillis when the caller may retry, in milliseconds, if the request was
+	 * not run
 	 */
 	void writeError(int status, Optional<Long> afterMillis, String reason) {
 		if (this.response.closed()) {
@@ -94,8 +95,8 @@
 	}
 
 	/**
-	 * Breaks an answer off that cannot be completed, so that the caller sees it is not
-	 * whole.
+	 * Aborts an answer that cannot be completed, so that the caller sees that it is
+	 * incomplete.
 	 */
 	void abort() {
 		this.sink.discard();
--- a/daemon/src/main/java/org/gullsaddle/gateway/CallerRequest.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/CallerRequest.java
@@ -6,26 +6,25 @@
 import org.gullsaddle.serve.Prompt;
 
 /**
- * What a caller's request says, in the product's terms.
+ * Contents of a caller's request, in the gateway's own types.
  *
  * @param attemptId the caller's id of this attempt, empty if it sent none
- * @param host the host that it names
+ * @param host its Host header
  * @param path its path without the query
- * @param timeoutMillis how long the caller waits, in milliseconds, if it said so
- * @param apiKey the key that it presents, if any
- * @param model the model that it names, empty if it names none or leaves the choice to
- * the router
- * @param prompt what it says of its prompt
+ * @param timeoutMillis how long the caller waits, in milliseconds, if given
+ * @param apiKey the API key that it presents, if any
+ * @param model the requested model, empty if the choice is left to the gateway
+ * @param prompt the description of its prompt
  * @param session the session that it belongs to, if any
- * @param lastEventId the last event of a stream that the caller has, if it goes on with
- * one
+ * @param lastEventId the id of the last event that the caller received, if it resumes a
+ * stream
  */
 public record CallerRequest(Optional<String> attemptId, String host, String path, OptionalLong timeoutMillis,
 		Optional<String> apiKey, String model, Prompt prompt, Optional<String> session, Optional<String> lastEventId) {
 
 	/**
-	 * Returns what stands for a request that could not be read.
-	 * @return a request that says nothing
+	 * Returns a placeholder for a request that could not be read.
+	 * @return an empty request
 	 */
 	static CallerRequest unreadable() {
 		return new CallerRequest(Optional.empty(), "", "", OptionalLong.empty(), Optional.empty(), "", Prompt.NONE,
--- a/daemon/src/main/java/org/gullsaddle/gateway/ChannelPool.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/ChannelPool.java
@@ -21,19 +21,19 @@
 import org.gullsaddle.fleet.ReplicaId;
 
 /**
- * The connections to replicas. Each carries one request at a time.
+ * Pool of connections to replicas. A connection carries one request at a time.
  */
 final class ChannelPool {
 
 	/**
-	 * How long a new connection may take, in milliseconds; far regions are 60 ms away.
+	 * Time to open a connection, in milliseconds; other regions are up to 60 ms away.
 	 */
 	private static final int CONNECT_TIMEOUT_MILLIS = 1000;
 
 	/**
-	 * How long an idle connection is used again at most, in milliseconds. Replicas close
-	 * idle connections, some without telling; one that is used soon is rarely caught by
-	 * that.
+	 * How long an idle connection stays usable, in milliseconds. Replicas close idle
+	 * connections, some without announcing a timeout; a connection that is reused soon is
+	 * rarely affected.
 	 */
 	private static final long MAX_IDLE_MILLIS = 2500;
 
@@ -53,10 +53,10 @@
 	}
 
 	/**
-	 * Returns a connection that carries nothing.
-	 * @param replica where to
-	 * @param fresh whether it must be new, so that no idle one that is just being closed
-	 * can swallow the request
+	 * Returns a connection without a request on it.
+	 * @param replica the replica to connect to
+	 * @param fresh whether it must be new, so that the request is not lost on an idle
+	 * connection that is just being closed
 	 */
 	Future<Channel> acquire(Replica replica, boolean fresh) {
 		Deque<Channel> kept = this.idle.get(replica.id());
@@ -76,18 +76,18 @@
 	}
 
 	/**
-	 * Says whether a connection could not be had as nothing listens there. One that is
-	 * not answered at all tells nothing of the replica.
-	 * @param failure why it could not be had
+	 * Returns whether connecting failed because nothing listens at the address. A timeout
+	 * says nothing about the replica.
+	 * @param failure why connecting failed
 	 */
 	static boolean isConnectionRefused(Throwable failure) {
 		return failure instanceof ConnectException && !(failure instanceof ConnectTimeoutException);
 	}
 
 	/**
-	 * Takes a connection back after a whole answer.
+	 * Returns a connection to the pool after a complete answer.
 	 * @param channel the connection
-	 * @param keepMillis how long the replica keeps it, in milliseconds
+	 * @param keepMillis how long the replica keeps it open, in milliseconds
 	 */
 	void release(Channel channel, long keepMillis) {
 		Deque<Channel> kept = this.idle.computeIfAbsent(channel.replica.id(), (id) -> new ArrayDeque<>());
@@ -100,7 +100,7 @@
 	}
 
 	/**
-	 * Closes idle connections that are not to be used any more.
+	 * Closes idle connections that have expired or whose replica is no longer listed.
 	 * @param known the replicas that are still listed
 	 */
 	void closeExpired(Set<ReplicaId> known) {
@@ -120,7 +120,7 @@
 	}
 
 	/**
-	 * One connection.
+	 * Connection to one replica.
 	 */
 	static final class Channel {
 
@@ -149,7 +149,7 @@
 		}
 
 		/**
-		 * Says whether the connection ended by a failure, such as a reset.
+		 * Returns whether the connection ended with an error, such as a reset.
 		 */
 		boolean hasFailed() {
 			return this.failed;
--- a/daemon/src/main/java/org/gullsaddle/gateway/ConfigRefresher.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/ConfigRefresher.java
@@ -8,30 +8,30 @@
 import org.gullsaddle.telemetry.Telemetry;
 
 /**
- * Reads the configuration anew for requests that the known one is too old to decide. One
- * call serves all that wait, and after a failure none is made for a moment. Confined to
- * the event loop.
+ * Rereads the configuration for requests for which the known one is too old. One call
+ * serves all waiting requests, and after a failure no call is made for
+ * {@link #RETRY_DELAY_MILLIS}. Confined to the event loop.
  */
 final class ConfigRefresher {
 
 	/**
-	 * How old the configuration may be by which a request is refused for good, as a part
-	 * of the time in which a change must be in force. An older one is read anew first;
-	 * while it cannot be, the request is refused for now only.
+	 * Largest age of a configuration that may reject a request for good, relative to the
+	 * time within which a change must take effect. An older one is reread first; while
+	 * that fails, the request is only refused temporarily.
 	 */
 	private static final double MAX_AGE_TO_REFUSE_RATIO = 0.6;
 
 	/**
-	 * How old the configuration may be by which a request is served, as the same part. An
-	 * older one is read anew first; while it cannot be, requests are served by it, so
-	 * that an outage of the store is none of the gateway.
+	 * Largest age of a configuration under which a request is served, relative to the
+	 * same time. An older one is reread first; while that fails, requests are served
+	 * under it, so that an outage of the store does not become one of the gateway.
 	 */
 	private static final double MAX_AGE_TO_SERVE_RATIO = 0.8;
 
-	/** How many requests may wait for one call. */
+	/** Most requests that wait for one call. */
 	private static final int MAX_WAITING = 256;
 
-	/** How long after a failure no call is made, in milliseconds. */
+	/** Pause after a failed call, in milliseconds. */
 	private static final long RETRY_DELAY_MILLIS = 300;
 
 	private final FleetSource source;
@@ -55,9 +55,9 @@
 	private long failedAt;
 
 	/**
-	 * Makes a check.
-	 * @param newsMillis how soon a change must be in force here, in milliseconds
-	 * @param learned is told of what is read, after the state has taken it in
+	 * Creates a refresher.
+	 * @param newsMillis time within which a change must take effect here, in milliseconds
+	 * @param learned receives what was read, after the state was updated
 	 */
 	ConfigRefresher(FleetSource source, FleetState state, long newsMillis, Consumer<FleetChange> learned,
 			DecisionLog log, Telemetry telemetry) {
@@ -70,15 +70,15 @@
 	}
 
 	/**
-	 * Says whether the configuration must be read anew before it decides a request.
-	 * @param allowed whether the known one allows the request
+	 * Returns whether the configuration must be reread before it decides on a request.
+	 * @param allowed whether the known configuration allows the request
 	 */
 	boolean isDue(boolean allowed) {
 		long now = MonotonicClock.millis();
 		checkForSuspension(now);
 		long age = this.state.configAgeMillis(now);
 		if (allowed) {
-			// Another call would likely cost the caller time only.
+			// While the store fails, another call would only cost the caller time.
 			boolean away = this.failing || this.state.directory().storeAway();
 			return !away && age > MAX_AGE_TO_SERVE_RATIO * this.maxPropagationMillis;
 		}
@@ -86,7 +86,7 @@
 	}
 
 	/**
-	 * Lets knowledge age by the time for which the machine was suspended.
+	 * Adds the time for which the machine was suspended to the age of what is known.
 	 */
 	void checkForSuspension(long now) {
 		long slept = this.suspendDetector.check(now, System.currentTimeMillis());
@@ -97,8 +97,8 @@
 	}
 
 	/**
-	 * Reads the configuration.
-	 * @param then is run once it was read, or could not be
+	 * Rereads the configuration.
+	 * @param then runs once it was read or reading failed
 	 */
 	void refresh(Runnable then) {
 		long now = MonotonicClock.millis();
--- a/daemon/src/main/java/org/gullsaddle/gateway/ContentHash.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/ContentHash.java
@@ -7,7 +7,7 @@
 import org.gullsaddle.base.Fingerprint;
 
 /**
- * Recognizes a request that is sent again: the same team asks the same thing.
+ * Hash that is equal for repeats of a request: same team and same content.
  */
 final class ContentHash {
 
--- a/daemon/src/main/java/org/gullsaddle/gateway/EarlyListener.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/EarlyListener.java
@@ -13,11 +13,11 @@
 /**
  * Listens for callers before the rest of the program is loaded.
  * <p>
- * A node that starts again needs half a second of its processor, and more than that of
- * time, until its server is there. Until then a caller's connection is refused, and when
- * all nodes start at once its one retry is refused as well. A bound socket costs a
- * fraction of that: the system completes connections in its backlog, and their requests
- * are read as soon as the server takes the socket over.
+ * A restarting node needs half a second of processor time, and longer in real time, until
+ * its server runs. Until then callers' connections would be refused, and if all nodes
+ * start at once, so would a caller's single retry. Binding a socket costs a fraction of
+ * that: the system accepts connections into the backlog, and their requests are read as
+ * soon as the server takes over the socket.
  *
  * <pre>
  * EarlyListener early = EarlyListener.bind(address);
@@ -26,7 +26,9 @@
  */
 public final class EarlyListener implements AutoCloseable {
 
-	/** As many connections as a node's callers open in a second of a burst, and more. */
+	/**
+	 * Exceeds the connections that callers open to a node in one second of a burst.
+	 */
 	static final int BACKLOG = 1024;
 
 	private final ServerSocketChannel socket;
@@ -38,10 +40,10 @@
 	}
 
 	/**
-	 * Begins to listen.
+	 * Binds a socket and starts to listen.
 	 * @param address where callers connect
-	 * @return the listener, which a server is to take over
-	 * @throws IOException if the address cannot be had
+	 * @return the listener, to be taken over by a server
+	 * @throws IOException if the address cannot be bound
 	 */
 	public static EarlyListener bind(Address address) throws IOException {
 		ServerSocketChannel socket = ServerSocketChannel.open();
@@ -57,7 +59,8 @@
 	}
 
 	/**
-	 * Hands the socket to the first server that asks; later ones bind their own.
+	 * Returns a channel over the socket for the first server; later servers bind their
+	 * own.
 	 */
 	synchronized NioServerSocketChannel takeChannel() {
 		if (this.taken) {
@@ -68,7 +71,7 @@
 	}
 
 	/**
-	 * Stops listening, if no server took the socket over.
+	 * Closes the socket unless a server has taken it over.
 	 */
 	@Override
 	public synchronized void close() throws IOException {
@@ -79,7 +82,7 @@
 	}
 
 	/**
-	 * A server's channel over a socket that listens already.
+	 * Server channel over a socket that already listens.
 	 */
 	private static final class BoundChannel extends NioServerSocketChannel {
 
--- a/daemon/src/main/java/org/gullsaddle/gateway/EarlyTransport.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/EarlyTransport.java
@@ -9,7 +9,7 @@
 import io.vertx.core.transport.Transport;
 
 /**
- * The JDK's transport, whose first server takes over an {@link EarlyListener}.
+ * NIO transport whose first server takes over the socket of an {@link EarlyListener}.
  */
 public final class EarlyTransport implements Transport, io.vertx.core.spi.transport.Transport {
 
@@ -18,8 +18,8 @@
 	private final EarlyListener early;
 
 	/**
-	 * Makes a transport.
-	 * @param early the socket of the first server
+	 * Creates a transport.
+	 * @param early the listener that the first server takes over
 	 */
 	public EarlyTransport(EarlyListener early) {
 		this.early = early;
--- a/daemon/src/main/java/org/gullsaddle/gateway/FlowControlledSink.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/FlowControlledSink.java
@@ -10,16 +10,16 @@
 import org.gullsaddle.hold.Holder;
 
 /**
- * Passes an answer on as fast as its caller reads, and pauses its replica meanwhile. A
- * replica cuts off an answer that stays unread for long; so it is read on after a while,
- * as far as the memory for that lasts.
+ * Writes an answer as fast as its caller reads and pauses the replica meanwhile. Replicas
+ * abort answers that stay unread for long, so reading resumes after a while, as far as
+ * the buffer budget allows.
  */
 final class FlowControlledSink implements AnswerSink, BufferManager.Transfer {
 
-	/** After how long a paused replica is read on, in milliseconds. */
+	/** How long a replica stays paused before it is read ahead, in milliseconds. */
 	private static final long MAX_PAUSE_MILLIS = 1000;
 
-	/** What the connection itself may hold, in bytes. */
+	/** Size of the connection's own write queue, in bytes. */
 	private static final int CONNECTION_QUEUE_BYTES = 32_768;
 
 	private static final int SLICE_BYTES = 16_384;
@@ -36,7 +36,7 @@
 
 	private long queuedBytes;
 
-	/** What is held back since it makes no event or answer yet, in bytes. */
+	/** Bytes that do not yet form a complete event or answer. */
 	private int incompleteBytes;
 
 	private Attempt source;
@@ -49,7 +49,7 @@
 
 	private boolean ended;
 
-	/** Whether the answer was broken off: nothing may make it look whole. */
+	/** Whether the answer was aborted: nothing may make it look complete. */
 	private boolean discarded;
 
 	FlowControlledSink(ServedRequest request, BufferManager holdings, Runnable giveUp) {
@@ -93,7 +93,7 @@
 	}
 
 	/**
-	 * Sends what the connection takes.
+	 * Writes as much as the connection accepts.
 	 */
 	private void pump() {
 		if (this.discarded || this.response.ended()) {
@@ -168,8 +168,8 @@
 	}
 
 	/**
-	 * Reads a paused replica on: at once if its caller took all and only memory was
-	 * short.
+	 * Resumes a paused replica: at once if the caller has read everything and only memory
+	 * was short, else after {@link #MAX_PAUSE_MILLIS}.
 	 */
 	private void resumeIfDue(long now) {
 		if (this.queued.isEmpty()) {
@@ -185,7 +185,7 @@
 	}
 
 	/**
-	 * Says whether an answer is whole here, and its caller has yet to read it.
+	 * Returns whether the complete answer is here and the caller has not read all of it.
 	 */
 	boolean isSending() {
 		return this.ended && !this.queued.isEmpty();
--- a/daemon/src/main/java/org/gullsaddle/gateway/MonotonicClock.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/MonotonicClock.java
@@ -1,7 +1,8 @@
 package org.gullsaddle.gateway;
 
 /**
- * The steady clock. The time of day may jump; nothing that the gateway decides reads it.
+ * Clock for intervals. The time of day may jump, so the gateway does not base decisions
+ * on it.
  */
 final class MonotonicClock {
 
--- a/daemon/src/main/java/org/gullsaddle/gateway/ServerSentEventSplitter.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/ServerSentEventSplitter.java
@@ -5,12 +5,11 @@
 import io.vertx.core.buffer.Buffer;
 
 /**
- * Cuts a stream of server-sent events into whole events.
+ * Splits a byte stream of server-sent events into complete events.
  * <p>
- * A replica that crashes stops in the middle of an event. Passed on, the half would be
- * joined with what the next replica sends, and the caller would read garbage. So only
- * whole events leave; the rest of a torn one is dropped, and the next replica sends it
- * again.
+ * A replica may crash in the middle of an event. If the partial event were relayed, the
+ * caller would join it with what the next replica sends. So only complete events are
+ * returned; a partial one is discarded, and the next replica sends it again.
  */
 final class ServerSentEventSplitter {
 
@@ -21,8 +20,8 @@
 	private Optional<String> lastEventId = Optional.empty();
 
 	/**
-	 * Takes in bytes.
-	 * @return the whole events among what has come, perhaps none
+	 * Adds bytes.
+	 * @return the events that are now complete, possibly none
 	 */
 	Buffer add(Buffer bytes) {
 		this.incomplete.appendBuffer(bytes);
@@ -39,21 +38,21 @@
 	}
 
 	/**
-	 * Forgets the half of an event that a broken run left.
+	 * Discards a partial event, after the replica's answer broke off.
 	 */
 	void discardIncomplete() {
 		this.incomplete = Buffer.buffer();
 	}
 
 	/**
-	 * Says whether the stream ended between events.
+	 * Returns whether there is no partial event.
 	 */
 	boolean isAtEventEnd() {
 		return this.incomplete.length() == 0;
 	}
 
 	/**
-	 * Returns how much came of an event whose end has not come, in bytes.
+	 * Returns the size of the partial event, in bytes.
 	 */
 	int incompleteBytes() {
 		return this.incomplete.length();
@@ -64,7 +63,8 @@
 	}
 
 	/**
-	 * Returns where the event that begins at a place ends, or -1 if its end has not come.
+	 * Returns the end index of the event that starts at an index, or -1 if it is
+	 * incomplete.
 	 */
 	private int findEventEnd(int from) {
 		int length = this.incomplete.length();
