--- a/daemon/src/main/java/org/gullsaddle/gateway/BadRequestException.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/BadRequestException.java
@@ -1,13 +1,13 @@
 package org.gullsaddle.gateway;
 
 /**
- * A caller's request that cannot be read.
+ * Thrown if a caller's request cannot be parsed.
  */
 public final class BadRequestException extends Exception {
 
 	/**
-	 * Makes an exception.
-	 * @param message what is wrong, for the caller
+	 * Creates an exception.
+	 * @param message the cause, for the caller
 	 */
 	public BadRequestException(String message) {
 		super(message);
--- a/daemon/src/main/java/org/gullsaddle/gateway/BufferManager.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/BufferManager.java
@@ -10,8 +10,8 @@
 import org.gullsaddle.telemetry.Telemetry;
 
 /**
- * What this node holds for callers and replicas, in a deployment whose callers may read
- * slowly. Confined to the event loop.
+ * Accounts for the bytes that this node buffers for callers and replicas, in deployments
+ * whose callers may read slowly. Confined to the event loop.
  */
 final class BufferManager {
 
@@ -24,8 +24,8 @@
 	private final Map<Holder, Transfer> transfers = new LinkedHashMap<>();
 
 	/**
-	 * Makes what holds as the settings tell. The bytes lie in the heap, which may be less
-	 * than the process may use.
+	 * Creates a manager whose budget follows the settings. The bytes are on the heap,
+	 * which may be smaller than the memory limit of the process.
 	 */
 	BufferManager(LoadSettings load, DecisionLog log, Telemetry telemetry) {
 		this.budget = (load.pressure() && load.memoryLimitBytes() > 0)
@@ -48,15 +48,16 @@
 	}
 
 	/**
-	 * Says whether more is held than may be, so that only who holds little is read on.
+	 * Returns whether the budget is exceeded, so that only transfers that hold little may
+	 * read.
 	 */
 	boolean isExhausted() {
 		return this.budget.map(HoldingBudget::spent).orElse(false);
 	}
 
 	/**
-	 * Returns where an answer's bytes go.
-	 * @param giveUp breaks the answer off
+	 * Creates the sink for an answer.
+	 * @param giveUp aborts the answer
 	 */
 	AnswerSink newSink(ServedRequest request, Runnable giveUp) {
 		return isEnabled() ? new FlowControlledSink(request, this, giveUp)
@@ -64,7 +65,7 @@
 	}
 
 	/**
-	 * Begins to hold.
+	 * Registers a transfer.
 	 * @param paceMillis how long the other side may pause and still be on time
 	 */
 	Holder open(String id, long paceMillis, Transfer party) {
@@ -79,7 +80,8 @@
 	}
 
 	/**
-	 * Is called some times a second.
+	 * Checks all transfers and aborts one if memory runs out; called several times a
+	 * second.
 	 */
 	void check(long now) {
 		if (this.transfers.isEmpty()) {
@@ -98,8 +100,7 @@
 	}
 
 	/**
-	 * Notes that a replica whose answer was paused is read on, lest it cuts the answer
-	 * off.
+	 * Records that a paused answer is read ahead so that its replica does not abort it.
 	 */
 	void recordReadAhead(Holder holder, long pausedMillis) {
 		this.log.answerReadAhead(holder, pausedMillis);
@@ -107,8 +108,7 @@
 	}
 
 	/**
-	 * Says whether there are answers that are whole here, and whose callers have yet to
-	 * read them.
+	 * Returns whether there are complete answers that callers have not yet read.
 	 */
 	boolean isSending() {
 		return this.transfers.values()
@@ -121,27 +121,28 @@
 	}
 
 	/**
-	 * Whose bytes are held.
+	 * Transfer of a request body or an answer whose bytes are buffered.
 	 */
 	sealed interface Transfer permits FlowControlledSink, RequestBodyReader {
 
 		/**
-		 * Is called some times a second.
+		 * Checks all transfers and aborts one if memory runs out; called several times a
+		 * second.
 		 */
 		void check(long now);
 
 		/**
-		 * Says whether a replica is not read.
+		 * Returns whether reading from a replica is paused.
 		 */
 		boolean isPaused();
 
 		/**
-		 * Returns what is held, in a word.
+		 * Returns the kind of the buffered bytes, for logs and metrics.
 		 */
 		String kind();
 
 		/**
-		 * Ends what is held for, as there is no memory left for it.
+		 * Aborts the transfer because there is no memory left for it.
 		 */
 		void abort();
 
--- a/daemon/src/main/java/org/gullsaddle/gateway/DrainPolicy.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/DrainPolicy.java
@@ -4,41 +4,43 @@
 import org.gullsaddle.fleet.RouteKind;
 
 /**
- * What a node still takes on once it was told to stop.
+ * Decides which requests a stopping node still accepts, and until when they are answered.
  * <p>
  * When all nodes of a deployment stop within a few seconds of each other, none is ready,
- * and the balancer sends callers to those that stop. A node that waits for its open
- * streams refused such callers for five seconds, though a call takes a tenth of one.
- * Streams are refused, as nobody knows whether they would end in time.
+ * and the load balancer sends callers to stopping nodes. A node that only waited for its
+ * open streams would refuse them for five seconds, although a call takes a tenth of a
+ * second. New streams are refused since they may not end in time.
  */
 final class DrainPolicy {
 
 	/**
-	 * How long all requests are still taken, in milliseconds: the balancer notices after
-	 * two questions, a second apart. What is sent later than three seconds after the
-	 * order to stop must not be cut off at its end, by the platform's rules.
+	 * How long all requests are still accepted, in milliseconds: the load balancer
+	 * notices after two readiness checks, one second apart. By the platform's rules,
+	 * requests sent later than three seconds after the stop signal must not be aborted at
+	 * the end.
 	 */
 	static final long ACCEPT_ALL_MILLIS = 2900;
 
 	/**
-	 * How long the platform and a node take from its end until it serves again, in
-	 * milliseconds.
+	 * Time from the end of the process until the restarted node serves, in milliseconds.
 	 */
 	private static final long RESTART_MILLIS = 900;
 
-	/** What is left of the time to stop for ending the process, in milliseconds. */
+	/**
+	 * Part of the stop timeout that is reserved for ending the process, in milliseconds.
+	 */
 	private static final long EXIT_MARGIN_MILLIS = 400;
 
 	/**
-	 * How much sooner than the process requests without an answer end, in milliseconds:
-	 * several times what passes between two looks at open requests, so that each gets
-	 * one.
+	 * How long before the end requests without an answer are answered, in milliseconds:
+	 * several times the interval between two checks of open requests, so that each is
+	 * checked.
 	 */
 	private static final long ANSWER_MARGIN_MILLIS = 200;
 
 	/**
-	 * How many objectives of its route a call must have left to be taken on, so that
-	 * nearly all end before the process does.
+	 * Remaining time that a call needs to be accepted, as a multiple of its route's
+	 * objective, so that nearly all end before the process does.
 	 */
 	private static final long MIN_OBJECTIVES_LEFT = 4;
 
@@ -51,7 +53,7 @@
 	/**
 	 * Begins to stop.
 	 * @param now the time in milliseconds
-	 * @param stopMillis how long the process may take, in milliseconds
+	 * @param stopMillis the stop timeout in milliseconds
 	 */
 	void begin(long now, long stopMillis) {
 		this.beganAt = now;
@@ -59,9 +61,9 @@
 	}
 
 	/**
-	 * Takes nothing on from now, as the process ends as soon as the last answers have
-	 * left it. A call that was taken in those milliseconds was run and its connection
-	 * closed without an answer.
+	 * Accepts nothing from now on, since the process ends as soon as the last answers are
+	 * sent. A call accepted in those milliseconds would run, and its connection would
+	 * close without an answer.
 	 */
 	void stopAccepting() {
 		this.ended = true;
@@ -72,29 +74,30 @@
 	}
 
 	/**
-	 * Says whether what is open must be cut off.
+	 * Returns whether open requests must be aborted.
 	 */
 	boolean isOver(long now) {
 		return now >= this.endsAt;
 	}
 
 	/**
-	 * Says whether what has no answer yet must get one now, if only that its time is
-	 * over.
+	 * Returns whether requests without an answer must be answered now, if only with a
+	 * timeout.
 	 */
 	boolean shouldAnswerNow(long now) {
 		return hasBegun() && now >= this.endsAt - ANSWER_MARGIN_MILLIS;
 	}
 
 	/**
-	 * Says whether a request may come at any time, as the balancer may not have noticed.
+	 * Returns whether all requests are accepted, since the load balancer may not have
+	 * noticed the stop.
 	 */
 	boolean acceptsAll(long now) {
 		return !this.ended && (!hasBegun() || now - this.beganAt < ACCEPT_ALL_MILLIS);
 	}
 
 	/**
-	 * Says whether a request of a route is taken on.
+	 * Returns whether a request of a route is accepted.
 	 */
 	boolean accepts(Route route, long now) {
 		return acceptsAll(now) || (!this.ended && route.kind() != RouteKind.STREAM
@@ -102,18 +105,18 @@
 	}
 
 	/**
-	 * Returns how long it takes until this node serves again, in milliseconds. That is
-	 * when a caller is to come back that the balancer sent here though this node says
-	 * that it stops: no other one was ready. Sooner it would use its retries in vain.
+	 * Returns the time until this node serves again, in milliseconds. It is the retry
+	 * delay for callers that the load balancer sent here although this node is not ready:
+	 * no other node was, so earlier retries would be wasted.
 	 */
 	long retryAfterMillis(long now) {
 		return Math.max(0, this.endsAt - now) + RESTART_MILLIS;
 	}
 
 	/**
-	 * Returns when a request of a route must have its answer at the latest, in
-	 * milliseconds. A call gets one before the process ends, if only that its time is
-	 * over; a stream that has begun goes on to the end.
+	 * Returns the latest time at which a request of a route must be answered, in
+	 * milliseconds. A call is answered before the process ends, if only with a timeout; a
+	 * stream that has begun continues to the end.
 	 */
 	long latestAnswerAt(Route route) {
 		boolean call = route.kind() != RouteKind.STREAM;
--- a/daemon/src/main/java/org/gullsaddle/gateway/FleetPoller.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/FleetPoller.java
@@ -10,63 +10,69 @@
 import org.gullsaddle.fleet.FleetChange;
 
 /**
- * Keeps {@link FleetState} up to date: reads everything once, then waits for changes, and
- * reads everything anew when changes were missed.
+ * Keeps {@link FleetState} up to date: reads everything once, then polls for changes, and
+ * rereads everything if changes were missed.
  */
 final class FleetPoller {
 
 	/**
-	 * How long one call waits for changes, in milliseconds. A connection that went silent
-	 * is only noticed after it, and a change must be in force in time even then: the
-	 * pause between calls, this wait, the store's own time and one more call fit into it.
+	 * How long one call waits for changes, in milliseconds. A dead connection is only
+	 * noticed after it, and a change must still take effect in time: the interval between
+	 * calls, this wait, the store's latency and one more call fit into that time.
 	 */
 	private static final long POLL_WAIT_MILLIS = 200;
 
 	/**
-	 * How soon after a call for changes the next one begins after everything was read
-	 * anew, in milliseconds, when replicas come back one after another.
+	 * Interval between calls for a while after a full read, in milliseconds, when
+	 * replicas reappear one after another.
 	 */
 	private static final long SETTLING_INTERVAL_MILLIS = 1000;
 
 	/**
-	 * The same during a roll-out at most, in milliseconds: nodes tell each other through
-	 * the store then what they saw of the new release.
+	 * Longest interval during a roll-out, in milliseconds: nodes then exchange evidence
+	 * about the new release through the store.
 	 */
 	private static final long MAX_ROLLOUT_INTERVAL_MILLIS = 1600;
 
 	/**
-	 * The same as a part of a short roll-out's time, in which evidence must have reached
-	 * all nodes before the share of the new release rises.
+	 * Interval relative to the duration of a short roll-out: evidence must reach all
+	 * nodes before the share of the new release rises.
 	 */
 	private static final double ROLLOUT_INTERVAL_RATIO = 0.0625;
 
 	private static final long MIN_ROLLOUT_INTERVAL_MILLIS = 500;
 
 	/**
-	 * The same while others' news of crashes are awaited, or the share of a new release
+	 * Interval while crash notes of peers are awaited or the share of a new release
 	 * rises, in milliseconds.
 	 */
 	private static final long URGENT_INTERVAL_MILLIS = 500;
 
-	/** How long after a reading of everything replicas come back, in milliseconds. */
+	/** How long replicas reappear after a full read, in milliseconds. */
 	private static final long SETTLE_MILLIS = 5000;
 
 	/**
-	 * The part of the time in which news must be in force after which nodes ask for it.
-	 * Every replica's heartbeat is a change: without a pause a node asks as often as all
-	 * of them beat together, and each call is paid for.
+	 * Interval relative to the time within which a change must take effect. Every
+	 * replica's heartbeat is a change: without a pause a node would call as often as all
+	 * replicas send heartbeats, and each call costs money.
 	 */
 	private static final double PROPAGATION_INTERVAL_RATIO = 0.5;
 
-	/** The pause before a call that follows a failure, in milliseconds. */
+	/**
+	 * Delay before the call after a first failure, in milliseconds; it grows with each
+	 * failure in a row.
+	 */
 	private static final long RETRY_DELAY_MILLIS = 150;
 
 	private static final long MAX_RETRY_DELAY_MILLIS = 600;
 
-	/** What a call may take beyond its wait without being reported, in milliseconds. */
+	/**
+	 * How much longer than its wait a call may take without being logged, in
+	 * milliseconds.
+	 */
 	private static final long SLOW_MILLIS = 100;
 
-	/** How many failures in a row mean that the store is away. */
+	/** Failures in a row after which the store counts as unavailable. */
 	private static final int FAILURES_UNTIL_UNAVAILABLE = 2;
 
 	private final Vertx vertx;
@@ -94,9 +100,9 @@
 	private boolean stopped;
 
 	/**
-	 * Makes a feed.
-	 * @param newsMillis how soon a change must be in force here, in milliseconds
-	 * @param crashes says whether others' news of crashes are awaited
+	 * Creates a poller.
+	 * @param newsMillis time within which a change must take effect here, in milliseconds
+	 * @param crashes tells whether crash notes of peers are awaited
 	 */
 	FleetPoller(Vertx vertx, FleetSource source, FleetState state, DecisionLog log, Consumer<FleetChange> listener,
 			long newsMillis, BooleanSupplier crashes) {
@@ -164,7 +170,7 @@
 	}
 
 	/**
-	 * Returns how far calls for changes are apart at a time, in milliseconds.
+	 * Returns the current interval between calls for changes, in milliseconds.
 	 */
 	long intervalMillis(long now) {
 		if (this.crashNotesAwaited.getAsBoolean() || this.state.isReleaseShareRising()) {
@@ -183,7 +189,7 @@
 	}
 
 	/**
-	 * Returns how long to wait before the next call, in milliseconds.
+	 * Returns the delay before the next call, in milliseconds.
 	 */
 	static long delayMillis(long askedAt, long now, long every) {
 		return Math.max(0, askedAt + every - now);
@@ -198,8 +204,9 @@
 			this.revision = -1;
 		}
 		if (this.failures == FAILURES_UNTIL_UNAVAILABLE) {
-			// What changed meanwhile is read anew as a whole: an entry that lapsed in the
-			// outage and came back shows nothing in the changes alone.
+			// After the outage everything is reread: an entry that expired during the
+			// outage
+			// and came back does not show in the changes.
 			this.state.directory().storeAway(now, true);
 			this.log.dependencyLost("store", failure.getMessage(), this.state.ageMillis(now));
 		}
--- a/daemon/src/main/java/org/gullsaddle/gateway/FleetSource.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/FleetSource.java
@@ -7,37 +7,37 @@
 import org.gullsaddle.fleet.FleetChange;
 
 /**
- * Tells what the platform knows of the deployment. Failures are
- * {@link org.gullsaddle.store.StoreException}s, and {@link HistoryCompactedException} if
- * changes were missed.
+ * Source of the platform's information about the deployment. Calls fail with a
+ * {@link org.gullsaddle.store.StoreException}, in particular with a
+ * {@link HistoryCompactedException} if changes were missed.
  */
 public interface FleetSource {
 
 	/**
-	 * Reads everything.
-	 * @return what stands now
+	 * Reads the whole current state.
+	 * @return the current state as changes
 	 */
 	Single<Update> readAll();
 
 	/**
 	 * Waits for changes.
 	 * @param after the revision up to which changes are known
-	 * @param waitMillis how long to wait for the first, in milliseconds
-	 * @return the changes in their order, none if there were none
+	 * @param waitMillis how long to wait for the first change, in milliseconds
+	 * @return the changes in order, possibly none
 	 */
 	Single<Update> awaitChanges(long after, long waitMillis);
 
 	/**
-	 * Reads the configuration that stands now, on a new connection.
-	 * @return the configuration, none if there is none yet
+	 * Reads the current configuration, on a new connection.
+	 * @return the configuration, empty if there is none yet
 	 */
 	Single<List<FleetChange>> readConfig();
 
 	/**
-	 * Things that the platform told.
+	 * Changes of the deployment up to a revision.
 	 *
-	 * @param changes the changes in their order
-	 * @param revision the revision up to which they go
+	 * @param changes the changes in order
+	 * @param revision the revision of the last change
 	 */
 	record Update(List<FleetChange> changes, long revision) {
 
--- a/daemon/src/main/java/org/gullsaddle/gateway/FleetState.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/FleetState.java
@@ -20,8 +20,7 @@
 import org.gullsaddle.serve.RolloutLimits;
 
 /**
- * What the node believes of the deployment, and how old that is. Confined to the event
- * loop.
+ * The node's view of the deployment and its age. Confined to the event loop.
  */
 final class FleetState {
 
@@ -39,12 +38,12 @@
 
 	private boolean configUnreadable;
 
-	/** As of when the node knows the deployment, and the configuration. */
+	/** Times as of which the deployment and the configuration are known. */
 	private long knownAt;
 
 	private long configKnownAt;
 
-	/** The same of the deployment before the latest news. */
+	/** Time as of which the deployment was known before the latest update. */
 	private long previouslyKnownAt = NEVER;
 
 	private boolean everUpdated;
@@ -54,8 +53,8 @@
 	}
 
 	/**
-	 * Takes in a change.
-	 * @return whether it changed what the node believes
+	 * Applies a change.
+	 * @return whether it changed the node's view
 	 */
 	boolean apply(long now, FleetChange change) {
 		return switch (change) {
@@ -80,8 +79,8 @@
 	}
 
 	/**
-	 * A node must never go back: a read that was slow on its way may bring a version
-	 * older than one that requests were served by.
+	 * Ignores older versions: a delayed read may return a version older than one under
+	 * which requests were already served.
 	 */
 	private boolean applyConfig(FleetConfig newConfig) {
 		if (this.config != null && newConfig.version() <= this.config.version()) {
@@ -136,7 +135,7 @@
 	}
 
 	/**
-	 * Takes in that everything was read: what was not told is gone.
+	 * Removes replicas and evacuations that a full read did not list.
 	 */
 	void retain(long now, List<FleetChange> everything) {
 		Set<ReplicaId> replicas = new HashSet<>();
@@ -157,8 +156,8 @@
 	}
 
 	/**
-	 * Takes in that the platform has told all changes.
-	 * @param askedAt when it was asked: of later ones nothing is known
+	 * Records that all changes were read.
+	 * @param askedAt when the call was made; later changes are unknown
 	 */
 	void onUpdate(long askedAt) {
 		this.previouslyKnownAt = this.everUpdated ? this.knownAt : NEVER;
@@ -168,15 +167,15 @@
 	}
 
 	/**
-	 * Takes in that the platform has told the configuration.
-	 * @param askedAt when it was asked
+	 * Records that the configuration was read.
+	 * @param askedAt when the call was made
 	 */
 	void onConfigRead(long askedAt) {
 		this.configKnownAt = Math.max(this.configKnownAt, askedAt);
 	}
 
 	/**
-	 * Takes in that more time has passed than the clock counted.
+	 * Adds time that the clock did not count to the age of what is known.
 	 */
 	void onSuspended(long millis) {
 		this.knownAt -= millis;
@@ -184,21 +183,21 @@
 	}
 
 	/**
-	 * Returns how old what the node knows may be, in milliseconds.
+	 * Returns the largest possible age of the node's view, in milliseconds.
 	 */
 	long ageMillis(long now) {
 		return now - this.knownAt;
 	}
 
 	/**
-	 * Returns how old the configuration that the node knows may be, in milliseconds.
+	 * Returns the largest possible age of the known configuration, in milliseconds.
 	 */
 	long configAgeMillis(long now) {
 		return now - this.configKnownAt;
 	}
 
 	/**
-	 * Says whether a newer configuration came that cannot be read.
+	 * Returns whether a newer configuration exists that cannot be parsed.
 	 */
 	boolean hasUnreadableConfig() {
 		return this.configUnreadable;
@@ -221,14 +220,14 @@
 	}
 
 	/**
-	 * Says whether the share of a new release rises.
+	 * Returns whether the share of a new release is rising.
 	 */
 	boolean isReleaseShareRising() {
 		return this.rollouts.values().stream().anyMatch(Rollout::grows);
 	}
 
 	/**
-	 * Returns the time of the shortest roll-out that is under way, in milliseconds.
+	 * Returns the duration of the shortest roll-out in progress, in milliseconds.
 	 */
 	OptionalLong shortestRolloutMillis() {
 		return this.rollouts.values()
--- a/daemon/src/main/java/org/gullsaddle/gateway/GatewaySettings.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/GatewaySettings.java
@@ -5,18 +5,18 @@
 import org.gullsaddle.serve.RolloutLimits;
 
 /**
- * What a gateway is told at its start. All times are in milliseconds.
+ * Settings of a gateway, read at its start. All times are in milliseconds.
  *
  * @param node the node's name
- * @param place where it is
- * @param callerAddress where callers connect
- * @param readinessAddress where it is asked whether it is ready
- * @param metricsAddress where its metrics are served, port 0 for nowhere
- * @param stopTimeoutMillis how long a graceful stop may take
- * @param retryBudgetRatio how many retries each request earns
- * @param maxPropagationMillis how soon what the platform tells must be in force
- * @param rolloutLimits what a release may get before it is proved
- * @param load what the deployment says of its load
+ * @param place the node's location
+ * @param callerAddress address for callers
+ * @param readinessAddress address of the readiness check
+ * @param metricsAddress address of the metrics, port 0 for none
+ * @param stopTimeoutMillis longest graceful stop
+ * @param retryBudgetRatio retries that each request adds to the retry budget
+ * @param maxPropagationMillis time within which a change on the platform must take effect
+ * @param rolloutLimits limits of a new release until it is proved
+ * @param load settings about load and memory
  */
 public record GatewaySettings(String node, Place place, Address callerAddress, Address readinessAddress,
 		Address metricsAddress, long stopTimeoutMillis, double retryBudgetRatio, long maxPropagationMillis,
--- a/daemon/src/main/java/org/gullsaddle/gateway/HeaderCodec.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/HeaderCodec.java
@@ -10,24 +10,24 @@
 import org.gullsaddle.serve.EngineReport;
 
 /**
- * Translates between HTTP headers as callers and replicas speak them and the product's
+ * Translates between the HTTP headers of callers and replicas and the gateway's own
  * types.
  */
 public interface HeaderCodec {
 
 	/**
 	 * Reads a caller's request.
-	 * @param request the request's head
-	 * @return what it says
-	 * @throws BadRequestException if a header cannot be read
+	 * @param request the request, of which only the head is read
+	 * @return its contents
+	 * @throws BadRequestException if a header cannot be parsed
 	 */
 	CallerRequest read(HttpServerRequest request) throws BadRequestException;
 
 	/**
-	 * Writes the headers for a replica: the caller's, without those that are the system's
-	 * to set or concern one connection only.
+	 * Returns the headers for a replica: the caller's without hop-by-hop headers and
+	 * those that the gateway sets.
 	 * @param caller the caller's headers
-	 * @param handover what the replica is told besides
+	 * @param handover what the gateway adds for the replica
 	 * @return the headers
 	 */
 	MultiMap replicaHeaders(MultiMap caller, ForwardingContext handover);
@@ -35,28 +35,27 @@
 	/**
 	 * Reads the head of a replica's answer.
 	 * @param response the response
-	 * @return what it says
+	 * @return its contents
 	 */
 	ReplicaAnswer read(HttpClientResponse response);
 
 	/**
-	 * Writes the headers for a caller: the replica's, without those that concern one
-	 * connection only.
+	 * Returns the headers for a caller: the replica's without hop-by-hop headers.
 	 * @param replica the replica's headers
 	 * @return the headers
 	 */
 	MultiMap callerHeaders(MultiMap replica);
 
 	/**
-	 * Returns where an engine tells its load.
+	 * Returns the path at which an engine reports its load.
 	 * @return the path
 	 */
 	String loadReportPath();
 
 	/**
-	 * Reads what an engine tells of its load.
+	 * Reads an engine's load report.
 	 * @param body the body of its answer
-	 * @return its load, or empty if the body cannot be read
+	 * @return the report, or empty if the body cannot be parsed
 	 */
 	Optional<EngineReport> readLoadReport(Buffer body);
 
--- a/daemon/src/main/java/org/gullsaddle/gateway/HistoryCompactedException.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/HistoryCompactedException.java
@@ -3,13 +3,14 @@
 import org.gullsaddle.store.StoreException;
 
 /**
- * The store has forgotten the changes that were asked for; everything must be read anew.
+ * Thrown if the store no longer keeps the requested changes, so that everything must be
+ * reread.
  */
 public final class HistoryCompactedException extends StoreException {
 
 	/**
-	 * Makes an exception.
-	 * @param message what the store said
+	 * Creates an exception.
+	 * @param message the store's message
 	 */
 	public HistoryCompactedException(String message) {
 		super(message, false, null);
--- a/daemon/src/main/java/org/gullsaddle/gateway/HttpStatuses.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/HttpStatuses.java
@@ -1,7 +1,7 @@
 package org.gullsaddle.gateway;
 
 /**
- * HTTP statuses and what they tell a caller.
+ * HTTP status codes and their meaning for a caller.
  */
 final class HttpStatuses {
 
@@ -39,7 +39,8 @@
 	}
 
 	/**
-	 * Says whether callers read a status as: not run, and never will be.
+	 * Returns whether callers take a status as a promise that the request did not and
+	 * will not run.
 	 */
 	static boolean promisesNotRun(int status) {
 		return status == SERVICE_UNAVAILABLE || status == REQUEST_TIMEOUT || status == MISDIRECTED
--- a/daemon/src/main/java/org/gullsaddle/gateway/LoadProbe.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/LoadProbe.java
@@ -18,16 +18,16 @@
 import org.gullsaddle.serve.ReplicaPicker;
 
 /**
- * Asks a few engines for their load before one of them is given a request. Confined to
- * the event loop.
+ * Asks a few engines for their load before one of them is chosen for a request. Confined
+ * to the event loop.
  * <p>
- * A node with many others beside it sees an answer of each engine every few seconds, and
- * several nodes take the same engine for idle at once. The fresh loads of two or three
- * candidates even the queues out nearly as well as the loads of all would.
+ * With many nodes, each node sees an answer of an engine only every few seconds, and
+ * several nodes take the same engine for idle at once. Fresh loads of two or three
+ * candidates balance the queues nearly as well as the loads of all engines would.
  */
 final class LoadProbe {
 
-	/** How long engines may take to tell, in milliseconds. */
+	/** Time within which engines must report, in milliseconds. */
 	private static final long TIMEOUT_MILLIS = 60;
 
 	private final Vertx vertx;
@@ -57,9 +57,9 @@
 	}
 
 	/**
-	 * Asks engines, and has the picker learn what they say.
+	 * Asks engines for their load and passes the reports to the picker.
 	 * @param replicas the engines
-	 * @param then is given those that told in time, which may be none
+	 * @param then receives those that reported in time, possibly none
 	 */
 	void probe(List<Replica> replicas, Consumer<List<Replica>> then) {
 		List<Future<Boolean>> answers = replicas.stream()
@@ -77,24 +77,24 @@
 	}
 
 	/**
-	 * Returns how many reports were asked for since the start.
+	 * Returns the number of probes sent since the start.
 	 */
 	int sentCount() {
 		return this.sentCount;
 	}
 
 	/**
-	 * Returns how many of them did not come in time, or could not be read.
+	 * Returns the number of probes that timed out or failed.
 	 */
 	int failedCount() {
 		return this.failedCount;
 	}
 
 	/**
-	 * Asks one engine, and has the picker learn what it says.
+	 * Asks one engine for its load and passes the report to the picker.
 	 * @param replica the engine
-	 * @param waitMillis how long it may take to tell, in milliseconds
-	 * @return what it says, empty if it did not tell in time
+	 * @param waitMillis time within which it must report, in milliseconds
+	 * @return the report, empty if none came in time
 	 */
 	Future<Optional<EngineReport>> probe(Replica replica, long waitMillis) {
 		this.sentCount++;
--- a/daemon/src/main/java/org/gullsaddle/gateway/LoadSettings.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/LoadSettings.java
@@ -3,18 +3,18 @@
 import org.gullsaddle.base.Check;
 
 /**
- * What a deployment says of its load.
+ * Settings of a deployment about its load and memory.
  *
- * @param pressure whether callers compete for too little room, and may read slowly
- * @param memoryLimitBytes what the process may use in all, in bytes, 0 if it is not told
+ * @param pressure whether callers compete for scarce capacity and may read slowly
+ * @param memoryLimitBytes memory limit of the process, in bytes, 0 if unknown
  */
 public record LoadSettings(boolean pressure, long memoryLimitBytes) {
 
-	/** A deployment that says nothing of its load. */
+	/** Settings of a deployment that gives none. */
 	public static final LoadSettings DEFAULTS = new LoadSettings(false, 0);
 
 	public LoadSettings {
-		Check.that(memoryLimitBytes >= 0, "memoryBytes must not be negative");
+		Check.that(memoryLimitBytes >= 0, "memoryLimitBytes must not be negative");
 	}
 
 }
--- a/daemon/src/main/java/org/gullsaddle/gateway/NodeNoteWriter.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/NodeNoteWriter.java
@@ -6,12 +6,12 @@
 import org.gullsaddle.store.Store;
 
 /**
- * What a node writes in the store for the other nodes, under a key of its own. Confined
- * to the event loop.
+ * Writes this node's note for its peers in the store, under a key of its own. Confined to
+ * the event loop.
  * <p>
- * Each write names the revision that it replaces. After a lost answer, or an earlier life
- * of this node under the same key, that revision is not known; it is read anew, and the
- * note is due again.
+ * Each write names the revision that it replaces. After a lost answer, or an earlier
+ * process of this node under the same key, that revision is unknown; it is reread, and
+ * the note must be written again.
  */
 final class NodeNoteWriter {
 
@@ -29,7 +29,7 @@
 	}
 
 	/**
-	 * Says whether the store has yet to answer.
+	 * Returns whether a write is in progress.
 	 */
 	boolean isBusy() {
 		return this.busy;
@@ -38,7 +38,7 @@
 	/**
 	 * Writes the note.
 	 * @param value the new value
-	 * @param dueAgain is told if the value may not stand there
+	 * @param dueAgain runs if the value may not have been written
 	 */
 	void write(String value, Runnable dueAgain) {
 		this.busy = true;
--- a/daemon/src/main/java/org/gullsaddle/gateway/NodeRegistry.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/NodeRegistry.java
@@ -19,27 +19,30 @@
 import org.gullsaddle.store.Store;
 
 /**
- * Knows the nodes of this deployment by a note of each in the store, which each writes
- * again from time to time. A node is forgotten when its note was not written for some
- * times, while the store could be reached: what nodes share out by their number is then
- * shared too thinly for a while, never too thickly. Confined to the event loop.
+ * Registry of the nodes of this deployment. Each node writes a note in the store and
+ * refreshes it periodically. A node is removed when it missed several refreshes while the
+ * store was available: limits that nodes divide by their number are then divided by too
+ * many for a while, never by too few. Confined to the event loop.
  */
 final class NodeRegistry {
 
 	static final String NOTE_PREFIX = "gullsaddle/nodes/";
 
-	/** When a note is written again that the store may not have, in milliseconds. */
+	/**
+	 * Delay before a note that may not have been written is written again, in
+	 * milliseconds.
+	 */
 	private static final long RETRY_DELAY_MILLIS = 1000;
 
-	/** How often a note is written, in milliseconds. */
+	/** Interval at which a node refreshes its note, in milliseconds. */
 	private static final long REFRESH_INTERVAL_MILLIS = 600_000;
 
-	/** How many times a note may be missed. */
+	/** Refreshes that a node may miss before it is removed. */
 	private static final int MAX_MISSED_REFRESHES = 3;
 
 	/**
-	 * How long nodes may take to read each other's notes, in milliseconds: those that
-	 * start together do not know each other at once.
+	 * Time that nodes need to read each other's notes, in milliseconds: nodes that start
+	 * together do not know each other at once.
 	 */
 	private static final long SETTLING_MILLIS = 2000;
 
@@ -57,7 +60,7 @@
 
 	private final Map<NodeId, Integer> missedRefreshes = new HashMap<>();
 
-	/** The nodes, in a list that stays the same until they change. */
+	/** The nodes; the same list object until they change. */
 	private List<Peer> peers = List.of();
 
 	private long registeredAt;
@@ -73,7 +76,7 @@
 	}
 
 	/**
-	 * Takes in a change of the deployment, or another node's note.
+	 * Handles a change of the deployment or a peer's note.
 	 */
 	void onFleetChange(FleetChange change) {
 		if (change instanceof FleetChange.Noted noted && noted.key().startsWith(NOTE_PREFIX)) {
@@ -81,15 +84,15 @@
 		}
 		if (change instanceof FleetChange.Configured && !this.started) {
 			this.started = true;
-			// What was read together with the configuration is taken in first.
+			// Changes that were read together with the configuration are applied first.
 			this.vertx.runOnContext((nothing) -> register());
 			this.vertx.setPeriodic(REFRESH_INTERVAL_MILLIS, (timer) -> refresh());
 		}
 	}
 
 	/**
-	 * Reads a note. One that says nothing of the node's place, or cannot be read, still
-	 * names a node that takes its share.
+	 * Parses a note. One without a location or with invalid JSON still counts as a node,
+	 * since that node takes its share.
 	 */
 	private static Optional<Peer> parse(FleetChange.Noted noted) {
 		try {
@@ -121,7 +124,7 @@
 	}
 
 	/**
-	 * Writes this node's note again, and forgets nodes that have stopped to.
+	 * Refreshes this node's note and removes nodes that have missed too many refreshes.
 	 */
 	void refresh() {
 		if (this.storeUnavailable.getAsBoolean()) {
@@ -149,15 +152,14 @@
 	}
 
 	/**
-	 * Returns how many nodes there are or were, or empty while the others may not count
-	 * this one.
+	 * Returns the number of known nodes, or empty while peers may not count this one.
 	 */
 	Optional<Integer> knownCount() {
 		return isRegistered() ? Optional.of(this.nodes.size()) : Optional.empty();
 	}
 
 	/**
-	 * Returns the nodes, or empty while they may not all know each other.
+	 * Returns the nodes, or empty while they may not all know each other yet.
 	 */
 	Optional<List<Peer>> peers() {
 		boolean settled = isRegistered() && MonotonicClock.millis() - this.registeredAt >= SETTLING_MILLIS;
--- a/daemon/src/main/java/org/gullsaddle/gateway/RequestBodyReader.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/RequestBodyReader.java
@@ -8,14 +8,14 @@
 import org.gullsaddle.hold.Holder;
 
 /**
- * Reads a caller's request to its end.
+ * Reads a caller's request with its whole body and passes it to the dispatcher.
  */
 final class RequestBodyReader implements BufferManager.Transfer {
 
-	/** What a body may have while no configuration is known, in bytes. */
+	/** Largest body while no configuration is known, in bytes. */
 	private static final long DEFAULT_BODY_BYTES = 4_194_304;
 
-	/** In what time a caller shows how fast it sends, in milliseconds. */
+	/** Time over which a caller's sending rate is measured, in milliseconds. */
 	private static final long RATE_WINDOW_MILLIS = 1000;
 
 	private final Gateway gateway;
@@ -106,7 +106,7 @@
 	}
 
 	/**
-	 * Says no: what is not read here is a caller's body, never a replica's answer.
+	 * Returns false: this reads a caller's body, never a replica's answer.
 	 */
 	@Override
 	public boolean isPaused() {
@@ -127,8 +127,8 @@
 	}
 
 	/**
-	 * Answers a request that is not read on, and ends its connection: what follows on it
-	 * cannot be told apart from the rest of this one.
+	 * Answers a request that is not read to its end and closes its connection, since
+	 * later requests on it could not be told apart from the unread body.
 	 */
 	private void reject(int status, Optional<Long> after, String reason) {
 		this.done = true;
--- a/daemon/src/main/java/org/gullsaddle/gateway/StallDetector.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/StallDetector.java
@@ -1,28 +1,30 @@
 package org.gullsaddle.gateway;
 
 /**
- * Notices that the process stood still, frozen or starved of its processor.
+ * Detects that the process stalled because it was frozen or got no processor time.
  * <p>
- * When it goes on, all its replicas seem to have been silent, though their bytes lie in
- * its sockets; each open stream would be moved, and run anew, for nothing. Silence is
- * counted from when the process went on; what is really silent is found one patience
- * later.
+ * After a stall all replicas seem to have been silent although their bytes wait in the
+ * sockets; each open stream would be moved and rerun needlessly. Silence is therefore
+ * counted from the end of the stall; a replica that is really silent is detected one
+ * silence limit later.
  */
 final class StallDetector {
 
 	/**
-	 * How late a periodic look must be to count as a standstill, in milliseconds: several
-	 * times what a busy node is late by, and less than any patience.
+	 * Delay of a periodic check that counts as a stall, in milliseconds: several times
+	 * the delay on a busy node, and less than any silence limit.
 	 */
 	private static final long MIN_STALL_MILLIS = 500;
 
 	/**
-	 * How late a look must be for what lies in the sockets to be old, in milliseconds: a
-	 * part of the second that callers give a node to read their requests.
+	 * Delay of a check after which bytes in the sockets count as old, in milliseconds: a
+	 * fraction of the second within which callers expect a node to read their requests.
 	 */
 	private static final long MIN_LAG_MILLIS = 200;
 
-	/** How long after such a look sockets may still hold old bytes, in milliseconds. */
+	/**
+	 * How long after such a check sockets may still hold old bytes, in milliseconds.
+	 */
 	private static final long CATCH_UP_MILLIS = 1000;
 
 	private long lastCheckAt = Long.MAX_VALUE;
@@ -32,9 +34,8 @@
 	private long resumedAt = Long.MIN_VALUE;
 
 	/**
-	 * Notes a periodic look.
-	 * @return how long the process stood still before it, in milliseconds, 0 if it did
-	 * not
+	 * Records a periodic check.
+	 * @return how long the process stalled before it, in milliseconds, 0 if it did not
 	 */
 	long check(long now) {
 		long late = (this.lastCheckAt == Long.MAX_VALUE) ? 0 : now - this.lastCheckAt;
@@ -50,7 +51,7 @@
 	}
 
 	/**
-	 * Says whether bytes that are read now may have come long ago.
+	 * Returns whether bytes that are read now may have arrived long ago.
 	 */
 	boolean isBehind(long now) {
 		boolean lookIsLate = this.lastCheckAt != Long.MAX_VALUE && now - this.lastCheckAt >= MIN_LAG_MILLIS;
@@ -58,7 +59,7 @@
 	}
 
 	/**
-	 * Returns since when bytes have been waited for that last came at a time.
+	 * Returns since when a replica counts as silent.
 	 */
 	long silentSince(long lastByteAt) {
 		return Math.max(lastByteAt, this.resumedAt);
--- a/daemon/src/main/java/org/gullsaddle/gateway/StartupRequestQueue.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/StartupRequestQueue.java
@@ -4,22 +4,24 @@
 import java.util.List;
 
 /**
- * Requests that came while a node has just started and reads its configuration.
+ * Requests that arrived while a newly started node reads its configuration.
  * <p>
- * The reading takes some 0.2 s of a small machine. A caller that is refused in that time
- * comes back a quarter of a second later at the earliest, and has used its one retry; one
- * that is held is served sooner. Only the first moments count: a node that cannot reach
- * the store refuses at once.
+ * Reading takes about 0.2 s on a small machine. A caller that is refused in that time
+ * retries after a quarter of a second at the earliest and has then used its only retry; a
+ * queued request is served sooner. Requests are queued only briefly after the start:
+ * later, a node that cannot reach the store refuses at once.
  */
 final class StartupRequestQueue {
 
 	/**
-	 * How long after its start a node holds requests, in milliseconds: three times the
-	 * reading, and an eighth of the objective of a stream.
+	 * How long after its start a node queues requests, in milliseconds: about three times
+	 * the reading, and an eighth of a stream's objective.
 	 */
 	static final long HOLD_MILLIS = 500;
 
-	/** How many requests are held; at more the node would be late with all of them. */
+	/**
+	 * Most requests that are queued; with more, the node would be late with all of them.
+	 */
 	private static final int MAX_REQUESTS = 200;
 
 	private final List<Runnable> requests = new ArrayList<>();
@@ -27,9 +29,9 @@
 	private boolean released;
 
 	/**
-	 * Holds a request.
-	 * @param again has it served, or refused, later
-	 * @return false if it is to be refused now
+	 * Queues a request.
+	 * @param again serves or refuses it later
+	 * @return false if it must be refused now
 	 */
 	boolean offer(Runnable again) {
 		return !this.released && this.requests.size() < MAX_REQUESTS && this.requests.add(again);
@@ -40,7 +42,7 @@
 	}
 
 	/**
-	 * Lets all requests go on, and holds no more.
+	 * Runs all queued requests and accepts no more.
 	 */
 	void release() {
 		this.released = true;
--- a/daemon/src/main/java/org/gullsaddle/gateway/StatusServer.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/StatusServer.java
@@ -10,13 +10,13 @@
 import org.gullsaddle.base.Address;
 
 /**
- * Answers whether the node is ready, and shows its metrics.
+ * Serves the readiness check and the metrics.
  */
 final class StatusServer {
 
 	private static final int INTERNAL_SERVER_ERROR = 500;
 
-	/** HTTP/2 classes would be loaded with the first question. */
+	/** Without this, HTTP/2 classes would be loaded with the first request. */
 	private static final HttpServerOptions OPTIONS = new HttpServerOptions().setHttp2ClearTextEnabled(false);
 
 	private StatusServer() {
--- a/daemon/src/main/java/org/gullsaddle/gateway/StreamTiming.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/StreamTiming.java
@@ -1,7 +1,8 @@
 package org.gullsaddle.gateway;
 
 /**
- * Times the events of a stream. All times are in milliseconds.
+ * Measures the time to the first event of a stream and its longest gap. All times are in
+ * milliseconds.
  */
 final class StreamTiming {
 
@@ -20,8 +21,8 @@
 	}
 
 	/**
-	 * Notes that one event came, or several together.
-	 * @param readSince since when the replica has been read: before, nothing could come
+	 * Records that one or several events arrived.
+	 * @param readSince since when the replica has been read; nothing could arrive before
 	 */
 	void onEvent(long now, long readSince) {
 		if (this.firstEventAt < 0) {
@@ -34,14 +35,14 @@
 	}
 
 	/**
-	 * Returns how long the first event took, up to now if there was none.
+	 * Returns the time to the first event, or the time until now if there was none.
 	 */
 	long firstEventMillis(long now) {
 		return ((this.firstEventAt >= 0) ? this.firstEventAt : now) - this.beganAt;
 	}
 
 	/**
-	 * Says whether an event has come.
+	 * Returns whether an event has arrived.
 	 */
 	boolean hasBegun() {
 		return this.firstEventAt >= 0;
--- a/daemon/src/main/java/org/gullsaddle/gateway/SuspendDetector.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/SuspendDetector.java
@@ -1,13 +1,16 @@
 package org.gullsaddle.gateway;
 
 /**
- * Notices that the machine was suspended: the clock that counts intervals stands still
- * then, and the time of day does not. A time of day that was set forward looks the same,
- * and makes knowledge look old that is not.
+ * Detects that the machine was suspended: the monotonic clock then stops, the time of day
+ * does not. A time of day that is set forward looks the same and makes the node's
+ * knowledge seem older than it is.
  */
 final class SuspendDetector {
 
-	/** By how much the clocks must differ to count, in milliseconds. */
+	/**
+	 * Smallest difference between the clocks that counts as a suspension, in
+	 * milliseconds.
+	 */
 	private static final long MIN_SUSPEND_MILLIS = 300;
 
 	private boolean started;
@@ -16,9 +19,9 @@
 
 	/**
 	 * Compares the clocks.
-	 * @param steady the clock that counts intervals, in milliseconds
+	 * @param steady the monotonic clock, in milliseconds
 	 * @param timeOfDay the time of day, in milliseconds
-	 * @return how long the machine was suspended since the last look, in milliseconds, 0
+	 * @return how long the machine was suspended since the last check, in milliseconds, 0
 	 * if it was not
 	 */
 	long check(long steady, long timeOfDay) {
@@ -30,7 +33,7 @@
 			return slept;
 		}
 		if (slept > 0) {
-			// Small steps add up: a clock that is set forward in them is a drift.
+			// Keeps the old offset, so that small differences (clock drift) add up.
 			this.offsetMillis = before;
 		}
 		return 0;
