--- a/daemon/src/main/java/org/gullsaddle/gateway/Attempt.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/Attempt.java
@@ -17,8 +17,8 @@
 import org.gullsaddle.serve.Choice;
 
 /**
- * One attempt at one replica, over one connection. Tells its listener of the head, the
- * body's bytes and, exactly once, the end.
+ * One attempt at one replica, over one connection. Notifies its listener of the head, the
+ * bytes of the body and, exactly once, the end.
  */
 final class Attempt {
 
@@ -48,25 +48,25 @@
 
 	private final Set<PauseReason> pauseReasons = EnumSet.noneOf(PauseReason.class);
 
-	/** When the answer was last read on that had been held back for its caller. */
+	/** When the answer was last resumed after a pause for its caller. */
 	private long resumedAt = this.startedAt;
 
 	private boolean sent;
 
 	private boolean ended;
 
-	/** Whether its connection broke. */
+	/** Whether the connection broke. */
 	private boolean connectionLost;
 
-	/** Whether it got no connection as nothing listens there. */
+	/** Whether connecting failed because nothing listens at the address. */
 	private boolean connectionRefused;
 
-	/** When the first bytes of the body came, negative before. */
+	/** When the first bytes of the body arrived, negative before. */
 	private long bodyAt = -1;
 
 	private boolean bodyLastedReported;
 
-	/** Whether its answer had no length and ended as its connection did. */
+	/** Whether the answer had no length and ended when its connection closed. */
 	private boolean endedWithConnection;
 
 	private long lastByteAt = this.startedAt;
@@ -175,23 +175,23 @@
 	}
 
 	/**
-	 * Says whether another process answered than the one that the request was for.
+	 * Returns whether a process answered for which the request was not meant.
 	 */
 	boolean isMisdirected() {
 		return this.answer != null && this.answer.status() == HttpStatuses.MISDIRECTED;
 	}
 
 	/**
-	 * Says whether the answer had neither a length nor chunks and ended with its
-	 * connection, which tells nothing of whether it is whole.
+	 * Returns whether the answer had neither a length nor chunks and ended with its
+	 * connection, so that it may be incomplete.
 	 */
 	boolean hasEndedWithConnection() {
 		return this.endedWithConnection;
 	}
 
 	/**
-	 * Says whether the end of an answer shows by its length or its last chunk. One whose
-	 * last transfer coding is another ends with its connection (RFC 9112, 6.3).
+	 * Returns whether an answer's end is marked by its length or last chunk. If the last
+	 * transfer coding is not chunked, it ends with its connection (RFC 9112, 6.3).
 	 */
 	static boolean isFramed(MultiMap headers) {
 		List<String> codings = headers.getAll(HttpHeaders.TRANSFER_ENCODING);
@@ -203,7 +203,7 @@
 	}
 
 	/**
-	 * Says, once, that the answer has gone on for some time since its body began.
+	 * Returns true once, when the body has been arriving for a given time.
 	 */
 	boolean checkBodyLasted(long millis) {
 		if (this.bodyLastedReported || this.bodyAt < 0 || this.lastByteAt - this.bodyAt < millis) {
@@ -214,23 +214,23 @@
 	}
 
 	/**
-	 * Says whether the connection broke before the answer was whole.
+	 * Returns whether the connection broke before the answer was complete.
 	 */
 	boolean isConnectionLost() {
 		return this.connectionLost;
 	}
 
 	/**
-	 * Says whether nothing listens where the replica was.
+	 * Returns whether connecting failed because nothing listens at the address.
 	 */
 	boolean isConnectionRefused() {
 		return this.connectionRefused;
 	}
 
 	/**
-	 * An answer without a length ends with its connection. If that was reset, bytes may
-	 * be missing, and the HTTP library still tells of an end; the connection's own
-	 * failure comes before it.
+	 * Handles the end of the body. An answer without a length ends with its connection;
+	 * if that was reset, bytes may be missing and the HTTP library still reports a normal
+	 * end, but the connection reports its error before.
 	 */
 	private void onBodyEnd() {
 		if (this.ended) {
@@ -264,8 +264,8 @@
 	}
 
 	/**
-	 * Gives the attempt up: closes its connection, at which the replica stops its work.
-	 * @param end how it ends if anything of it was sent
+	 * Cancels the attempt by closing its connection, which stops the replica's work.
+	 * @param end its end if anything was sent
 	 */
 	void withdraw(AttemptEnd end) {
 		if (this.ended) {
@@ -278,7 +278,7 @@
 	}
 
 	/**
-	 * Holds the rest of the answer back, once its head has come.
+	 * Pauses reading the answer; its head must have arrived.
 	 */
 	void pause(PauseReason reason) {
 		this.pauseReasons.add(reason);
@@ -286,7 +286,7 @@
 	}
 
 	/**
-	 * Lets a paused answer go on, unless there is another reason to hold it back.
+	 * Removes a reason to pause and resumes reading if none is left.
 	 */
 	void resume(PauseReason reason) {
 		this.pauseReasons.remove(reason);
@@ -299,7 +299,7 @@
 	}
 
 	/**
-	 * Returns since when the answer has been read without a pause for its caller.
+	 * Returns since when the answer is read without a pause for its caller.
 	 */
 	long readSince() {
 		return this.pauseReasons.contains(PauseReason.SLOW_CALLER) ? MonotonicClock.millis() : this.resumedAt;
@@ -321,14 +321,15 @@
 	}
 
 	/**
-	 * Returns whether it might be sent when the replica was chosen.
+	 * Returns the admission that was given when the replica was chosen.
 	 */
 	Admission admission() {
 		return this.admission;
 	}
 
 	/**
-	 * Returns how long the replica was to stay cold when it was chosen, 0 if it was warm.
+	 * Returns how much longer the replica stayed cold when it was chosen, 0 if it was
+	 * warm.
 	 */
 	long coldMillis() {
 		return this.coldMillis;
@@ -339,7 +340,7 @@
 	}
 
 	/**
-	 * Returns the model's own opinion of its answer, 0 to 100, or -1 if it told none.
+	 * Returns the model's confidence in its answer, 0 to 100, or -1 if not reported.
 	 */
 	int confidence() {
 		return (this.answer != null) ? this.answer.confidence().orElse(-1) : -1;
@@ -350,46 +351,48 @@
 	}
 
 	/**
-	 * Returns when the head of the answer came.
+	 * Returns when the head of the answer arrived.
 	 */
 	long headAt() {
 		return this.headAt;
 	}
 
 	/**
-	 * Returns when the last bytes came, or the attempt began, or its answer was read on:
-	 * what this node does not read is not silent.
+	 * Returns the latest of: the last bytes, the start of the attempt, and the end of the
+	 * last pause. A replica that this node does not read is not silent.
 	 */
 	long lastByteAt() {
 		return Math.max(this.lastByteAt, readSince());
 	}
 
 	/**
-	 * Why an answer is held back.
+	 * Reason to pause reading an answer.
 	 */
 	enum PauseReason {
 
-		/** Its model doubts it, and it may be dropped. */
+		/** The model's confidence is low, and the answer may be dropped. */
 		LOW_CONFIDENCE,
 
-		/** Its caller reads slowly. */
+		/** The caller reads slowly. */
 		SLOW_CALLER
 
 	}
 
 	/**
-	 * Is told what becomes of an attempt.
+	 * Receives the events of an attempt.
 	 */
 	interface Listener {
 
 		/**
-		 * Says whether the replica may still be sent the request: a new connection takes
-		 * a while, and by then it may be about to stop, or ask for fewer requests.
+		 * Returns whether the request may still be sent to the replica: opening a
+		 * connection takes time, and meanwhile the replica may be stopping or ask for
+		 * fewer requests.
 		 */
 		boolean canStillSend(Attempt attempt);
 
 		/**
-		 * Is told of every answer to the request, also of one by which it did not run.
+		 * Handles the head of every answer, also of one that says that the request was
+		 * not run.
 		 */
 		void onAnswer(Attempt attempt, ReplicaAnswer answer);
 
--- a/daemon/src/main/java/org/gullsaddle/gateway/Cascade.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/Cascade.java
@@ -12,8 +12,8 @@
 import org.gullsaddle.telemetry.Telemetry;
 
 /**
- * The models that one request goes through: which it asks now, and whether an answer is
- * dropped for a larger model's.
+ * Model cascade of one request: holds the current model and decides whether an answer is
+ * dropped in favor of a larger model.
  */
 final class Cascade {
 
@@ -40,7 +40,7 @@
 	private int doubtedConfidence = -1;
 
 	/**
-	 * Begins with the model that the caller names, or with the first of the route's.
+	 * Begins with the model that the caller names, or with the first model of the route.
 	 */
 	Cascade(Gateway gateway, ServedRequest request, RetryRule rule, RequestPriority turn) {
 		this.decisions = gateway.routingState();
@@ -55,16 +55,15 @@
 	}
 
 	/**
-	 * Returns the model that is asked now, empty for a plain service.
+	 * Returns the current model, empty for a plain service.
 	 */
 	String model() {
 		return this.model;
 	}
 
 	/**
-	 * Returns the model that might be asked in place of an answer, of which the caller
-	 * has had nothing.
-	 * @param confidence the model's own opinion of it
+	 * Finds a larger model to replace an answer of which nothing was sent to the caller.
+	 * @param confidence the model's confidence in its answer
 	 * @return the larger model, or empty if the answer is good enough
 	 */
 	Optional<String> findLargerModel(OptionalInt confidence) {
@@ -76,11 +75,12 @@
 	}
 
 	/**
-	 * Decides whether a doubted answer is dropped, so that {@link #advance} follows.
-	 * @param confidence the model's own opinion of it
+	 * Decides whether an answer of low confidence is dropped; if so, {@link #advance}
+	 * must follow.
+	 * @param confidence the model's confidence in its answer
 	 * @param larger the model that would be asked instead
-	 * @param choice where that would run, if anywhere
-	 * @param left the time left in milliseconds
+	 * @param choice the replica that would run it, if any
+	 * @param left the remaining time in milliseconds
 	 * @return whether it is dropped
 	 */
 	boolean decideDrop(int confidence, String larger, Optional<Choice> choice, long left) {
@@ -96,14 +96,14 @@
 	}
 
 	/**
-	 * Goes on with the larger model.
+	 * Makes the larger model the current one.
 	 */
 	void advance() {
 		this.model = this.nextModel;
 	}
 
 	/**
-	 * Says why an answer that its model doubts is kept all the same, empty if it is not.
+	 * Returns why an answer of low confidence is kept, empty if it is dropped.
 	 */
 	private String reasonToKeep(int confidence, Optional<Choice> choice, long left) {
 		if (!this.rule.mayDrop(left)) {
@@ -131,7 +131,7 @@
 
 	private String reasonNotToQueue(Choice choice, long left) {
 		QueueBounds bounds = this.decisions.bounds(this.request.config());
-		// What a team sends beyond its share waits behind its rank's other requests.
+		// Requests beyond a team's share queue behind the other requests of their rank.
 		int rank = this.request.rank() + (this.priority.isOverShare() ? 1 : 0);
 		boolean joined = this.decisions.models().mayQueue(bounds, rank, choice, left);
 		this.telemetry.count(joined ? "larger.model.queues.joined" : "larger.model.queues.too.long");
--- a/daemon/src/main/java/org/gullsaddle/gateway/ForwardingContext.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/ForwardingContext.java
@@ -7,14 +7,17 @@
 import org.gullsaddle.fleet.ReplicaId;
 
 /**
- * What a replica is told beside the caller's own request.
+ * What the gateway adds to a caller's request when it forwards it to a replica.
  *
- * @param target the replica that is meant; another one at its address must not run it
- * @param remainingMillis how long the answer is still of use, in milliseconds
- * @param team the caller's team, if it presented a key
- * @param model the model to run, empty to leave the caller's
- * @param urgency the request's urgency, 0 goes first, if it is a generation
- * @param lastEventId the last event that the caller has, if the run goes on with a stream
+ * @param target the intended replica; another process at its address must not run the
+ * request
+ * @param remainingMillis time until the deadline, in milliseconds
+ * @param team the caller's team, if it presented an API key
+ * @param model the model to run, empty to keep the caller's
+ * @param urgency the urgency of a generation, 0 is served first, empty for a plain
+ * service
+ * @param lastEventId the id of the last event that the caller received, if a stream is
+ * resumed
  */
 public record ForwardingContext(ReplicaId target, long remainingMillis, Optional<TeamId> team, String model,
 		OptionalInt urgency, Optional<String> lastEventId) {
--- a/daemon/src/main/java/org/gullsaddle/gateway/ReplicaChooser.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/ReplicaChooser.java
@@ -22,11 +22,11 @@
 import org.gullsaddle.suspect.Trait;
 
 /**
- * Chooses the replicas that one request goes to.
+ * Chooses the replicas for the attempts of one request.
  */
 final class ReplicaChooser {
 
-	/** Why there is no replica for a time that the rules know. */
+	/** Reasons for which the rules know how long there is no replica. */
 	private static final Set<ReplicaRules.NoReplica> REASONS_WITH_KNOWN_DELAY = EnumSet
 		.of(ReplicaRules.NoReplica.LIMITED, ReplicaRules.NoReplica.RESTING, ReplicaRules.NoReplica.CRASHES);
 
@@ -40,7 +40,7 @@
 	}
 
 	/**
-	 * Says whether there is a replica that the request was not sent to yet.
+	 * Returns whether there is a usable replica that the request was not sent to yet.
 	 */
 	boolean hasUntried(Set<ReplicaId> tried, String model) {
 		Set<ReplicaId> leftOut = excluded(tried, model);
@@ -48,21 +48,22 @@
 	}
 
 	/**
-	 * Says whether the request may go to no replica, as it would crash it.
+	 * Returns whether the request may not run anywhere because one of its traits is
+	 * blocked for crashes.
 	 */
 	boolean isBlocked(String model) {
 		return rules().refuses(requirements(model));
 	}
 
 	/**
-	 * Says why there is no replica for the request.
+	 * Returns why there is no replica for the request.
 	 */
 	ReplicaRules.NoReplica noReplicaReason(String model) {
 		return rules().whyNone(MonotonicClock.millis(), requirements(model));
 	}
 
 	/**
-	 * Returns when the caller is to come back, as there is no replica for the request.
+	 * Returns the retry delay for the caller if there is no replica, in milliseconds.
 	 */
 	long retryAfterMillis(ReplicaRules.NoReplica why, String model) {
 		if (REASONS_WITH_KNOWN_DELAY.contains(why)) {
@@ -73,14 +74,14 @@
 	}
 
 	/**
-	 * Gives the request to a replica.
+	 * Takes an admission for the request at a replica.
 	 */
 	Admission admit(Replica replica) {
 		return this.gateway.backpressure().table().admit(MonotonicClock.millis(), replica);
 	}
 
 	/**
-	 * Says whether a replica that was given the request may still be sent it.
+	 * Returns whether the request may still be sent to the chosen replica.
 	 */
 	boolean canStillSend(Replica chosen, Admission admission, String model) {
 		return !isBlocked(model) && this.gateway.fleet().directory().stillTakes(MonotonicClock.millis(), chosen)
@@ -88,14 +89,14 @@
 	}
 
 	/**
-	 * Returns how long a replica stays cold, 0 if it is warm.
+	 * Returns how much longer a replica stays cold, in milliseconds, 0 if it is warm.
 	 */
 	long coldMillis(Replica replica) {
 		return this.gateway.fleet().directory().coldMillis(MonotonicClock.millis(), replica.id());
 	}
 
 	/**
-	 * Notes that the request is sent to a replica.
+	 * Records that the request is sent to a replica.
 	 */
 	void recordSent(Replica replica) {
 		rules().sent(MonotonicClock.millis(), requirements(""), replica);
@@ -119,10 +120,10 @@
 	}
 
 	/**
-	 * Chooses a replica for a task, after some were asked for their load where too little
-	 * is known of it.
+	 * Chooses a replica for a task; probes candidates first if too little is known of
+	 * their load.
 	 * @param tried replicas that are left out
-	 * @param then is given the choice, at once or when the replicas have told
+	 * @param then receives the choice, at once or after the probes
 	 */
 	void choose(Task task, Set<ReplicaId> tried, Consumer<Optional<Choice>> then) {
 		Set<ReplicaId> leftOut = excluded(tried, task.model());
@@ -146,7 +147,7 @@
 	}
 
 	/**
-	 * Chooses the replica with the fewest requests, which are lost if it crashes.
+	 * Chooses the replica with the fewest requests, since they are lost if it crashes.
 	 */
 	private Optional<Choice> chooseLeastLoaded(Task task, List<Replica> usable, Set<ReplicaId> leftOut) {
 		return picker().best(MonotonicClock.millis(), usable, leftOut, task, usable.size())
@@ -155,7 +156,7 @@
 	}
 
 	/**
-	 * Chooses among the replicas that told their load lately, without asking any.
+	 * Chooses among the replicas that reported their load recently, without probing any.
 	 * @param tried replicas that are left out
 	 */
 	Optional<Choice> chooseAmongReported(Task task, Set<ReplicaId> tried) {
@@ -169,16 +170,17 @@
 	}
 
 	/**
-	 * Returns when an answer would begin at a replica if the request came there now. One
-	 * of which nothing is known is taken to be as full as the others, tried ones too.
+	 * Returns the expected delay until an answer would begin if the request arrived at a
+	 * replica now. A replica of unknown load is assumed to be as loaded as the others,
+	 * including tried ones.
 	 */
 	Delay expectedDelay(Replica replica, Task task) {
 		return picker().delayAt(MonotonicClock.millis(), usable(Set.of(), task.model()), replica, task);
 	}
 
 	/**
-	 * Says whether the request would not begin in its time at any replica that may run
-	 * its smallest model. What a cold one would do is not known.
+	 * Returns whether no replica that may run the request's smallest model would begin in
+	 * time. Never true if there are cold replicas, whose delay is unknown.
 	 */
 	boolean wouldMissDeadline(Task task, Choice choice, long left) {
 		if (!this.gateway.settings().load().pressure() || this.request.engine().isEmpty()
@@ -186,7 +188,7 @@
 			return false;
 		}
 		long now = MonotonicClock.millis();
-		// Limited ones are among them: they may take it yet.
+		// Rate-limited replicas are included: they may still accept the request.
 		List<Replica> usable = usable(Set.of(), task.model());
 		List<Choice> all = picker().best(now, usable, Set.of(), task, usable.size());
 		boolean refused = !rules().anyCold(now, requirements(task.model()))
@@ -198,15 +200,16 @@
 	}
 
 	/**
-	 * A question is work too: what cold or limited replicas bear is kept for requests,
-	 * and one that asks for rest is not asked.
+	 * Returns the replicas to probe. A probe is work too: the capacity of cold or
+	 * rate-limited replicas is kept for requests, and a replica in back-off is not
+	 * probed.
 	 */
 	private List<Replica> replicasToProbe(List<Replica> usable, Task task, Set<ReplicaId> leftOut) {
 		return picker().toAsk(MonotonicClock.millis(), usable, leftOut, task).stream().filter(this::canProbe).toList();
 	}
 
 	/**
-	 * Says whether a replica may be asked for its load.
+	 * Returns whether a replica may be probed for its load.
 	 */
 	boolean canProbe(Replica replica) {
 		return !rules().cold(MonotonicClock.millis(), requirements(""), replica)
--- a/daemon/src/main/java/org/gullsaddle/gateway/RequestDispatcher.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/RequestDispatcher.java
@@ -14,8 +14,8 @@
 import org.gullsaddle.fleet.Team;
 
 /**
- * Decides what becomes of requests that were read: they are held for the configuration,
- * refused, or served. Confined to the event loop.
+ * Queues requests until there is a configuration, refuses them, or starts to serve them.
+ * Confined to the event loop.
  */
 final class RequestDispatcher {
 
@@ -25,7 +25,10 @@
 
 	private final StartupRequestQueue startupQueue = new StartupRequestQueue();
 
-	/** Callers' connections that were opened after the balancer should have noticed. */
+	/**
+	 * Callers' connections that were opened after the load balancer should have noticed
+	 * the stop.
+	 */
 	private final Set<HttpConnection> lateConnections = new HashSet<>();
 
 	RequestDispatcher(Vertx vertx, Gateway gateway) {
@@ -34,7 +37,7 @@
 	}
 
 	/**
-	 * Takes in that a caller has connected.
+	 * Handles a new connection of a caller.
 	 */
 	void onConnected(HttpConnection connection) {
 		if (!this.gateway.drainPolicy().acceptsAll(MonotonicClock.millis())) {
@@ -44,28 +47,29 @@
 	}
 
 	/**
-	 * Returns how many requests wait for the configuration.
+	 * Returns the number of requests that wait for the configuration.
 	 */
 	int heldCount() {
 		return this.startupQueue.count();
 	}
 
 	/**
-	 * Decides on the requests that are held.
+	 * Releases the requests that wait for the configuration.
 	 */
 	void releaseHeld() {
 		this.startupQueue.release();
 	}
 
 	/**
-	 * Takes in a request whose body is complete. A node that is behind may read it after
-	 * its caller has left. The close of its connection, which is read in the next turn of
-	 * the event loop, is waited for then, so that no replica gets work for nobody.
+	 * Dispatches a request whose body is complete. A node that lags may read it after its
+	 * caller has left; it then waits for the next turn of the event loop, which would
+	 * read the close of the connection, so that no replica works for a caller that has
+	 * left.
 	 */
 	void dispatch(HttpServerRequest request, CallerRequest caller, Buffer body, long startedAt) {
 		Runnable serve = () -> serve(request, caller, body, startedAt, false);
 		if (this.gateway.stallDetector().isBehind(MonotonicClock.millis())) {
-			// A timer that is due may still run in this turn; one that it sets does not.
+			// A due timer may still run in this turn; a timer set by it does not.
 			this.vertx.setTimer(1, (first) -> this.vertx.setTimer(1, (second) -> serve.run()));
 		}
 		else {
@@ -75,7 +79,7 @@
 
 	/**
 	 * Serves or refuses a request.
-	 * @param checked whether the configuration was read anew for it
+	 * @param checked whether the configuration was reread for it
 	 */
 	private void serve(HttpServerRequest request, CallerRequest caller, Buffer body, long startedAt, boolean checked) {
 		CallerAnswerWriter writer = new CallerAnswerWriter(request.response(), this.gateway::isStopping);
@@ -127,8 +131,8 @@
 	}
 
 	/**
-	 * Refuses a request that the known configuration does not allow. That is definite
-	 * only if no newer one may allow it.
+	 * Refuses a request that the known configuration does not allow: for good only if no
+	 * newer configuration may allow it.
 	 */
 	private void refuse(CallerAnswerWriter writer, CallerRequest caller, boolean noRoute) {
 		if (this.gateway.configRefresher().isDue(false)) {
@@ -144,8 +148,8 @@
 	}
 
 	/**
-	 * Ends a request that no route took.
-	 * @param after when the caller may come back, in milliseconds
+	 * Refuses a request that no route accepted.
+	 * @param after when the caller may retry, in milliseconds
 	 */
 	void sendRefusal(CallerAnswerWriter writer, CallerRequest caller, int status, Optional<Long> after, String reason) {
 		writer.writeError(status, after, reason);
--- a/daemon/src/main/java/org/gullsaddle/gateway/RequestPriority.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/RequestPriority.java
@@ -8,8 +8,8 @@
 import org.gullsaddle.serve.WorkShares;
 
 /**
- * Whether a generation waits behind others of its rank, as its team has had its share: of
- * the requests, or under pressure of the engines' work.
+ * Tracks whether a generation waits behind others of its rank because its team has used
+ * up its share: of the requests, or under pressure of the engines' work.
  */
 final class RequestPriority {
 
@@ -25,7 +25,7 @@
 	}
 
 	/**
-	 * Notes that the request came.
+	 * Handles the arrival of the request.
 	 */
 	void onArrival(long now) {
 		if (this.request.engine().isEmpty() || this.decisions.workShares().isPresent()) {
@@ -35,8 +35,8 @@
 	}
 
 	/**
-	 * Notes that the request is sent to an engine, and returns its urgency there.
-	 * @return the urgency, empty for a plain service
+	 * Records that the request is sent to an engine.
+	 * @return its urgency there, empty for a plain service
 	 */
 	OptionalInt recordSent(long now, Choice choice, Task task) {
 		if (this.request.engine().isEmpty()) {
@@ -50,7 +50,7 @@
 	}
 
 	/**
-	 * Notes that an engine is done with the request.
+	 * Handles the end of an attempt.
 	 */
 	void onEnded(long now, Choice choice, Task task, AttemptEnd end) {
 		boolean counted = this.request.engine().isPresent() && this.request.team().isPresent();
@@ -61,7 +61,7 @@
 	}
 
 	/**
-	 * Says whether the request waited behind others of its rank.
+	 * Returns whether the request waited behind others of its rank.
 	 */
 	boolean isOverShare() {
 		return this.overShare;
--- a/daemon/src/main/java/org/gullsaddle/gateway/RetryAfterAdvisor.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/RetryAfterAdvisor.java
@@ -8,8 +8,8 @@
 import org.gullsaddle.telemetry.Telemetry;
 
 /**
- * Tells callers when to come back: where they compete for too little room, by the rate at
- * which requests end. Confined to the event loop.
+ * Computes retry delays for refused callers: under pressure from the rate at which
+ * requests end. Confined to the event loop.
  */
 final class RetryAfterAdvisor {
 
@@ -31,8 +31,8 @@
 	}
 
 	/**
-	 * Notes that a request is open no longer.
-	 * @param ran whether it took room at replicas
+	 * Handles the end of a request.
+	 * @param ran whether it took capacity of replicas
 	 */
 	void onClosed(ServedRequest request, boolean ran) {
 		if (this.pressure) {
@@ -41,8 +41,8 @@
 	}
 
 	/**
-	 * Returns when a refused caller is to come back.
-	 * @param soonest the soonest that it may be told, in milliseconds
+	 * Returns the retry delay for a refused caller, in milliseconds.
+	 * @param soonest the shortest delay allowed, in milliseconds
 	 */
 	long retryAfterMillis(ServedRequest request, long soonest) {
 		if (!this.pressure) {
--- a/daemon/src/main/java/org/gullsaddle/gateway/RolloutStateWriter.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/RolloutStateWriter.java
@@ -6,16 +6,16 @@
 import org.gullsaddle.fleet.RolloutState;
 
 /**
- * Where the operators read how far a roll-out has come.
+ * Writes the state of roll-outs where operators read it.
  */
 public interface RolloutStateWriter {
 
 	/**
 	 * Writes a state.
 	 * @param order the roll-out
-	 * @param state its state
-	 * @param expectedRevision the revision of the state before, 0 if there was none
-	 * @return whether it was written; false if another node was first
+	 * @param state its new state
+	 * @param expectedRevision the revision of the previous state, 0 if there was none
+	 * @return whether it was written; false if another node wrote first
 	 */
 	Single<Boolean> write(RolloutOrder order, RolloutState state, long expectedRevision);
 
--- a/daemon/src/main/java/org/gullsaddle/gateway/SharedRoutingState.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/SharedRoutingState.java
@@ -23,30 +23,32 @@
 import org.gullsaddle.serve.WorkShares;
 
 /**
- * The state that all requests of a gateway decide by. Confined to the event loop.
+ * State shared by the routing decisions of all requests of a gateway. Confined to the
+ * event loop.
  */
 final class SharedRoutingState {
 
-	/** When a refused caller is to come back at the earliest, in milliseconds. */
+	/** Shortest retry delay for a refused caller, in milliseconds. */
 	private static final long MIN_RETRY_AFTER_MILLIS = 250;
 
 	/**
-	 * When a caller is to come back for whom all replicas are cold: each node is let to
-	 * them again every second, in milliseconds.
+	 * Retry delay if all replicas are cold, in milliseconds: each node may use them again
+	 * every second.
 	 */
 	private static final long COLD_RETRY_AFTER_MILLIS = 700;
 
 	/**
-	 * When a caller is to come back whose data centers are being emptied, in
-	 * milliseconds: that takes some seconds, and most callers come back only once.
+	 * Retry delay if the data centers are being evacuated, in milliseconds: that takes
+	 * some seconds, and most callers retry only once.
 	 */
 	private static final long EVACUATION_RETRY_AFTER_MILLIS = 2000;
 
-	/** The part of the objective after which a silent replica is taken as lost. */
+	/** Silence after which a replica counts as lost, relative to the objective. */
 	private static final double SILENCE_OBJECTIVE_RATIO = 0.6;
 
 	/**
-	 * Silence that is never taken as a loss, in milliseconds: a pause of a busy engine.
+	 * Shortest silence that may count as a loss, in milliseconds: busy engines pause for
+	 * less.
 	 */
 	private static final long MIN_SILENCE_MILLIS = 800;
 
@@ -68,7 +70,9 @@
 
 	private final SilencePatience patience = new SilencePatience();
 
-	/** The shares of work that count in place of requests, if any do. */
+	/**
+	 * Teams' shares by engine work, used under pressure instead of shares by requests.
+	 */
 	private final Optional<WorkShares> workShares;
 
 	private final Hopeless hopeless = new Hopeless();
@@ -86,7 +90,7 @@
 	}
 
 	/**
-	 * Returns how long larger models' queues may be under a configuration.
+	 * Returns the bounds of larger models' queues under a configuration.
 	 */
 	QueueBounds bounds(FleetConfig config) {
 		if (config != this.boundsConfig) {
@@ -101,7 +105,7 @@
 	}
 
 	/**
-	 * Takes in what a replica's answer tells of it.
+	 * Records what the head of a replica's answer reports.
 	 */
 	void onAnswerHead(long now, Replica replica, ReplicaAnswer answer) {
 		answer.load().ifPresent((load) -> this.picker.report(now, replica, load));
@@ -122,24 +126,24 @@
 	}
 
 	/**
-	 * Returns when a refused caller is to come back, spread out, so that callers refused
-	 * together do not return together.
+	 * Returns the retry delay for a refused caller, in milliseconds, with jitter so that
+	 * callers refused together do not return together.
 	 */
 	long retryAfterMillis() {
 		return MIN_RETRY_AFTER_MILLIS + this.random.nextLong(MIN_RETRY_AFTER_MILLIS);
 	}
 
 	/**
-	 * Returns when a caller is to come back that may be served after some time, spread
-	 * out likewise.
+	 * Returns the retry delay for a caller that may be served after some time, in
+	 * milliseconds, with jitter.
 	 */
 	long retryAfterMillis(long soonest) {
 		return Math.max(MIN_RETRY_AFTER_MILLIS, soonest) + this.random.nextLong(MIN_RETRY_AFTER_MILLIS);
 	}
 
 	/**
-	 * Returns when a caller is to come back for whom there is no replica: when there may
-	 * be one again, spread out likewise.
+	 * Returns the retry delay for a caller for whom there is no replica, in milliseconds:
+	 * the time until there may be one again, with jitter.
 	 */
 	long retryAfterMillis(ReplicaRules.NoReplica why) {
 		long soonest = switch (why) {
@@ -151,7 +155,7 @@
 	}
 
 	/**
-	 * Counts a generation of a team.
+	 * Records a generation of a team.
 	 * @return whether the team sent more than its share
 	 */
 	boolean recordRequest(TeamId team, long now) {
@@ -160,7 +164,7 @@
 	}
 
 	/**
-	 * Returns the shares of engines' work, empty where requests are counted instead.
+	 * Returns teams' shares by engine work, empty if shares are by requests.
 	 */
 	Optional<WorkShares> workShares() {
 		return this.workShares;
@@ -171,8 +175,8 @@
 	}
 
 	/**
-	 * Returns a generation's urgency, 0 goes first: by its rank, and within a rank what
-	 * its team sends beyond its share goes last.
+	 * Returns a generation's urgency, 0 is served first. It follows the rank; within a
+	 * rank, requests beyond a team's share come last.
 	 */
 	static int urgency(int rank, boolean overShare) {
 		return Math.clamp(URGENCIES_PER_RANK * rank + (overShare ? 1 : 0), 0, MAX_URGENCY);
@@ -183,14 +187,15 @@
 	}
 
 	/**
-	 * Learns from a stream that has ended.
+	 * Records the timing of a stream that has ended.
 	 */
 	void streamed(Route route, String model, StreamTiming clock) {
 		this.models.answered(route, model, clock.firstEventMillis(MonotonicClock.millis()), clock.longestGapMillis());
 	}
 
 	/**
-	 * Picks one of a route's services by their weights, the same for the same request.
+	 * Picks one of a route's services by weight, always the same one for the same request
+	 * id.
 	 */
 	ServiceName service(Route route, String id) {
 		double total = route.shares().stream().mapToDouble(ServiceShare::weight).sum();
@@ -206,7 +211,7 @@
 
 	/**
 	 * Returns how long a replica may be silent, in milliseconds.
-	 * @param begun whether the caller has got a part of the answer
+	 * @param begun whether a part of the answer was sent to the caller
 	 */
 	long silenceMillis(Route route, boolean begun) {
 		if (begun) {
--- a/daemon/src/main/java/org/gullsaddle/gateway/SilentReplicaHandler.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/SilentReplicaHandler.java
@@ -15,21 +15,26 @@
 import org.gullsaddle.serve.Task;
 
 /**
- * Has one request leave a replica that sends nothing.
+ * Moves one request away from a replica that sends nothing.
  * <p>
- * An unresponsive replica sends not even a reset. Waiting for it until the deadline loses
- * the request, though another replica could still answer in time. It is left only once it
- * is certain that another attempt follows: one that is silent may go on, and an answer
- * that is ended for nothing is lost.
+ * An unresponsive replica does not even send a reset. Waiting for it until the deadline
+ * loses the request although another replica could still answer in time. The attempt is
+ * ended only once another one is certain to follow: a silent replica may resume, and its
+ * answer would be lost for nothing.
  */
 final class SilentReplicaHandler {
 
 	private static final AttemptEnd SILENT = new AttemptEnd.Broken("silent");
 
-	/** How soon a request that could not leave is looked at again, in milliseconds. */
+	/**
+	 * Delay before a request that could not move is checked again, in milliseconds.
+	 */
 	private static final long RECHECK_DELAY_MILLIS = 200;
 
-	/** How often a wait is compared with those at other replicas, in milliseconds. */
+	/**
+	 * Interval at which the wait is compared with that at other replicas, in
+	 * milliseconds.
+	 */
 	private static final long COMPARISON_INTERVAL_MILLIS = 1000;
 
 	private final Gateway gateway;
@@ -60,9 +65,10 @@
 	}
 
 	/**
-	 * Looks at an attempt, and has the request leave it if it is silent for too long.
+	 * Checks an attempt and moves the request to another replica if it is silent for too
+	 * long.
 	 * @param tried the replicas that the request was sent to
-	 * @param task what the next attempt is to do
+	 * @param task the task of the next attempt
 	 */
 	void check(long now, Attempt attempt, Set<ReplicaId> tried, Task task) {
 		if (now < this.nextCheckAt || attempt.hasEnded()
@@ -79,7 +85,8 @@
 	}
 
 	/**
-	 * Where callers press, engines have queues, and are asked before they are left.
+	 * Returns what to do about the attempt. Under pressure engines have queues and are
+	 * probed before the request leaves them.
 	 */
 	private SilencePatience.Advice advice(long now, Attempt attempt) {
 		Replica replica = attempt.choice().replica();
@@ -106,7 +113,7 @@
 	}
 
 	/**
-	 * Stays in a replica's queue, unless another one would begin clearly sooner.
+	 * Stays in a replica's queue unless another replica would begin clearly sooner.
 	 */
 	private void compareQueues(long now, Attempt attempt, Set<ReplicaId> tried, Task task) {
 		if (now < this.nextComparisonAt) {
@@ -139,7 +146,7 @@
 	}
 
 	/**
-	 * Leaves the replica, unless it has answered while another one was chosen.
+	 * Leaves the replica unless it has answered while another one was being chosen.
 	 */
 	private void leave(Attempt attempt, AttemptEnd end, Optional<Choice> choice) {
 		if (!this.execution.isWaitingFor(attempt) || !isSilent(MonotonicClock.millis(), attempt)) {
@@ -158,8 +165,8 @@
 	}
 
 	/**
-	 * Stays where nothing could follow. A silent replica counts as failing all the same,
-	 * so that it gets no more requests.
+	 * Stays because no other attempt could follow. The silent replica counts as failing
+	 * nevertheless, so that it gets no more requests.
 	 */
 	private void stay(Attempt attempt, AttemptEnd end, String why) {
 		if (this.keptAttempt != attempt) {
@@ -177,7 +184,7 @@
 	}
 
 	/**
-	 * Says why a silent replica is waited for all the same, empty if it need not be.
+	 * Returns why the request stays at a silent replica, empty if it may leave.
 	 */
 	private String reasonToStay(Set<ReplicaId> tried) {
 		if (!canContinueElsewhere()) {
@@ -187,15 +194,15 @@
 	}
 
 	/**
-	 * Says whether another replica could go on with what the caller has.
+	 * Returns whether another replica could continue after what the caller has received.
 	 */
 	boolean canContinueElsewhere() {
 		return !this.relay.hasBegun() || (this.execution.route().resumable() && this.relay.lastEventId().isPresent());
 	}
 
 	/**
-	 * One that answers others is alive, and only busy: moved away, its queue would be
-	 * built up anew elsewhere.
+	 * Returns whether the replica counts as silent. One that answers other requests is
+	 * only busy; moving its requests would rebuild its queue elsewhere.
 	 */
 	private boolean isSilent(long now, Attempt attempt) {
 		if (this.execution.route().kind() == RouteKind.IDEMPOTENT) {
