--- a/daemon/src/main/java/org/gullsaddle/gateway/BackpressureController.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/BackpressureController.java
@@ -22,17 +22,16 @@
 import org.gullsaddle.telemetry.Telemetry;
 
 /**
- * Takes in how replicas ask for fewer requests, or for none as they leave, tells the
- * other nodes of limits by notes in the store, and operators by the log. Confined to the
- * event loop.
+ * Handles replicas' rate limits, back-offs and announcements that they leave; shares rate
+ * limits with peers by notes in the store and logs all of it. Confined to the event loop.
  */
 final class BackpressureController {
 
 	static final String NOTE_PREFIX = "gullsaddle/limits/";
 
 	/**
-	 * When a note is written again that the store may not have, in milliseconds: what
-	 * another node wrote instead is known by then.
+	 * Delay before a note that may not have been written is written again, in
+	 * milliseconds: by then a competing note of a peer is known.
 	 */
 	private static final long RETRY_DELAY_MILLIS = 2000;
 
@@ -52,7 +51,7 @@
 
 	private final Map<ReplicaId, NodeNoteWriter> notes = new HashMap<>();
 
-	/** Replicas of which something is to be told soon. */
+	/** Replicas for which a note is scheduled. */
 	private final Set<ReplicaId> scheduled = new HashSet<>();
 
 	BackpressureController(Vertx vertx, Store store, FleetState fleet, BackpressureBook book, DecisionLog log,
@@ -73,8 +72,8 @@
 	}
 
 	/**
-	 * Takes in the head of an answer. One that says that it was meant for another replica
-	 * tells nothing of the replica that was asked.
+	 * Handles the head of an answer. A misdirected one says nothing about the replica
+	 * that was asked.
 	 */
 	void onAnswer(Replica replica, ReplicaAnswer answer) {
 		if (answer.status() != HttpStatuses.MISDIRECTED) {
@@ -93,7 +92,7 @@
 	}
 
 	/**
-	 * Takes in a change of the deployment, or another node's note.
+	 * Handles a change of the deployment or a peer's note.
 	 */
 	void onFleetChange(FleetChange change) {
 		if (change instanceof FleetChange.Listed listed) {
@@ -124,7 +123,7 @@
 	}
 
 	/**
-	 * Does something by which a replica's limit may change, and logs the change.
+	 * Runs an action that may change a replica's rate limit, and logs the change.
 	 */
 	private void applyAndLog(Replica replica, String source, Runnable change) {
 		OptionalDouble before = this.table.limit(replica);
@@ -157,14 +156,14 @@
 	}
 
 	/**
-	 * Says whether a replica may be asked for its load.
+	 * Returns whether a replica may be probed for its load.
 	 */
 	boolean canProbe(Replica replica) {
 		return this.table.mayAsk(MonotonicClock.millis(), replica) && !this.fleet.directory().leaving(replica);
 	}
 
 	/**
-	 * Forgets replicas that are gone.
+	 * Removes the state of replicas that are no longer listed.
 	 */
 	void retain(Set<ReplicaId> known) {
 		this.table.retain(known);
--- a/daemon/src/main/java/org/gullsaddle/gateway/CrashController.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/CrashController.java
@@ -24,42 +24,46 @@
 import org.gullsaddle.telemetry.Telemetry;
 
 /**
- * Watches for requests that crash their replicas, finds out at once whether a replica is
- * dead whose connections broke, and tells the other nodes by a note. Confined to the
- * event loop.
+ * Detects requests that crash their replicas, checks at once whether a replica is dead
+ * when its connections break, and shares crash evidence with peers by a note. Confined to
+ * the event loop.
  */
 final class CrashController {
 
 	static final String NOTE_PREFIX = "gullsaddle/crashes/";
 
 	/**
-	 * How long crashes are gathered before they are told, in milliseconds: the failure of
-	 * a rack is one note.
+	 * How long crashes are collected before a note is written, in milliseconds: the
+	 * failure of a rack is one note.
 	 */
 	private static final long COLLECT_MILLIS = 200;
 
 	/**
-	 * In what time for each node they tell what several may tell, in milliseconds.
+	 * Time per node, in milliseconds, over which nodes spread notes that several of them
+	 * may write.
 	 */
 	private static final long SPREAD_PER_NODE_MILLIS = 4;
 
-	/** When a note is written again that the store may not have, in milliseconds. */
+	/**
+	 * Delay before a note that may not have been written is written again, in
+	 * milliseconds.
+	 */
 	private static final long RETRY_DELAY_MILLIS = 1000;
 
 	/**
-	 * How long after its connections broke a replica is asked whether it lives, in
-	 * milliseconds: by then all that broke in the same moment is known.
+	 * Delay from a broken connection to the liveness check of the replica, in
+	 * milliseconds: by then all connections that broke at the same moment are known.
 	 */
 	private static final long LIVENESS_CHECK_DELAY_MILLIS = 50;
 
 	/**
-	 * How much later it is asked again for an answer without a length to be whole, in
-	 * milliseconds: one that dies of it may accept a connection before.
+	 * Delay to a second check, after which an answer without a length counts as complete,
+	 * in milliseconds: a crashing replica may still accept a connection at first.
 	 */
 	private static final long SECOND_CHECK_DELAY_MILLIS = 500;
 
 	/**
-	 * How long an answer has gone on for its engine to have borne the request, in
+	 * How long an answer must go on until the request counts as sound for its engine, in
 	 * milliseconds.
 	 */
 	private static final long MIN_SOUND_ANSWER_MILLIS = 500;
@@ -86,7 +90,7 @@
 
 	private final CrashBook crashTable = new CrashBook();
 
-	/** The processes that are asked whether they live. */
+	/** Processes whose liveness is being checked. */
 	private final Set<String> livenessChecks = new HashSet<>();
 
 	private final RandomGenerator random = RandomGenerator.getDefault();
@@ -116,15 +120,15 @@
 	}
 
 	/**
-	 * Says whether others' news of crashes are awaited.
+	 * Returns whether crash notes of peers are awaited.
 	 */
 	boolean awaitsCrashNotes() {
 		return this.crashTable.unsettled(MonotonicClock.millis());
 	}
 
 	/**
-	 * Lets a request go on: at once, or once it is known whether it is let through to try
-	 * a trait that is refused.
+	 * Continues a request: at once, or if one of its traits is blocked, once it is
+	 * decided whether the request is a trial.
 	 * @param model the model that is to run it first
 	 */
 	void admit(ServedRequest request, String model, Runnable then) {
@@ -140,7 +144,7 @@
 	}
 
 	/**
-	 * Notes that the head of an answer came.
+	 * Handles the head of an answer.
 	 */
 	void onHead(Attempt attempt) {
 		Replica replica = attempt.choice().replica();
@@ -149,7 +153,7 @@
 	}
 
 	/**
-	 * Notes that more of an answer came.
+	 * Handles bytes of an answer's body.
 	 */
 	void onData(ServedRequest request, String model, Attempt attempt) {
 		if (attempt.checkBodyLasted(MIN_SOUND_ANSWER_MILLIS)) {
@@ -158,7 +162,7 @@
 	}
 
 	/**
-	 * Notes how an attempt ended.
+	 * Handles the end of an attempt.
 	 */
 	void onEnded(ServedRequest request, String model, Attempt attempt, AttemptEnd end) {
 		switch (end) {
@@ -199,8 +203,8 @@
 	}
 
 	/**
-	 * A connection that is refused, or accepted by another process, tells that the
-	 * replica is dead.
+	 * Handles an attempt that was not run. A connection that is refused, or accepted by
+	 * another process, shows that the replica is dead.
 	 */
 	private void onNotRun(Attempt attempt) {
 		Replica replica = attempt.choice().replica();
@@ -231,8 +235,8 @@
 	}
 
 	/**
-	 * Asks a replica after a while whether it accepts a connection.
-	 * @param accepted is given when it was asked
+	 * Checks after a delay whether a replica accepts a connection.
+	 * @param accepted receives the time of the check, if it does
 	 */
 	private void connectAfter(long millis, Replica replica, LongConsumer accepted) {
 		this.vertx.setTimer(millis, (timer) -> {
@@ -253,7 +257,7 @@
 	}
 
 	/**
-	 * Takes in that answers without a length turned out to be whole.
+	 * Handles that answers without a length turned out to be complete.
 	 */
 	private void onConfirmedWhole(Set<Trait> traits) {
 		if (!traits.isEmpty()) {
@@ -262,12 +266,12 @@
 	}
 
 	/**
-	 * Is called some times a second.
+	 * Decides on suspects and schedules notes; called several times a second.
 	 */
 	void check(long now) {
 		logBlocked(this.crashTable.look(now), "this node");
 		if (this.crashTable.untold() && !this.spreadScheduled) {
-			// Other nodes find the same out at the same time; one of them tells it.
+			// Peers find out the same at the same time; one of them writes the note.
 			this.spreadScheduled = true;
 			this.vertx.setTimer(spreadMillis(), (timer) -> {
 				this.spreadScheduled = false;
@@ -283,7 +287,7 @@
 	}
 
 	/**
-	 * Takes in a change of the deployment, or another node's note.
+	 * Handles a change of the deployment or a peer's note.
 	 */
 	void onFleetChange(FleetChange change) {
 		switch (change) {
@@ -294,7 +298,7 @@
 			case FleetChange.Listed listed -> this.watch.listed(MonotonicClock.millis(), listed.replica())
 				.ifPresent((crash) -> onCrash(crash, "another process has its id"));
 			case FleetChange.Noted noted -> {
-				// What this node told in an earlier life is news to it.
+				// A note that an earlier process of this node wrote is new to this one.
 				boolean own = noted.key().equals(this.key);
 				if (noted.key().startsWith(NOTE_PREFIX) && !(own && this.hasWritten)) {
 					onPeerNote(noted, own);
@@ -330,7 +334,7 @@
 	}
 
 	/**
-	 * Hashing the content is left out while nothing is known of any crash.
+	 * Returns the request's traits; skips hashing the content while no crash is known.
 	 */
 	private List<Trait> traits(ServedRequest request, String model) {
 		return this.crashTable.any() ? request.traits(model) : request.partTraits(model);
--- a/daemon/src/main/java/org/gullsaddle/gateway/CrashTrials.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/CrashTrials.java
@@ -16,17 +16,17 @@
 import org.gullsaddle.telemetry.Telemetry;
 
 /**
- * Lets single requests through whose trait is refused, one at all nodes together: the
- * node that writes the trial down first. Without the store there is none. Confined to the
- * event loop.
+ * Admits single requests with a blocked trait as trials, one at a time over all nodes:
+ * the node that records the trial in the store first runs it. Without the store there are
+ * no trials. Confined to the event loop.
  */
 final class CrashTrials {
 
 	private static final String KEY_PREFIX = "gullsaddle/crash-trials/";
 
 	/**
-	 * How long ago a trial was at least that another node decided on for it not to be the
-	 * one that is due here, in milliseconds.
+	 * Shortest time since a peer's trial, in milliseconds, after which this node's trial
+	 * is a different one.
 	 */
 	private static final long MIN_INTERVAL_MILLIS = 20_000;
 
@@ -51,9 +51,9 @@
 	}
 
 	/**
-	 * Finds out whether a request that is refused is let through.
+	 * Decides whether a request with a blocked trait is admitted as a trial.
 	 * @param traits the request's traits
-	 * @param then goes on with it
+	 * @param then continues the request
 	 */
 	void requestTrial(ServedRequest request, List<Trait> traits, Runnable then) {
 		Optional<CrashBook.Trial> trial = this.crashTable.trial(MonotonicClock.millis(), traits);
@@ -65,11 +65,11 @@
 	}
 
 	/**
-	 * Writes the trial down. Where the store gives no answer, whether it was written is
-	 * not known, and no request of this node goes.
+	 * Records the trial in the store. If the store does not answer, it is unknown whether
+	 * the trial was recorded, and no request of this node is admitted.
 	 */
 	private void claim(CrashBook.Trial trial, ServedRequest request, Runnable then) {
-		// Keys are short: traits of the same hash share their trials.
+		// Keys are short: traits with the same hash share their trials.
 		String key = KEY_PREFIX + Integer.toHexString(trial.trait().value().hashCode());
 		this.store.get(key).flatMap((before) -> {
 			if (before.isPresent()
--- a/daemon/src/main/java/org/gullsaddle/gateway/DecisionLog.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/DecisionLog.java
@@ -20,17 +20,16 @@
 import org.gullsaddle.suspect.Trait;
 
 /**
- * One line for each decision on a request and each change of what the node believes. The
- * volume is bounded: beyond {@link #MAX_LINES_PER_SECOND} only failures are written,
- * beyond twice that nothing; how many lines were left out is told.
+ * Log with one line for each decision on a request and each change of the node's view of
+ * the deployment. Its volume is bounded: beyond {@link #MAX_LINES_PER_SECOND} only
+ * failures are written, beyond twice that nothing; omitted lines are counted.
  */
 final class DecisionLog {
 
 	private static final Logger LOG = LoggerFactory.getLogger("gullsaddle.decisions");
 
 	/**
-	 * How many lines a second are written: some 60 KB, and ten times an entry's usual
-	 * requests.
+	 * Lines a second, about 60 KB: ten times the usual requests of a node.
 	 */
 	private static final int MAX_LINES_PER_SECOND = 200;
 
@@ -83,9 +82,9 @@
 	}
 
 	/**
-	 * Tells of news that took long to come or to be taken in.
-	 * @param askedMillis how long ago the store was asked
-	 * @param tookMillis how long it took to take them in
+	 * Logs an update that was slow to arrive or to apply.
+	 * @param askedMillis time since the store was called, in milliseconds
+	 * @param tookMillis how long applying took, in milliseconds
 	 */
 	void slowUpdate(int changes, long revision, long askedMillis, long tookMillis) {
 		if (shouldWrite(false)) {
@@ -302,7 +301,7 @@
 	}
 
 	/**
-	 * Tells that a replica's process has ended under work.
+	 * Logs that a replica's process has ended while it ran requests.
 	 * @param how what showed it
 	 */
 	void replicaEnded(Crash crash, long now, String how) {
@@ -370,7 +369,7 @@
 	}
 
 	/**
-	 * Returns how many lines were left out since the start.
+	 * Returns the number of lines omitted since the start.
 	 */
 	int omittedLines() {
 		return this.omittedLines;
@@ -391,24 +390,24 @@
 	}
 
 	/**
-	 * The end of a request.
+	 * Values of the log line at the end of a request.
 	 *
 	 * @param id the caller's id of it
-	 * @param route its route, empty if none took it
-	 * @param team its team, empty if it presented no key
-	 * @param content the hash of its team and content, empty if no route took it
+	 * @param route its route, empty if none matched
+	 * @param team its team, empty if it presented no API key
+	 * @param content the hash of its team and content, empty if no route matched
 	 * @param outcome {@code served}, {@code refused}, {@code failed} or {@code left}
-	 * @param status the status that the caller got, 0 for none
-	 * @param reason why, in a word
+	 * @param status the status sent to the caller, 0 for none
+	 * @param reason short reason
 	 * @param verdict whether it may have run
 	 * @param attempts how many replicas it was sent to
 	 * @param overShare whether its team sent more than its share, so that it waited
 	 * behind others of its rank
-	 * @param toldMillis when the caller was told to come back, negative if it was not
-	 * @param objectiveMillis how soon its answer was wanted, 0 if no route took it
-	 * @param configVersion the configuration that decided it
-	 * @param fleetAgeMillis how long ago the platform last told anything
-	 * @param millis how long it took
+	 * @param toldMillis retry delay sent to the caller, negative if none
+	 * @param objectiveMillis objective of its route, 0 if no route matched
+	 * @param configVersion version of the configuration in force
+	 * @param fleetAgeMillis time since the platform was last read
+	 * @param millis its duration
 	 */
 	record RequestLine(String id, String route, String team, String content, String outcome, int status, String reason,
 			String verdict, int attempts, boolean overShare, long retryAfterMillis, long objectiveMillis,
--- a/daemon/src/main/java/org/gullsaddle/gateway/Gateway.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/Gateway.java
@@ -27,7 +27,7 @@
  * One gateway node.
  *
  * <pre>
- * Gateway gateway = Gateway.with(settings).source(source).store(store).codec(codec).on(vertx);
+ * Gateway gateway = Gateway.builder(settings).source(source, stateWriter).store(store).codec(codec).build(vertx);
  * gateway.start();
  * ...
  * gateway.drain();
@@ -35,15 +35,18 @@
  */
 public final class Gateway {
 
-	/** How often open requests are looked at, in milliseconds. */
+	/** Interval at which open requests are checked, in milliseconds. */
 	private static final long TICK_INTERVAL_MILLIS = 50;
 
-	/** How often idle connections are looked at, in milliseconds. */
+	/**
+	 * Interval at which idle connections and state of unlisted replicas are cleaned up,
+	 * in milliseconds.
+	 */
 	private static final long CLEANUP_INTERVAL_MILLIS = 1000;
 
 	/**
-	 * When an idle connection of a caller is closed, in seconds: longer than any caller
-	 * is told to keep one.
+	 * Idle time after which a caller's connection is closed, in seconds: longer than any
+	 * caller is told to keep one.
 	 */
 	private static final int CALLER_IDLE_TIMEOUT_SECONDS = 75;
 
@@ -130,8 +133,8 @@
 	}
 
 	/**
-	 * Starts a gateway's parts.
-	 * @param settings its settings
+	 * Creates a builder.
+	 * @param settings the gateway's settings
 	 * @return a builder
 	 */
 	public static Builder builder(GatewaySettings settings) {
@@ -157,7 +160,7 @@
 	}
 
 	/**
-	 * Starts listening and reading the platform's store.
+	 * Starts to listen and to read the platform's store.
 	 * @return completes when callers can connect
 	 */
 	public Future<Void> start() {
@@ -187,9 +190,9 @@
 	}
 
 	/**
-	 * Stops gracefully: tells the balancer, serves what still comes for a moment, then
-	 * only what ends before the process does.
-	 * @return completes when nothing is open, or the time to stop is over
+	 * Stops gracefully: reports not ready to the load balancer, still accepts all
+	 * requests for a moment, then only those that end before the process does.
+	 * @return completes when nothing is open or the stop timeout is over
 	 */
 	public Future<Void> drain() {
 		Promise<Void> stopped = Promise.promise();
@@ -218,15 +221,15 @@
 	}
 
 	/**
-	 * Notes that the settings were read anew.
-	 * @param what what has changed, for the log
+	 * Logs that the settings were reloaded.
+	 * @param what what has changed
 	 */
 	public void onSettingsReloaded(String what) {
 		this.log.reloaded(what);
 	}
 
 	/**
-	 * Says whether callers' connections are welcome.
+	 * Returns whether the node is ready for callers.
 	 * @return true once the configuration and the replicas are known, until a stop
 	 */
 	public boolean isReady() {
@@ -234,7 +237,7 @@
 	}
 
 	/**
-	 * Says whether a replica is listed.
+	 * Returns whether a replica is listed.
 	 * @param replica its id
 	 * @return true if it is
 	 */
@@ -243,8 +246,8 @@
 	}
 
 	/**
-	 * Returns how old what the node knows of the deployment may be.
-	 * @return the time since the platform last told anything, in milliseconds
+	 * Returns the largest possible age of the node's view of the deployment.
+	 * @return the time since the platform was last read, in milliseconds
 	 */
 	public long fleetAgeMillis() {
 		return this.fleet.ageMillis(MonotonicClock.millis());
@@ -259,16 +262,15 @@
 	}
 
 	/**
-	 * Says whether a newer configuration came that cannot be read.
-	 * @return true until one that can be read is in force
+	 * Returns whether a newer configuration exists that cannot be parsed.
+	 * @return true until a valid one is in force
 	 */
 	public boolean hasUnreadableConfig() {
 		return this.fleet.hasUnreadableConfig();
 	}
 
 	/**
-	 * Returns how many requests wait for the configuration of a node that has just
-	 * started.
+	 * Returns the number of requests that wait for the configuration after the start.
 	 * @return the number
 	 */
 	public int heldRequestCount() {
@@ -311,7 +313,7 @@
 
 	private void onFleetChange(FleetChange change) {
 		if (change instanceof FleetChange.Configured) {
-			// The replicas that were read with it are taken in first.
+			// Replicas that were read together with it are applied first.
 			this.vertx.runOnContext((nothing) -> this.dispatcher.releaseHeld());
 		}
 		this.nodeRegistry.onFleetChange(change);
@@ -442,9 +444,9 @@
 		}
 
 		/**
-		 * Sets where the deployment is told of.
+		 * Sets the source of information about the deployment.
 		 * @param newSource the source
-		 * @param newBoard where the state of roll-outs is written
+		 * @param newBoard the writer of roll-out states
 		 * @return this builder
 		 */
 		public Builder source(FleetSource newSource, RolloutStateWriter newBoard) {
@@ -454,7 +456,7 @@
 		}
 
 		/**
-		 * Sets where nodes leave notes for each other.
+		 * Sets the store for notes between nodes.
 		 * @param newStore the store
 		 * @return this builder
 		 */
@@ -475,7 +477,7 @@
 
 		/**
 		 * Builds the gateway.
-		 * @param vertx where it runs, with one event loop
+		 * @param vertx the Vert.x instance to run on, with one event loop
 		 * @return the gateway, not started
 		 */
 		public Gateway build(Vertx vertx) {
--- a/daemon/src/main/java/org/gullsaddle/gateway/RequestExecution.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/RequestExecution.java
@@ -25,7 +25,8 @@
 import org.gullsaddle.serve.Task;
 
 /**
- * Serves one request: from its route to its final answer, over one or more attempts.
+ * Executes one request, from the choice of a replica to the final answer, over one or
+ * more attempts.
  */
 final class RequestExecution implements Attempt.Listener {
 
@@ -47,12 +48,12 @@
 
 	private final SilentReplicaHandler silentReplicaHandler;
 
-	/** What the attempt under way, or the next one, is to do. */
+	/** Task of the current or the next attempt. */
 	private Task task;
 
 	private final StreamTiming timing = new StreamTiming();
 
-	/** Where the next attempt goes, if that is decided already. */
+	/** Replica of the next attempt, if it is already chosen. */
 	private Optional<Choice> nextChoice = Optional.empty();
 
 	private int attempts;
@@ -113,7 +114,7 @@
 	}
 
 	/**
-	 * Sends the request to the replica that was picked, unless it ended meanwhile.
+	 * Sends the request to the chosen replica, unless the request ended meanwhile.
 	 */
 	private void onChoice(Optional<Choice> choice) {
 		if (this.done) {
@@ -190,8 +191,8 @@
 	}
 
 	/**
-	 * Drops an answer that its model itself doubts, while the caller has none of it, and
-	 * asks a larger model. Until that is decided nothing of the answer goes on.
+	 * Drops an answer of low model confidence and asks a larger model, as long as nothing
+	 * of it was sent to the caller. The answer is paused until that is decided.
 	 */
 	private void checkConfidence(Attempt from, ReplicaAnswer answer) {
 		Optional<String> larger = this.cascade.findLargerModel(answer.confidence());
@@ -268,11 +269,12 @@
 	}
 
 	/**
-	 * Tries another replica if that is allowed.
+	 * Starts another attempt if that is allowed.
+	 * @return whether one was started
 	 */
 	private boolean retryIfAllowed(long now) {
 		if (this.nextChoice.isPresent()) {
-			// It was chosen and paid for before the silent replica was left.
+			// Chosen, and its retry spent, before the silent replica was left.
 			startNextAttempt();
 			return true;
 		}
@@ -288,7 +290,7 @@
 	}
 
 	/**
-	 * Leaves a silent replica for another one, which was paid for.
+	 * Leaves a silent replica for another one, for which a retry was already spent.
 	 */
 	void moveTo(Attempt from, AttemptEnd end, Choice to) {
 		this.nextChoice = Optional.of(to);
@@ -296,9 +298,9 @@
 	}
 
 	/**
-	 * Ends with a replica's whole answer. A refusal status of one that has not said that
-	 * it did not run the request must not reach the caller: there it is a promise that
-	 * nothing ran.
+	 * Ends the request with a replica's complete answer. A status by which callers assume
+	 * that nothing ran must not reach the caller if the replica did not state that it had
+	 * not run the request.
 	 */
 	private void complete(Attempt from, AttemptEnd.Answered answered) {
 		boolean falsePromise = HttpStatuses.promisesNotRun(answered.status()) && route().kind() != RouteKind.IDEMPOTENT;
@@ -342,7 +344,8 @@
 	}
 
 	/**
-	 * Is called some times a second while the request is open.
+	 * Checks deadline and silence; called several times a second while the request is
+	 * open.
 	 */
 	void tick(long now) {
 		if (this.done) {
@@ -373,7 +376,7 @@
 	}
 
 	/**
-	 * The caller has closed its connection.
+	 * Handles that the caller has closed its connection.
 	 */
 	private void onCallerLeft() {
 		if (this.done) {
@@ -386,7 +389,7 @@
 	}
 
 	/**
-	 * There is no memory left for what the caller does not read.
+	 * Handles that no memory is left for what the caller does not read.
 	 */
 	private void onBufferAbort() {
 		if (!this.done) {
@@ -396,7 +399,7 @@
 	}
 
 	/**
-	 * Ends the attempt under way, without another one after it.
+	 * Ends the current attempt without starting another one.
 	 */
 	private void withdrawAttempt(String reason) {
 		this.done = true;
@@ -405,7 +408,7 @@
 	}
 
 	/**
-	 * Cuts the request off as the process ends.
+	 * Aborts the request because the process ends.
 	 */
 	void abort() {
 		onCallerLeft();
@@ -429,7 +432,7 @@
 	}
 
 	/**
-	 * Says whether an attempt is under way and its answer still waited for.
+	 * Returns whether an attempt is the current one and has not ended.
 	 */
 	boolean isWaitingFor(Attempt from) {
 		return !this.done && this.attempt == from && !from.hasEnded();
--- a/daemon/src/main/java/org/gullsaddle/gateway/RolloutController.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/RolloutController.java
@@ -24,30 +24,36 @@
 import org.gullsaddle.store.Store;
 
 /**
- * Drives roll-outs: tells other nodes what this one saw, and writes the state when it is
- * due.
+ * Drives roll-outs: shares this node's evidence with its peers and writes a roll-out's
+ * state when a change is due.
  * <p>
- * No node is elected for it. The state is written under the condition that it still has
- * the revision that the decision was made by, so that of several nodes that find it due
- * at once one succeeds, and a node that was frozen and wakes writes nothing.
+ * No node is elected. The state is written on the condition that it still has the
+ * revision on which the decision was based, so that only one of several nodes succeeds,
+ * and a node that resumes after a freeze writes nothing.
  */
 final class RolloutController {
 
 	static final String NOTE_PREFIX = "gullsaddle/rollouts/";
 
-	/** How often roll-outs are looked at, in milliseconds; spread out between nodes. */
+	/**
+	 * Interval at which roll-outs are checked, in milliseconds; jitter spreads it between
+	 * nodes.
+	 */
 	private static final long CHECK_INTERVAL_MILLIS = 200;
 
-	/** How often a note is written while it changes, in milliseconds: each is a call. */
+	/**
+	 * Longest interval between notes that change, in milliseconds: each is a call to the
+	 * store.
+	 */
 	private static final long MAX_NOTE_INTERVAL_MILLIS = 2000;
 
-	/** The same as a part of a short roll-out's time. */
+	/** Interval between notes relative to the duration of a short roll-out. */
 	private static final double NOTE_INTERVAL_RATIO = 0.06;
 
-	/** New evidence that is told at once: that of a failure. */
+	/** Evidence that is shared at once: that of one failure. */
 	private static final double URGENT_EVIDENCE = 1;
 
-	/** How long urgent notes are apart at least, in milliseconds. */
+	/** Shortest interval between urgent notes, in milliseconds. */
 	private static final long MIN_URGENT_INTERVAL_MILLIS = 400;
 
 	private final Vertx vertx;
@@ -70,7 +76,7 @@
 
 	private final Map<String, ReportedNote> reportedNotes = new HashMap<>();
 
-	/** What was reported last of each roll-out. */
+	/** Share that was last logged for each roll-out. */
 	private final Map<String, LoggedShare> loggedShares = new HashMap<>();
 
 	RolloutController(Vertx vertx, RolloutStateWriter board, Store store, String node, FleetState fleet,
@@ -92,17 +98,17 @@
 	}
 
 	/**
-	 * Notes that a request was sent to a replica.
+	 * Records that a request was sent to a replica.
 	 */
 	void recordSent(Replica replica) {
 		this.fleet.rollout(replica.service()).ifPresent((rollout) -> rollout.sent(replica));
 	}
 
 	/**
-	 * Takes in the head of a replica's answer. An answer that is lost on the way says
-	 * nothing of the release; only a failure that the replica itself reports does, and
-	 * that stands in the head.
-	 * @param kind the route, and the model that answers
+	 * Handles the head of a replica's answer. An answer lost on the way says nothing
+	 * about the release; only a failure that the replica itself reports does, and that is
+	 * in the head.
+	 * @param kind the route and the model that answers
 	 */
 	void onAnswer(AnswerKind kind, Attempt attempt, ReplicaAnswer answer) {
 		Replica replica = attempt.choice().replica();
@@ -115,21 +121,21 @@
 	}
 
 	/**
-	 * Notes that a replica could not be reached.
+	 * Handles that a replica could not be reached.
 	 */
 	void onUnreachable(Replica replica) {
 		this.fleet.rollout(replica.service()).ifPresent((rollout) -> rollout.unreachable(replica));
 	}
 
 	/**
-	 * Notes that a request came for a service.
+	 * Records the arrival of a request for a service.
 	 */
 	void recordRequest(ServedRequest request) {
 		this.fleet.rollout(request.service()).ifPresent((rollout) -> rollout.asked(request.releaseKey()));
 	}
 
 	/**
-	 * Takes in another node's note.
+	 * Handles a peer's note.
 	 */
 	void onFleetChange(FleetChange change) {
 		if (!(change instanceof FleetChange.Noted noted) || !noted.key().startsWith(NOTE_PREFIX)) {
@@ -228,7 +234,7 @@
 
 		private long writtenAt;
 
-		/** The least evidence since the last note: what has risen since is news. */
+		/** Lowest evidence since the last note; a rise above it is new. */
 		private double lowestEvidence;
 
 		private int answers;
--- a/daemon/src/main/java/org/gullsaddle/gateway/ServedRequest.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/ServedRequest.java
@@ -27,8 +27,8 @@
 import org.gullsaddle.suspect.Trait;
 
 /**
- * A request that is served, as it was read: what it asks for, under which configuration,
- * and until when.
+ * Accepted request: its contents, the configuration and route it is served under, and its
+ * deadline.
  */
 final class ServedRequest {
 
@@ -113,43 +113,44 @@
 	}
 
 	/**
-	 * Returns how long the caller, the route and this node still wait, in milliseconds.
+	 * Returns the time until the deadline of caller, route and node, whichever is first,
+	 * in milliseconds.
 	 */
 	long remainingMillis(long now) {
 		return this.deadlineAt - now;
 	}
 
 	/**
-	 * Returns the time that its caller has left, if it was refused now.
+	 * Returns the time that its caller would have left if it was refused now.
 	 */
 	TimeLeft timeLeft(long now) {
 		return new TimeLeft(remainingMillis(now), this.route.targetMillis() - (now - this.startedAt));
 	}
 
 	/**
-	 * Returns the engines that run it, empty for a plain service.
+	 * Returns the engines of its service, empty for a plain service.
 	 */
 	Optional<EngineSpec> engine() {
 		return this.config.service(this.service).flatMap(ServiceSpec::engine);
 	}
 
 	/**
-	 * Says whether the memory of a replica has room for it. One larger than that is
-	 * turned away by each of them, or crashes it.
+	 * Returns whether it fits the memory of a replica. A larger one would be refused by
+	 * every replica, or crash it.
 	 */
 	boolean fitsReplicaMemory() {
 		return engine().map((engine) -> engine.fits(this.caller.prompt().mostTokens())).orElse(true);
 	}
 
 	/**
-	 * Returns what cold replicas of its service bear.
+	 * Returns the limits of cold replicas of its service.
 	 */
 	ColdStart coldStart() {
 		return this.config.service(this.service).map(ServiceSpec::coldStart).orElse(ColdStart.NONE);
 	}
 
 	/**
-	 * Returns where it may be served, by its route and by its team.
+	 * Returns the regions in which its route and its team allow it to run.
 	 */
 	RegionLimit regionLimit() {
 		return this.team.map(Team::limit).orElse(RegionLimit.ANYWHERE).and(this.route.limit());
@@ -164,8 +165,8 @@
 	}
 
 	/**
-	 * Returns what a replica does for it.
-	 * @param model the model that is to run, empty for a plain service
+	 * Returns the task of a replica that runs it.
+	 * @param model the model to run, empty for a plain service
 	 */
 	Task task(String model) {
 		return engine()
@@ -175,8 +176,9 @@
 	}
 
 	/**
-	 * Returns what it keeps its release by. A prompt's last part is its own or its
-	 * session's, so that one without a session may still belong to one.
+	 * Returns the key by which it sticks to a release. The last part of a prompt belongs
+	 * to the request or its session, so a request without a session id may still belong
+	 * to one.
 	 */
 	ReleaseKey releaseKey() {
 		List<PromptPart> parts = this.caller.prompt().parts();
@@ -188,7 +190,7 @@
 	}
 
 	/**
-	 * Returns a hash of its team and content, the same when it is sent again.
+	 * Returns a hash of its team and content, the same for repeats.
 	 */
 	Fingerprint contentHash() {
 		if (this.contentHash == null) {
@@ -199,7 +201,7 @@
 	}
 
 	/**
-	 * Returns what it has in common with others that share parts of its prompt.
+	 * Returns the traits that it shares with requests that have the same prompt parts.
 	 * @param model the model that runs it, empty for a plain service
 	 */
 	List<Trait> partTraits(String model) {
@@ -212,8 +214,8 @@
 	}
 
 	/**
-	 * Returns what it has in common with others: parts of its prompt, and all its content
-	 * with those that repeat it.
+	 * Returns its traits: those of its prompt parts, and its whole content, which repeats
+	 * share.
 	 * @param model the model that runs it, empty for a plain service
 	 */
 	List<Trait> traits(String model) {
@@ -223,28 +225,29 @@
 	}
 
 	/**
-	 * Lets it go to one replica although one of its traits is refused.
+	 * Marks it as a trial: it may go to one replica although one of its traits is
+	 * blocked.
 	 */
 	void markTrial() {
 		this.trial = true;
 	}
 
 	/**
-	 * Notes that it was tried: no other replica gets it for the same reason.
+	 * Ends its trial: no other replica gets it.
 	 */
 	void endTrial() {
 		this.trial = false;
 	}
 
 	/**
-	 * Says whether it may go to one replica although one of its traits is refused.
+	 * Returns whether it may go to one replica although one of its traits is blocked.
 	 */
 	boolean isTrial() {
 		return this.trial;
 	}
 
 	/**
-	 * Collects what a {@link ServedRequest} consists of.
+	 * Builder of a {@link ServedRequest}.
 	 */
 	static final class Builder {
 
@@ -289,8 +292,8 @@
 		}
 
 		/**
-		 * Sets the time that it has.
-		 * @param newStartedAt when it came, in milliseconds
+		 * Sets its time limits.
+		 * @param newStartedAt when it arrived, in milliseconds
 		 * @param newLatest until when this node can serve it, in milliseconds
 		 */
 		Builder time(long newStartedAt, long newLatest) {
--- a/daemon/src/main/java/org/gullsaddle/gateway/package-info.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/package-info.java
@@ -1,8 +1,7 @@
 /**
- * The gateway: takes callers' requests and sends them straight to replicas that the
- * platform's registry lists. Everything here runs on one event loop; the decisions are
- * those of {@code org.gullsaddle.serve}. The platform's names are translated behind
- * {@link org.gullsaddle.gateway.HeaderCodec} and
- * {@link org.gullsaddle.gateway.FleetSource}.
+ * The gateway: accepts callers' requests and sends them directly to replicas from the
+ * platform's registry. Everything here runs on one event loop; the routing decisions are
+ * made in {@code org.gullsaddle.serve}. {@link org.gullsaddle.gateway.HeaderCodec} and
+ * {@link org.gullsaddle.gateway.FleetSource} hide the platform's own formats.
  */
 package org.gullsaddle.gateway;
--- a/daemon/src/test/java/org/gullsaddle/gateway/AttemptTests.java
+++ b/daemon/src/test/java/org/gullsaddle/gateway/AttemptTests.java
@@ -9,7 +9,7 @@
 
 class AttemptTests {
 
-	/** Guards against an answer that breaks off and is taken for a whole one. */
+	/** Guards against taking a truncated answer for a complete one. */
 	@ParameterizedTest
 	@CsvSource(delimiter = ';', value = { "chunked; true", "Chunked; true", "gzip, chunked; true", "identity; false",
 			"gzip; false", "chunked, gzip; false" })
--- a/daemon/src/test/java/org/gullsaddle/gateway/ContentHashTests.java
+++ b/daemon/src/test/java/org/gullsaddle/gateway/ContentHashTests.java
@@ -9,7 +9,7 @@
 class ContentHashTests {
 
 	/**
-	 * Guards against nodes of two builds that hash the same request differently.
+	 * Guards against nodes of different builds that hash the same request differently.
 	 */
 	@Test
 	void hashStaysFromBuildToBuild() {
--- a/daemon/src/test/java/org/gullsaddle/gateway/DrainPolicyTests.java
+++ b/daemon/src/test/java/org/gullsaddle/gateway/DrainPolicyTests.java
@@ -41,8 +41,8 @@
 	}
 
 	/**
-	 * Callers come to a node that stops as long as the balancer has not noticed, and
-	 * later too if no other node is ready.
+	 * Callers reach a stopping node until the load balancer has noticed, and later too if
+	 * no other node is ready.
 	 */
 	@Nested
 	class AfterAStopWasAskedFor {
--- a/daemon/src/test/java/org/gullsaddle/gateway/EarlyListenerTests.java
+++ b/daemon/src/test/java/org/gullsaddle/gateway/EarlyListenerTests.java
@@ -32,8 +32,8 @@
 	}
 
 	/**
-	 * A caller connects and sends its request while the node's server is still being
-	 * loaded. Its connection was refused; now it is answered once the server is there.
+	 * Guards against refused connections while the server is still loading: the request
+	 * is answered once the server listens.
 	 */
 	@Test
 	void requestSentBeforeTheServerIsThereIsAnswered() throws Exception {
--- a/daemon/src/test/java/org/gullsaddle/gateway/FleetPollerTests.java
+++ b/daemon/src/test/java/org/gullsaddle/gateway/FleetPollerTests.java
@@ -17,9 +17,8 @@
 class FleetPollerTests {
 
 	/**
-	 * Many replicas write their heartbeats, so that each call for changes is answered at
-	 * once. Asked again at once, the store would be asked as often as all replicas beat,
-	 * by every node.
+	 * Heartbeats of many replicas make each call for changes return at once. Without a
+	 * pause every node would call the store as often as all replicas send heartbeats.
 	 */
 	@Nested
 	class WhenChangesComeAllTheTime {
@@ -54,7 +53,9 @@
 			assertThat(FleetPoller.delayMillis(5000, 5004, 1000)).isEqualTo(996);
 		}
 
-		/** Guards against paying for news twice as often as it must be known. */
+		/**
+		 * Guards against calls, which cost money, that are twice as frequent as needed.
+		 */
 		@Test
 		void intervalIsAPartOfTheTimeInWhichNewsMustBeInForce() {
 			assertThat(feed(5000).intervalMillis(0)).isEqualTo(2500);
@@ -63,7 +64,7 @@
 			assertThat(feed(1000).intervalMillis(0)).isEqualTo(1000);
 		}
 
-		/** Guards against roll-out notes of other nodes that come too late to act on. */
+		/** Guards against roll-out notes of peers that arrive too late to act on. */
 		@Test
 		void newsIsAskedForMoreOftenWhileARolloutIsUnderWay() {
 			FleetPoller feed = feed(5000);
@@ -75,7 +76,10 @@
 			assertThat(feed.intervalMillis(0)).isEqualTo(2500);
 		}
 
-		/** Guards against a short roll-out that is over before evidence has travelled. */
+		/**
+		 * Guards against a short roll-out that ends before evidence has reached all
+		 * nodes.
+		 */
 		@Test
 		void newsIsAskedForMoreOftenInAShortRollout() {
 			FleetPoller feed = feed(3000);
@@ -93,7 +97,7 @@
 		}
 
 		/**
-		 * Guards against replicas that come back after an outage and are known seconds
+		 * Guards against replicas that reappear after an outage and are noticed seconds
 		 * later.
 		 */
 		@Test
--- a/daemon/src/test/java/org/gullsaddle/gateway/NodeRegistryTests.java
+++ b/daemon/src/test/java/org/gullsaddle/gateway/NodeRegistryTests.java
@@ -26,7 +26,7 @@
 
 	private static final String OTHER = "other";
 
-	/** After so many of its own notes a node forgets one that wrote none. */
+	/** Refreshes of its own after which a node removes a peer that wrote no note. */
 	private static final int ROUNDS = 4;
 
 	private final Vertx vertx = Vertx.vertx();
@@ -59,7 +59,7 @@
 	}
 
 	/**
-	 * Has time pass in which this node alone writes its note.
+	 * Simulates refresh rounds in which only this node writes its note.
 	 */
 	private void pass(int rounds) {
 		for (int i = 0; i < rounds; i++) {
@@ -76,14 +76,16 @@
 		assertThat(this.register.knownCount()).contains(2);
 	}
 
-	/** Guards against nodes that take their shares before the others know them. */
+	/** Guards against nodes that take their shares before peers know them. */
 	@Test
 	void nodesAreNotPeersAtOnce() {
 		note(SELF);
 		assertThat(this.register.peers()).isEmpty();
 	}
 
-	/** Guards against shares that are kept for nodes that were renamed or taken away. */
+	/**
+	 * Guards against shares that are reserved for nodes that were renamed or removed.
+	 */
 	@Test
 	void nodeThatWritesNoMoreIsForgotten() {
 		note(SELF);
@@ -105,7 +107,9 @@
 		assertThat(this.register.knownCount()).contains(2);
 	}
 
-	/** Guards against nodes that each take all as the store hides the others. */
+	/**
+	 * Guards against nodes that each take the whole limit while the store is unavailable.
+	 */
 	@Test
 	void nobodyIsForgottenWhileTheStoreIsAway() {
 		note(SELF);
@@ -124,7 +128,9 @@
 		assertThat(this.register.knownCount()).contains(1);
 	}
 
-	/** Guards against shares that are too large, as a node's note cannot be read. */
+	/**
+	 * Guards against shares that are too large because a node's note cannot be parsed.
+	 */
 	@Test
 	void nodeWhoseNoteCannotBeReadIsCounted() {
 		note(SELF);
@@ -142,7 +148,7 @@
 	}
 
 	/**
-	 * Notes what is written, and does not answer.
+	 * Store that records writes and never answers.
 	 */
 	private static final class NotingStore implements Store {
 
--- a/daemon/src/test/java/org/gullsaddle/gateway/RetryAfterAdvisorTests.java
+++ b/daemon/src/test/java/org/gullsaddle/gateway/RetryAfterAdvisorTests.java
@@ -8,7 +8,9 @@
 
 class RetryAfterAdvisorTests {
 
-	/** Guards against other times where callers do not compete for room. */
+	/**
+	 * Guards against changed retry delays where callers do not compete for capacity.
+	 */
 	@Test
 	void withoutPressureTheSoonestIsTold() {
 		assertThat(new RetryAfterAdvisor(false, new Telemetry()).retryAfterMillis(null, 300)).isEqualTo(300);
--- a/daemon/src/test/java/org/gullsaddle/gateway/StallDetectorTests.java
+++ b/daemon/src/test/java/org/gullsaddle/gateway/StallDetectorTests.java
@@ -9,9 +9,8 @@
 	private final StallDetector watch = new StallDetector();
 
 	/**
-	 * A node is frozen for three seconds in the middle of a stream, whose events have
-	 * come meanwhile and lie unread. On its first look it took the replica as
-	 * unresponsive and had the stream run anew elsewhere.
+	 * Guards against rerunning a stream after a stall: the node is frozen for three
+	 * seconds, and the events that arrived meanwhile are still unread at its first check.
 	 */
 	@Test
 	void silenceWhileTheProcessStoodStillDoesNotCount() {
@@ -21,7 +20,9 @@
 		assertThat(this.watch.silentSince(4100)).isEqualTo(4100);
 	}
 
-	/** Guards against work for callers that left while their requests lay unread. */
+	/**
+	 * Guards against running requests of callers that left before the requests were read.
+	 */
 	@Test
 	void nodeIsBehindFromAMissedLookUntilItHasCaughtUp() {
 		this.watch.check(1000);
--- a/daemon/src/test/java/org/gullsaddle/gateway/SuspendDetectorTests.java
+++ b/daemon/src/test/java/org/gullsaddle/gateway/SuspendDetectorTests.java
@@ -11,8 +11,8 @@
 	private final SuspendDetector watch = new SuspendDetector();
 
 	/**
-	 * Guards against knowledge that is taken for new after the machine was suspended: the
-	 * clock that counts intervals stood still with it.
+	 * Guards against taking old knowledge for recent after the machine was suspended,
+	 * since the monotonic clock stops meanwhile.
 	 */
 	@Test
 	void timeThatOnlyTheTimeOfDayCountedIsFound() {
