--- a/daemon/src/test/java/org/gullsaddle/gateway/AttemptTests.java
+++ b/daemon/src/test/java/org/gullsaddle/gateway/AttemptTests.java
@@ -13,7 +13,7 @@
 	@ParameterizedTest
 	@CsvSource(delimiter = ';', value = { "chunked; true", "Chunked; true", "gzip, chunked; true", "identity; false",
 			"gzip; false", "chunked, gzip; false" })
-	void answerShowsItsEndIfItsLastTransferCodingIsChunked(String codings, boolean framed) {
+	void answerIsFramedIfItsLastTransferCodingIsChunked(String codings, boolean framed) {
 		MultiMap headers = MultiMap.caseInsensitiveMultiMap().add("Transfer-Encoding", codings);
 		assertThat(Attempt.isFramed(headers)).isEqualTo(framed);
 		assertThat(Attempt.isFramed(headers.add("Content-Length", "12"))).isEqualTo(framed);
@@ -28,7 +28,7 @@
 	}
 
 	@Test
-	void answerWithoutACodingShowsItsEndByItsLength() {
+	void answerWithoutACodingIsFramedByItsLength() {
 		assertThat(Attempt.isFramed(MultiMap.caseInsensitiveMultiMap())).isFalse();
 		assertThat(Attempt.isFramed(MultiMap.caseInsensitiveMultiMap().add("Content-Length", "0"))).isTrue();
 	}
--- a/daemon/src/test/java/org/gullsaddle/gateway/ContentHashTests.java
+++ b/daemon/src/test/java/org/gullsaddle/gateway/ContentHashTests.java
@@ -12,7 +12,7 @@
 	 * Guards against nodes of different builds that hash the same request differently.
 	 */
 	@Test
-	void hashStaysFromBuildToBuild() {
+	void hashIsStableAcrossBuilds() {
 		assertThat(ContentHash.of("gold", HttpMethod.POST, "api.example", "/chat", Buffer.buffer("{}")))
 			.hasToString("0xb59ba6c10f41e3e49d89c4dac27454d1");
 	}
--- a/daemon/src/test/java/org/gullsaddle/gateway/DrainPolicyTests.java
+++ b/daemon/src/test/java/org/gullsaddle/gateway/DrainPolicyTests.java
@@ -18,7 +18,7 @@
 
 	private static final long TARGET_MILLIS = 500;
 
-	private final DrainPolicy plan = new DrainPolicy();
+	private final DrainPolicy policy = new DrainPolicy();
 
 	private static Route route(RouteKind kind) {
 		return Route.named("r")
@@ -33,9 +33,9 @@
 	class BeforeAStop {
 
 		@Test
-		void everythingIsTakenAndNothingIsShortened() {
-			assertThat(DrainPolicyTests.this.plan.accepts(route(RouteKind.STREAM), 1_000_000)).isTrue();
-			assertThat(DrainPolicyTests.this.plan.latestAnswerAt(route(RouteKind.ONCE))).isEqualTo(Long.MAX_VALUE);
+		void everythingIsAcceptedAndNoDeadlineIsShortened() {
+			assertThat(DrainPolicyTests.this.policy.accepts(route(RouteKind.STREAM), 1_000_000)).isTrue();
+			assertThat(DrainPolicyTests.this.policy.latestAnswerAt(route(RouteKind.ONCE))).isEqualTo(Long.MAX_VALUE);
 		}
 
 	}
@@ -45,47 +45,47 @@
 	 * no other node is ready.
 	 */
 	@Nested
-	class AfterAStopWasAskedFor {
+	class DuringAStop {
 
 		@Test
-		void streamsAreTakenUntilTheBalancerHasNoticed() {
-			DrainPolicyTests.this.plan.begin(0, STOP_MILLIS);
-			assertThat(DrainPolicyTests.this.plan.accepts(route(RouteKind.STREAM), 2899)).isTrue();
-			assertThat(DrainPolicyTests.this.plan.accepts(route(RouteKind.STREAM), 2900)).isFalse();
+		void streamsAreAcceptedUntilTheBalancerHasNoticed() {
+			DrainPolicyTests.this.policy.begin(0, STOP_MILLIS);
+			assertThat(DrainPolicyTests.this.policy.accepts(route(RouteKind.STREAM), 2899)).isTrue();
+			assertThat(DrainPolicyTests.this.policy.accepts(route(RouteKind.STREAM), 2900)).isFalse();
 		}
 
 		@Test
-		void whatHasNoAnswerGetsOneBeforeTheEnd() {
-			assertThat(DrainPolicyTests.this.plan.shouldAnswerNow(1_000_000)).isFalse();
-			DrainPolicyTests.this.plan.begin(0, STOP_MILLIS);
-			assertThat(DrainPolicyTests.this.plan.shouldAnswerNow(7399)).isFalse();
-			assertThat(DrainPolicyTests.this.plan.shouldAnswerNow(7400)).isTrue();
-			assertThat(DrainPolicyTests.this.plan.isOver(7400)).isFalse();
+		void unansweredRequestsAreAnsweredBeforeTheEnd() {
+			assertThat(DrainPolicyTests.this.policy.shouldAnswerNow(1_000_000)).isFalse();
+			DrainPolicyTests.this.policy.begin(0, STOP_MILLIS);
+			assertThat(DrainPolicyTests.this.policy.shouldAnswerNow(7399)).isFalse();
+			assertThat(DrainPolicyTests.this.policy.shouldAnswerNow(7400)).isTrue();
+			assertThat(DrainPolicyTests.this.policy.isOver(7400)).isFalse();
 		}
 
 		@Test
-		void callsAreTakenWhileFourObjectivesAreLeft() {
-			DrainPolicyTests.this.plan.begin(0, STOP_MILLIS);
-			assertThat(DrainPolicyTests.this.plan.accepts(route(RouteKind.ONCE), 5400)).isTrue();
-			assertThat(DrainPolicyTests.this.plan.accepts(route(RouteKind.IDEMPOTENT), 5400)).isTrue();
-			assertThat(DrainPolicyTests.this.plan.accepts(route(RouteKind.ONCE), 5401)).isFalse();
+		void callsAreAcceptedWhileFourObjectivesAreLeft() {
+			DrainPolicyTests.this.policy.begin(0, STOP_MILLIS);
+			assertThat(DrainPolicyTests.this.policy.accepts(route(RouteKind.ONCE), 5400)).isTrue();
+			assertThat(DrainPolicyTests.this.policy.accepts(route(RouteKind.IDEMPOTENT), 5400)).isTrue();
+			assertThat(DrainPolicyTests.this.policy.accepts(route(RouteKind.ONCE), 5401)).isFalse();
 		}
 
 		@Test
-		void callerThatNoOtherNodeTakesIsToldWhenThisOneIsBack() {
-			DrainPolicyTests.this.plan.begin(0, STOP_MILLIS);
-			assertThat(DrainPolicyTests.this.plan.retryAfterMillis(3000)).isEqualTo(5500);
-			assertThat(DrainPolicyTests.this.plan.retryAfterMillis(8000)).isEqualTo(900);
+		void callerWithoutAnotherNodeRetriesWhenThisOneServesAgain() {
+			DrainPolicyTests.this.policy.begin(0, STOP_MILLIS);
+			assertThat(DrainPolicyTests.this.policy.retryAfterMillis(3000)).isEqualTo(5500);
+			assertThat(DrainPolicyTests.this.policy.retryAfterMillis(8000)).isEqualTo(900);
 		}
 
 		@Test
-		void callThatTakesLongerIsAnsweredBeforeOpenRequestsAreCutOff() {
-			DrainPolicyTests.this.plan.begin(0, STOP_MILLIS);
-			long latest = DrainPolicyTests.this.plan.latestAnswerAt(route(RouteKind.ONCE));
+		void longCallIsAnsweredBeforeOpenRequestsAreAborted() {
+			DrainPolicyTests.this.policy.begin(0, STOP_MILLIS);
+			long latest = DrainPolicyTests.this.policy.latestAnswerAt(route(RouteKind.ONCE));
 			assertThat(latest).isEqualTo(7400);
-			assertThat(DrainPolicyTests.this.plan.isOver(latest)).isFalse();
-			assertThat(DrainPolicyTests.this.plan.isOver(7600)).isTrue();
-			assertThat(DrainPolicyTests.this.plan.latestAnswerAt(route(RouteKind.STREAM))).isEqualTo(Long.MAX_VALUE);
+			assertThat(DrainPolicyTests.this.policy.isOver(latest)).isFalse();
+			assertThat(DrainPolicyTests.this.policy.isOver(7600)).isTrue();
+			assertThat(DrainPolicyTests.this.policy.latestAnswerAt(route(RouteKind.STREAM))).isEqualTo(Long.MAX_VALUE);
 		}
 
 	}
--- a/daemon/src/test/java/org/gullsaddle/gateway/EarlyListenerTests.java
+++ b/daemon/src/test/java/org/gullsaddle/gateway/EarlyListenerTests.java
@@ -36,7 +36,7 @@
 	 * is answered once the server listens.
 	 */
 	@Test
-	void requestSentBeforeTheServerIsThereIsAnswered() throws Exception {
+	void requestSentBeforeTheServerListensIsAnswered() throws Exception {
 		try (EarlyListener early = EarlyListener.bind(this.address);
 				Socket caller = new Socket(this.address.host(), this.address.port())) {
 			caller.getOutputStream().write(REQUEST.getBytes(StandardCharsets.US_ASCII));
@@ -77,7 +77,7 @@
 	}
 
 	@Test
-	void addressThatIsTakenIsNamed() throws Exception {
+	void addressInUseIsNamedInTheError() throws Exception {
 		try (EarlyListener early = EarlyListener.bind(this.address)) {
 			assertThatThrownBy(() -> EarlyListener.bind(this.address)).isInstanceOf(IOException.class)
 				.hasMessageContaining(this.address.toString());
--- a/daemon/src/test/java/org/gullsaddle/gateway/FleetPollerTests.java
+++ b/daemon/src/test/java/org/gullsaddle/gateway/FleetPollerTests.java
@@ -21,7 +21,7 @@
 	 * pause every node would call the store as often as all replicas send heartbeats.
 	 */
 	@Nested
-	class WhenChangesComeAllTheTime {
+	class WhenChangesArriveConstantly {
 
 		private static final ServiceName SERVICE = new ServiceName("engines");
 
@@ -57,17 +57,17 @@
 		 * Guards against calls, which cost money, that are twice as frequent as needed.
 		 */
 		@Test
-		void intervalIsAPartOfTheTimeInWhichNewsMustBeInForce() {
-			assertThat(feed(5000).intervalMillis(0)).isEqualTo(2500);
-			assertThat(feed(4000).intervalMillis(0)).isEqualTo(2000);
-			assertThat(feed(3000).intervalMillis(0)).isEqualTo(1500);
-			assertThat(feed(1000).intervalMillis(0)).isEqualTo(1000);
+		void intervalIsHalfThePropagationTime() {
+			assertThat(poller(5000).intervalMillis(0)).isEqualTo(2500);
+			assertThat(poller(4000).intervalMillis(0)).isEqualTo(2000);
+			assertThat(poller(3000).intervalMillis(0)).isEqualTo(1500);
+			assertThat(poller(1000).intervalMillis(0)).isEqualTo(1000);
 		}
 
 		/** Guards against roll-out notes of peers that arrive too late to act on. */
 		@Test
-		void newsIsAskedForMoreOftenWhileARolloutIsUnderWay() {
-			FleetPoller feed = feed(5000);
+		void intervalIsShorterDuringARollout() {
+			FleetPoller feed = poller(5000);
 			this.state.apply(0, ORDERED);
 			assertThat(feed.intervalMillis(0)).isEqualTo(1600);
 			this.state.apply(0, new FleetChange.Progressed(SERVICE, "v2", RolloutState.RUNNING, 2));
@@ -81,8 +81,8 @@
 		 * nodes.
 		 */
 		@Test
-		void newsIsAskedForMoreOftenInAShortRollout() {
-			FleetPoller feed = feed(3000);
+		void intervalIsEvenShorterDuringAShortRollout() {
+			FleetPoller feed = poller(3000);
 			this.state.apply(0, new FleetChange.Ordered(new RolloutOrder(SERVICE, "v3", 16_000), 2));
 			assertThat(feed.intervalMillis(0)).isEqualTo(1000);
 			this.state.apply(0, new FleetChange.Ordered(new RolloutOrder(SERVICE, "v4", 4000), 3));
@@ -90,8 +90,8 @@
 		}
 
 		@Test
-		void rolloutDoesNotSlowNewsDown() {
-			FleetPoller feed = feed(3000);
+		void rolloutDoesNotLengthenTheInterval() {
+			FleetPoller feed = poller(3000);
 			this.state.apply(0, ORDERED);
 			assertThat(feed.intervalMillis(0)).isEqualTo(1500);
 		}
@@ -101,15 +101,15 @@
 		 * later.
 		 */
 		@Test
-		void newsIsAskedForEverySecondAfterEverythingWasReadAnew() {
-			FleetPoller feed = feed(5000);
+		void intervalIsOneSecondAfterAFullRead() {
+			FleetPoller feed = poller(5000);
 			feed.onUpdate(new FleetSource.Update(List.of(), 7), true);
 			long now = MonotonicClock.millis();
 			assertThat(feed.intervalMillis(now)).isEqualTo(1000);
 			assertThat(feed.intervalMillis(now + 5000)).isEqualTo(2500);
 		}
 
-		private FleetPoller feed(long newsMillis) {
+		private FleetPoller poller(long newsMillis) {
 			return new FleetPoller(null, STORE_THAT_NEVER_ANSWERS, this.state, new DecisionLog(), (change) -> {
 			}, newsMillis, () -> false);
 		}
--- a/daemon/src/test/java/org/gullsaddle/gateway/NodeRegistryTests.java
+++ b/daemon/src/test/java/org/gullsaddle/gateway/NodeRegistryTests.java
@@ -24,25 +24,25 @@
 
 	private static final String SELF = "self";
 
-	private static final String OTHER = "other";
+	private static final String PEER = "other";
 
 	/** Refreshes of its own after which a node removes a peer that wrote no note. */
 	private static final int ROUNDS = 4;
 
 	private final Vertx vertx = Vertx.vertx();
 
-	private final NotingStore store = new NotingStore();
+	private final RecordingStore store = new RecordingStore();
 
-	private boolean storeAway;
+	private boolean storeUnavailable;
 
-	private NodeRegistry register;
+	private NodeRegistry registry;
 
 	@BeforeEach
 	void open() {
 		Address nowhere = new Address("127.0.0.1", 1);
 		GatewaySettings settings = new GatewaySettings(SELF, new Place("a", Map.of("a", "north")), nowhere, nowhere,
 				nowhere, 1, 1, 1, RolloutLimits.USUAL, LoadSettings.DEFAULTS);
-		this.register = new NodeRegistry(this.vertx, this.store, settings, () -> this.storeAway);
+		this.registry = new NodeRegistry(this.vertx, this.store, settings, () -> this.storeUnavailable);
 	}
 
 	@AfterEach
@@ -51,7 +51,7 @@
 	}
 
 	private void note(String node, String value) {
-		this.register.onFleetChange(new FleetChange.Noted(NodeRegistry.NOTE_PREFIX + node, value));
+		this.registry.onFleetChange(new FleetChange.Noted(NodeRegistry.NOTE_PREFIX + node, value));
 	}
 
 	private void note(String node) {
@@ -61,71 +61,71 @@
 	/**
 	 * Simulates refresh rounds in which only this node writes its note.
 	 */
-	private void pass(int rounds) {
+	private void passRounds(int rounds) {
 		for (int i = 0; i < rounds; i++) {
 			note(SELF);
-			this.register.refresh();
+			this.registry.refresh();
 		}
 	}
 
 	@Test
-	void nodesAreNotKnownBeforeThisOneIsToTheOthers() {
-		note(OTHER);
-		assertThat(this.register.knownCount()).isEmpty();
+	void nodesAreNotCountedBeforePeersKnowThisOne() {
+		note(PEER);
+		assertThat(this.registry.knownCount()).isEmpty();
 		note(SELF);
-		assertThat(this.register.knownCount()).contains(2);
+		assertThat(this.registry.knownCount()).contains(2);
 	}
 
 	/** Guards against nodes that take their shares before peers know them. */
 	@Test
 	void nodesAreNotPeersAtOnce() {
 		note(SELF);
-		assertThat(this.register.peers()).isEmpty();
+		assertThat(this.registry.peers()).isEmpty();
 	}
 
 	/**
 	 * Guards against shares that are reserved for nodes that were renamed or removed.
 	 */
 	@Test
-	void nodeThatWritesNoMoreIsForgotten() {
+	void nodeThatStopsRefreshingIsRemoved() {
 		note(SELF);
-		note(OTHER);
-		pass(ROUNDS - 1);
-		assertThat(this.register.knownCount()).contains(2);
-		pass(1);
-		assertThat(this.register.knownCount()).contains(1);
+		note(PEER);
+		passRounds(ROUNDS - 1);
+		assertThat(this.registry.knownCount()).contains(2);
+		passRounds(1);
+		assertThat(this.registry.knownCount()).contains(1);
 	}
 
 	@Test
-	void nodeThatWritesNowAndThenIsKept() {
+	void nodeThatRefreshesNowAndThenIsKept() {
 		note(SELF);
-		note(OTHER);
+		note(PEER);
 		for (int i = 0; i < ROUNDS; i++) {
-			pass(ROUNDS - 1);
-			note(OTHER);
+			passRounds(ROUNDS - 1);
+			note(PEER);
 		}
-		assertThat(this.register.knownCount()).contains(2);
+		assertThat(this.registry.knownCount()).contains(2);
 	}
 
 	/**
 	 * Guards against nodes that each take the whole limit while the store is unavailable.
 	 */
 	@Test
-	void nobodyIsForgottenWhileTheStoreIsAway() {
+	void noNodeIsRemovedWhileTheStoreIsUnavailable() {
 		note(SELF);
-		note(OTHER);
-		this.storeAway = true;
-		pass(10 * ROUNDS);
-		assertThat(this.register.knownCount()).contains(2);
+		note(PEER);
+		this.storeUnavailable = true;
+		passRounds(10 * ROUNDS);
+		assertThat(this.registry.knownCount()).contains(2);
 	}
 
 	@Test
-	void thisNodeIsNeverForgotten() {
+	void thisNodeIsNeverRemoved() {
 		note(SELF);
 		for (int i = 0; i < 2 * ROUNDS; i++) {
-			this.register.refresh();
+			this.registry.refresh();
 		}
-		assertThat(this.register.knownCount()).contains(1);
+		assertThat(this.registry.knownCount()).contains(1);
 	}
 
 	/**
@@ -134,23 +134,23 @@
 	@Test
 	void nodeWhoseNoteCannotBeReadIsCounted() {
 		note(SELF);
-		note(OTHER, "no JSON");
+		note(PEER, "no JSON");
 		note("older", "{}");
 		note("", "{}");
-		assertThat(this.register.knownCount()).contains(3);
+		assertThat(this.registry.knownCount()).contains(3);
 	}
 
 	@Test
-	void noteTellsWhereTheNodeIs() {
+	void noteContainsTheDataCenter() {
 		note(SELF);
-		this.register.refresh();
+		this.registry.refresh();
 		assertThat(this.store.written).containsExactly("{\"dataCenter\":\"a\"}");
 	}
 
 	/**
 	 * Store that records writes and never answers.
 	 */
-	private static final class NotingStore implements Store {
+	private static final class RecordingStore implements Store {
 
 		private final List<String> written = new ArrayList<>();
 
--- a/daemon/src/test/java/org/gullsaddle/gateway/RetryAfterAdvisorTests.java
+++ b/daemon/src/test/java/org/gullsaddle/gateway/RetryAfterAdvisorTests.java
@@ -12,7 +12,7 @@
 	 * Guards against changed retry delays where callers do not compete for capacity.
 	 */
 	@Test
-	void withoutPressureTheSoonestIsTold() {
+	void withoutPressureTheShortestDelayIsReturned() {
 		assertThat(new RetryAfterAdvisor(false, new Telemetry()).retryAfterMillis(null, 300)).isEqualTo(300);
 	}
 
