--- a/daemon/src/main/java/org/gullsaddle/gateway/AnswerRelay.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/AnswerRelay.java
@@ -7,126 +7,128 @@
 import io.vertx.core.http.HttpHeaders;
 
 /**
- * Passes answers on to one caller: a stream's whole events as they come, anything else
- * once it is whole, so that until then it can be dropped for another answer.
+ * Relays replicas' answers to one caller: complete events of a stream as they arrive, any
+ * other answer once it is complete, so that it can still be replaced by another replica's
+ * answer until then.
  */
 final class AnswerRelay {
 
-	/** An answer up to this size is held back until it is whole, in bytes. */
-	private static final int MAX_HELD = 262_144;
+	/** Largest answer, in bytes, that is buffered until it is complete. */
+	private static final int MAX_BUFFERED_BYTES = 262_144;
 
-	private final EventScanner events = new EventScanner();
+	private final ServerSentEventSplitter events = new ServerSentEventSplitter();
 
-	private final AnswerOutlet outlet;
+	private final AnswerSink sink;
 
 	private final CallerAnswerWriter writer;
 
-	private Buffer held = Buffer.buffer();
+	private Buffer buffered = Buffer.buffer();
 
 	private MultiMap headers;
 
-	private long toldMillis = -1;
+	private long retryAfterMillis = -1;
 
 	/**
-	 * Makes a relay.
-	 * @param giveUp ends the request, as its caller reads too slowly
+	 * Creates a relay.
+	 * @param giveUp ends the request if its caller reads too slowly
 	 */
 	AnswerRelay(ServedRequest request, Gateway gateway, Runnable giveUp) {
-		this.outlet = gateway.holdings().outlet(request, giveUp);
-		this.writer = new CallerAnswerWriter(request.http().response(), this.outlet, gateway::stopping);
+		this.sink = gateway.buffers().newSink(request, giveUp);
+		this.writer = new CallerAnswerWriter(request.http().response(), this.sink, gateway::isStopping);
 	}
 
 	/**
-	 * Says whether the caller has got any of an answer.
+	 * Returns whether any part of an answer was written to the caller.
 	 */
-	boolean begun() {
-		return this.writer.begun();
+	boolean hasBegun() {
+		return this.writer.hasBegun();
 	}
 
 	/**
-	 * Returns the last event that the caller has.
+	 * Returns the id of the last event that was relayed.
 	 */
-	Optional<String> lastEvent() {
-		return this.events.lastId();
+	Optional<String> lastEventId() {
+		return this.events.lastEventId();
 	}
 
 	/**
-	 * Says whether a stream has come to the end of an event.
+	 * Returns whether all bytes of the stream so far form complete events.
 	 */
-	boolean atEventEnd() {
-		return this.events.atEventEnd();
+	boolean isAtEventEnd() {
+		return this.events.isAtEventEnd();
 	}
 
 	/**
-	 * Begins with a replica's answer; what was held of an earlier one is dropped.
+	 * Starts a replica's answer and discards what was buffered of an earlier one.
 	 */
-	void head(MultiMap newHeaders) {
-		this.held = Buffer.buffer();
-		this.events.dropRest();
+	void onHead(MultiMap newHeaders) {
+		this.buffered = Buffer.buffer();
+		this.events.discardIncomplete();
 		this.headers = newHeaders;
 	}
 
 	/**
-	 * Passes a stream's bytes on, as far as they make whole events.
-	 * @return whether the caller got an event
+	 * Relays bytes of a stream as far as they form complete events.
+	 * @return whether at least one event was written
 	 */
-	boolean stream(Attempt from, Buffer bytes) {
+	boolean relayEvents(Attempt from, Buffer bytes) {
 		Buffer whole = this.events.add(bytes);
 		if (whole.length() > 0) {
 			this.writer.begin(from.answer().status(), this.headers);
 			this.writer.write(whole);
 		}
-		this.outlet.read(from, this.events.heldBack());
+		this.sink.onRead(from, this.events.incompleteBytes());
 		return whole.length() > 0;
 	}
 
 	/**
-	 * Holds bytes back, or passes them on if they are too many to hold.
+	 * Buffers bytes, or relays them once they exceed {@link #MAX_BUFFERED_BYTES}.
 	 */
-	void hold(Attempt from, Buffer bytes) {
-		this.held.appendBuffer(bytes);
-		if (this.held.length() > MAX_HELD) {
+	void buffer(Attempt from, Buffer bytes) {
+		this.buffered.appendBuffer(bytes);
+		if (this.buffered.length() > MAX_BUFFERED_BYTES) {
 			this.writer.begin(from.answer().status(), this.headers);
-			this.writer.write(this.held);
-			this.held = Buffer.buffer();
+			this.writer.write(this.buffered);
+			this.buffered = Buffer.buffer();
 		}
-		this.outlet.read(from, this.held.length());
+		this.sink.onRead(from, this.buffered.length());
 	}
 
 	/**
-	 * Ends the answer, which is whole.
-	 * @param withoutBody whether the caller asked for the head only
+	 * Ends a complete answer.
+	 * @param withoutBody whether it is the answer to a HEAD request
 	 */
 	void end(int status, boolean withoutBody) {
-		if (this.writer.begun()) {
-			this.writer.end(this.held);
+		if (this.writer.hasBegun()) {
+			this.writer.end(this.buffered);
 			return;
 		}
 		if (!withoutBody) {
 			this.headers.remove(HttpHeaders.CONTENT_LENGTH);
 		}
-		this.writer.whole(status, this.headers, this.held);
+		this.writer.writeWhole(status, this.headers, this.buffered);
 	}
 
 	/**
-	 * Sends an answer of the router's own instead.
-	 * @param afterMillis when to come back, in milliseconds, if the request was not run
+	 * Sends an error of the gateway itself instead.
+	 * @param afterMillis when the caller may retry, in milliseconds, if the request was
+	 * not run
 	 */
-	void error(int status, Optional<Long> afterMillis, String reason) {
-		this.toldMillis = afterMillis.orElse(-1L);
-		this.writer.error(status, afterMillis, reason);
+	void sendError(int status, Optional<Long> afterMillis, String reason) {
+		this.retryAfterMillis = afterMillis.orElse(-1L);
+		this.writer.writeError(status, afterMillis, reason);
 	}
 
 	/**
-	 * Returns when the caller was told to come back, in milliseconds, negative if it was
-	 * not.
+	 * Returns the retry delay that was sent to the caller, in milliseconds, negative if
+	 * none was.
 	 */
-	long toldMillis() {
-		return this.toldMillis;
+	long retryAfterMillis() {
+		return this.retryAfterMillis;
 	}
 
 	/**
-	 * Breaks the answer off, so that the caller sees it is not whole.
+	 * Aborts the answer so that the caller sees that it is incomplete.
 	 */
 	void abort() {
 		this.writer.abort();
--- a/daemon/src/main/java/org/gullsaddle/gateway/Attempt.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/Attempt.java
@@ -17,8 +17,8 @@
 import org.gullsaddle.serve.SendPermission;
 
 /**
- * One attempt at one replica, over one connection. Tells its listener of the head, the
- * body's bytes and, exactly once, the end.
+ * One attempt at one replica, over one connection. Notifies its listener of the head, the
+ * bytes of the body and, exactly once, the end.
  */
 final class Attempt {
 
@@ -38,7 +38,7 @@
 
 	private final String attemptId;
 
-	private final long startedAt = Clock.millis();
+	private final long startedAt = MonotonicClock.millis();
 
 	private ChannelPool.Channel channel;
 
@@ -46,27 +46,27 @@
 
 	private HttpClientResponse response;
 
-	private final Set<Hold> holds = EnumSet.noneOf(Hold.class);
+	private final Set<PauseReason> pauseReasons = EnumSet.noneOf(PauseReason.class);
 
-	/** When the answer was last read on that had been held back for its caller. */
+	/** When the answer was last resumed after a pause for its caller. */
 	private long resumedAt = this.startedAt;
 
 	private boolean sent;
 
 	private boolean ended;
 
-	/** Whether its connection broke. */
-	private boolean lost;
+	/** Whether the connection broke. */
+	private boolean connectionLost;
 
-	/** Whether it got no connection as nothing listens there. */
-	private boolean connectRefused;
+	/** Whether connecting failed because nothing listens at the address. */
+	private boolean connectionRefused;
 
-	/** When the first bytes of the body came, negative before. */
+	/** When the first bytes of the body arrived, negative before. */
 	private long bodyAt = -1;
 
-	private boolean toldThatItGoesOn;
+	private boolean bodyLastedReported;
 
-	/** Whether its answer had no length and ended as its connection did. */
+	/** Whether the answer had no length and ended when its connection closed. */
 	private boolean endedWithConnection;
 
 	private long lastByteAt = this.startedAt;
@@ -89,9 +89,9 @@
 	 * @param fresh whether the connection must be new
 	 */
 	void send(HttpMethod method, String uri, MultiMap headers, Buffer body, boolean fresh) {
-		this.pool.take(this.choice.replica(), fresh).onComplete((taken, failure) -> {
+		this.pool.acquire(this.choice.replica(), fresh).onComplete((taken, failure) -> {
 			if (failure != null) {
-				this.connectRefused = ChannelPool.refused(failure);
+				this.connectionRefused = ChannelPool.isConnectionRefused(failure);
 				end(new AttemptEnd.NotRun(true, "unreachable"));
 				return;
 			}
@@ -100,7 +100,7 @@
 				taken.close();
 				return;
 			}
-			if (!this.listener.stillOpen(this)) {
+			if (!this.listener.canStillSend(this)) {
 				taken.close();
 				end(new AttemptEnd.NotRun(false, "replica takes no more requests"));
 				return;
@@ -120,13 +120,13 @@
 	private void send(HttpClientRequest request, MultiMap headers, Buffer body) {
 		this.sent = true;
 		request.headers().setAll(headers);
-		request.exceptionHandler((failure) -> lose("connection broke"));
+		request.exceptionHandler((failure) -> onConnectionLost("connection broke"));
 		request.response().onComplete((response, failure) -> {
 			if (failure != null) {
-				lose("no answer: " + failure.getMessage());
+				onConnectionLost("no answer: " + failure.getMessage());
 			}
 			else {
-				head(response);
+				onResponse(response);
 			}
 		});
 		if (body.length() == 0) {
@@ -137,63 +137,63 @@
 		}
 	}
 
-	private void head(HttpClientResponse response) {
-		this.lastByteAt = Clock.millis();
+	private void onResponse(HttpClientResponse response) {
+		this.lastByteAt = MonotonicClock.millis();
 		this.headAt = this.lastByteAt;
 		if (this.ended) {
 			return;
 		}
 		this.response = response;
 		this.answer = this.codec.read(response);
-		boolean ours = this.answer.attemptId().isEmpty() ? !this.answer.success()
+		boolean ours = this.answer.attemptId().isEmpty() ? !this.answer.isSuccess()
 				: this.answer.attemptId().get().equals(this.attemptId);
 		if (!ours) {
 			fail("answer to another request");
 			return;
 		}
-		this.listener.heard(this, this.answer);
-		if (this.answer.success() && (!this.answer.signed() || this.answer.encoded())) {
+		this.listener.onAnswer(this, this.answer);
+		if (this.answer.isSuccess() && (!this.answer.signed() || this.answer.encoded())) {
 			fail("answer is not the replica's");
 			return;
 		}
-		response.exceptionHandler((failure) -> lose("answer broke off"));
+		response.exceptionHandler((failure) -> onConnectionLost("answer broke off"));
 		response.handler((bytes) -> {
-			this.lastByteAt = Clock.millis();
+			this.lastByteAt = MonotonicClock.millis();
 			this.bodyAt = (this.bodyAt < 0) ? this.lastByteAt : this.bodyAt;
-			if (!this.ended && !this.notRun()) {
-				this.listener.data(this, bytes);
+			if (!this.ended && !this.wasNotRun()) {
+				this.listener.onData(this, bytes);
 			}
 		});
-		response.endHandler((nothing) -> whole());
-		if (!notRun()) {
-			this.listener.head(this, this.answer, response.headers());
+		response.endHandler((nothing) -> onBodyEnd());
+		if (!wasNotRun()) {
+			this.listener.onHead(this, this.answer, response.headers());
 		}
 	}
 
-	private boolean notRun() {
-		return this.answer.notRun() || misdirected();
+	private boolean wasNotRun() {
+		return this.answer.notRun() || isMisdirected();
 	}
 
 	/**
-	 * Says whether another process answered than the one that the request was for.
+	 * Returns whether a process answered for which the request was not meant.
 	 */
-	boolean misdirected() {
-		return this.answer != null && this.answer.status() == Statuses.MISDIRECTED;
+	boolean isMisdirected() {
+		return this.answer != null && this.answer.status() == HttpStatuses.MISDIRECTED;
 	}
 
 	/**
-	 * Says whether the answer had neither a length nor chunks and ended with its
-	 * connection, which tells nothing of whether it is whole.
+	 * Returns whether the answer had neither a length nor chunks and ended with its
+	 * connection, so that it may be incomplete.
 	 */
-	boolean endedWithConnection() {
+	boolean hasEndedWithConnection() {
 		return this.endedWithConnection;
 	}
 
 	/**
-	 * Says whether the end of an answer shows by its length or its last chunk. One whose
-	 * last transfer coding is another ends with its connection (RFC 9112, 6.3).
+	 * Returns whether an answer's end is marked by its length or last chunk. If the last
+	 * transfer coding is not chunked, it ends with its connection (RFC 9112, 6.3).
 	 */
-	static boolean framed(MultiMap headers) {
+	static boolean isFramed(MultiMap headers) {
 		List<String> codings = headers.getAll(HttpHeaders.TRANSFER_ENCODING);
 		if (codings.isEmpty()) {
 			return headers.contains(HttpHeaders.CONTENT_LENGTH);
@@ -203,56 +203,56 @@
 	}
 
 	/**
-	 * Says, once, that the answer has gone on for some time since its body began.
+	 * Returns true once, when the body has been arriving for a given time.
 	 */
-	boolean goesOnFor(long millis) {
-		if (this.toldThatItGoesOn || this.bodyAt < 0 || this.lastByteAt - this.bodyAt < millis) {
+	boolean checkBodyLasted(long millis) {
+		if (this.bodyLastedReported || this.bodyAt < 0 || this.lastByteAt - this.bodyAt < millis) {
 			return false;
 		}
-		this.toldThatItGoesOn = true;
+		this.bodyLastedReported = true;
 		return true;
 	}
 
 	/**
-	 * Says whether the connection broke before the answer was whole.
+	 * Returns whether the connection broke before the answer was complete.
 	 */
-	boolean lost() {
-		return this.lost;
+	boolean isConnectionLost() {
+		return this.connectionLost;
 	}
 
 	/**
-	 * Says whether nothing listens where the replica was.
+	 * Returns whether connecting failed because nothing listens at the address.
 	 */
-	boolean connectRefused() {
-		return this.connectRefused;
+	boolean isConnectionRefused() {
+		return this.connectionRefused;
 	}
 
 	/**
-	 * An answer without a length ends with its connection. If that was reset, bytes may
-	 * be missing, and the HTTP library still tells of an end; the connection's own
-	 * failure comes before it.
+	 * Handles the end of the body. An answer without a length ends with its connection;
+	 * if that was reset, bytes may be missing and the HTTP library still reports a normal
+	 * end, but the connection reports its error before.
 	 */
-	private void whole() {
+	private void onBodyEnd() {
 		if (this.ended) {
 			return;
 		}
-		if (this.channel.failed()) {
-			lose("connection broke in an answer without a length");
+		if (this.channel.hasFailed()) {
+			onConnectionLost("connection broke in an answer without a length");
 			return;
 		}
-		this.endedWithConnection = !framed(this.response.headers());
-		if (this.answer.closes()) {
+		this.endedWithConnection = !isFramed(this.response.headers());
+		if (this.answer.closesConnection()) {
 			this.channel.close();
 		}
 		else {
-			this.pool.giveBack(this.channel, this.answer.keepMillis());
+			this.pool.release(this.channel, this.answer.keepAliveMillis());
 		}
-		end(notRun() ? new AttemptEnd.NotRun(false, "refused with " + this.answer.status())
+		end(wasNotRun() ? new AttemptEnd.NotRun(false, "refused with " + this.answer.status())
 				: new AttemptEnd.Answered(this.answer.status()));
 	}
 
-	private void lose(String reason) {
-		this.lost = true;
+	private void onConnectionLost(String reason) {
+		this.connectionLost = true;
 		fail(reason);
 	}
 
@@ -264,8 +264,8 @@
 	}
 
 	/**
-	 * Gives the attempt up: closes its connection, at which the replica stops its work.
-	 * @param end how it ends if anything of it was sent
+	 * Cancels the attempt by closing its connection, which stops the replica's work.
+	 * @param end its end if anything was sent
 	 */
 	void withdraw(AttemptEnd end) {
 		if (this.ended) {
@@ -278,41 +278,41 @@
 	}
 
 	/**
-	 * Holds the rest of the answer back, once its head has come.
+	 * Pauses reading the answer; its head must have arrived.
 	 */
-	void pause(Hold reason) {
-		this.holds.add(reason);
+	void pause(PauseReason reason) {
+		this.pauseReasons.add(reason);
 		this.response.pause();
 	}
 
 	/**
-	 * Lets a paused answer go on, unless there is another reason to hold it back.
+	 * Removes a reason to pause and resumes reading if none is left.
 	 */
-	void resume(Hold reason) {
-		this.holds.remove(reason);
-		if (reason == Hold.CALLER) {
-			this.resumedAt = Clock.millis();
+	void resume(PauseReason reason) {
+		this.pauseReasons.remove(reason);
+		if (reason == PauseReason.SLOW_CALLER) {
+			this.resumedAt = MonotonicClock.millis();
 		}
-		if (this.holds.isEmpty()) {
+		if (this.pauseReasons.isEmpty()) {
 			this.response.resume();
 		}
 	}
 
 	/**
-	 * Returns since when the answer has been read without a pause for its caller.
+	 * Returns since when the answer is read without a pause for its caller.
 	 */
 	long readSince() {
-		return this.holds.contains(Hold.CALLER) ? Clock.millis() : this.resumedAt;
+		return this.pauseReasons.contains(PauseReason.SLOW_CALLER) ? MonotonicClock.millis() : this.resumedAt;
 	}
 
-	boolean ended() {
+	boolean hasEnded() {
 		return this.ended;
 	}
 
 	private void end(AttemptEnd end) {
 		if (!this.ended) {
 			this.ended = true;
-			this.listener.ended(this, end);
+			this.listener.onEnded(this, end);
 		}
 	}
 
@@ -321,14 +321,15 @@
 	}
 
 	/**
-	 * Returns whether it might be sent when the replica was chosen.
+	 * Returns the admission that was given when the replica was chosen.
 	 */
 	SendPermission admission() {
 		return this.admission;
 	}
 
 	/**
-	 * Returns how long the replica was to stay cold when it was chosen, 0 if it was warm.
+	 * Returns how much longer the replica stayed cold when it was chosen, 0 if it was
+	 * warm.
 	 */
 	long coldMillis() {
 		return this.coldMillis;
@@ -339,7 +340,7 @@
 	}
 
 	/**
-	 * Returns the model's own opinion of its answer, 0 to 100, or -1 if it told none.
+	 * Returns the model's confidence in its answer, 0 to 100, or -1 if not reported.
 	 */
 	int confidence() {
 		return (this.answer != null) ? this.answer.confidence().orElse(-1) : -1;
@@ -350,54 +351,56 @@
 	}
 
 	/**
-	 * Returns when the head of the answer came.
+	 * Returns when the head of the answer arrived.
 	 */
 	long headAt() {
 		return this.headAt;
 	}
 
 	/**
-	 * Returns when the last bytes came, or the attempt began, or its answer was read on:
-	 * what this node does not read is not silent.
+	 * Returns the latest of: the last bytes, the start of the attempt, and the end of the
+	 * last pause. A replica that this node does not read is not silent.
 	 */
 	long lastByteAt() {
 		return Math.max(this.lastByteAt, readSince());
 	}
 
 	/**
-	 * Why an answer is held back.
+	 * Reason to pause reading an answer.
 	 */
-	enum Hold {
+	enum PauseReason {
 
-		/** Its model doubts it, and it may be dropped. */
-		DOUBT,
+		/** The model's confidence is low, and the answer may be dropped. */
+		LOW_CONFIDENCE,
 
-		/** Its caller reads slowly. */
-		CALLER
+		/** The caller reads slowly. */
+		SLOW_CALLER
 
 	}
 
 	/**
-	 * Is told what becomes of an attempt.
+	 * Receives the events of an attempt.
 	 */
 	interface Listener {
 
 		/**
-		 * Says whether the replica may still be sent the request: a new connection takes
-		 * a while, and by then it may be about to stop, or ask for fewer requests.
+		 * Returns whether the request may still be sent to the replica: opening a
+		 * connection takes time, and meanwhile the replica may be stopping or ask for
+		 * fewer requests.
 		 */
-		boolean stillOpen(Attempt attempt);
+		boolean canStillSend(Attempt attempt);
 
 		/**
-		 * Is told of every answer to the request, also of one by which it did not run.
+		 * Handles the head of every answer, also of one that says that the request was
+		 * not run.
 		 */
-		void heard(Attempt attempt, ReplicaAnswer answer);
+		void onAnswer(Attempt attempt, ReplicaAnswer answer);
 
-		void head(Attempt attempt, ReplicaAnswer answer, MultiMap headers);
+		void onHead(Attempt attempt, ReplicaAnswer answer, MultiMap headers);
 
-		void data(Attempt attempt, Buffer bytes);
+		void onData(Attempt attempt, Buffer bytes);
 
-		void ended(Attempt attempt, AttemptEnd end);
+		void onEnded(Attempt attempt, AttemptEnd end);
 
 	}
 
--- a/daemon/src/main/java/org/gullsaddle/gateway/BackpressureController.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/BackpressureController.java
@@ -22,19 +22,18 @@
 import org.gullsaddle.telemetry.Telemetry;
 
 /**
- * Takes in how replicas ask for fewer requests, or for none as they leave, tells the
- * other nodes of limits by notes in the store, and operators by the log. Confined to the
- * event loop.
+ * Handles replicas' rate limits, back-offs and announcements that they leave; shares rate
+ * limits with peers by notes in the store and logs all of it. Confined to the event loop.
  */
 final class BackpressureController {
 
-	static final String NOTES = "gullsaddle/limits/";
+	static final String NOTE_PREFIX = "gullsaddle/limits/";
 
 	/**
-	 * When a note is written again that the store may not have, in milliseconds: what
-	 * another node wrote instead is known by then.
+	 * Delay before a note that may not have been written is written again, in
+	 * milliseconds: by then a competing note of a peer is known.
 	 */
-	private static final long AGAIN_MILLIS = 2000;
+	private static final long RETRY_DELAY_MILLIS = 2000;
 
 	private final Vertx vertx;
 
@@ -42,7 +41,7 @@
 
 	private final FleetState fleet;
 
-	private final BackpressureTable book;
+	private final BackpressureTable table;
 
 	private final LimitNoteExchange news;
 
@@ -50,122 +49,124 @@
 
 	private final Telemetry telemetry;
 
-	private final Map<ReplicaId, NodeNote> notes = new HashMap<>();
+	private final Map<ReplicaId, NodeNoteWriter> notes = new HashMap<>();
 
-	/** Replicas of which something is to be told soon. */
-	private final Set<ReplicaId> due = new HashSet<>();
+	/** Replicas for which a note is scheduled. */
+	private final Set<ReplicaId> scheduled = new HashSet<>();
 
 	BackpressureController(Vertx vertx, Store store, FleetState fleet, BackpressureTable book, DecisionLog log,
 			Telemetry telemetry) {
 		this.vertx = vertx;
 		this.store = store;
 		this.fleet = fleet;
-		this.book = book;
+		this.table = book;
 		this.news = new LimitNoteExchange(book, RandomGenerator.getDefault());
 		this.log = log;
 		this.telemetry = telemetry;
-		telemetry.gauge("replicas.limited", this.book::countLimited);
-		telemetry.gauge("replicas.resting", () -> this.book.countBackingOff(Clock.millis()));
+		telemetry.gauge("replicas.limited", this.table::countLimited);
+		telemetry.gauge("replicas.resting", () -> this.table.countBackingOff(MonotonicClock.millis()));
 	}
 
-	BackpressureTable book() {
-		return this.book;
+	BackpressureTable table() {
+		return this.table;
 	}
 
 	/**
-	 * Takes in the head of an answer. One that says that it was meant for another replica
-	 * tells nothing of the replica that was asked.
+	 * Handles the head of an answer. A misdirected one says nothing about the replica
+	 * that was asked.
 	 */
-	void heard(Replica replica, ReplicaAnswer answer) {
-		if (answer.status() != Statuses.MISDIRECTED) {
-			if (answer.leaving() && this.fleet.directory().onLeaving(Clock.millis(), replica)) {
-				this.log.leaving(replica.id());
+	void onAnswer(Replica replica, ReplicaAnswer answer) {
+		if (answer.status() != HttpStatuses.MISDIRECTED) {
+			if (answer.leaving() && this.fleet.directory().onLeaving(MonotonicClock.millis(), replica)) {
+				this.log.replicaLeaving(replica.id());
 				this.telemetry.count("replica.leavings.told");
 			}
 			if (answer.backpressure().backOffMillis() > 0) {
-				this.log.rest(replica.id(), answer.backpressure().backOffMillis());
+				this.log.backoffRequested(replica.id(), answer.backpressure().backOffMillis());
 				this.telemetry.count("replica.rests.asked");
 			}
-			applyAndLog(replica, "answer", () -> this.news.onAnswer(Clock.millis(), replica, answer.backpressure())
-				.ifPresent((millis) -> tellIn(millis, replica.id())));
+			applyAndLog(replica, "answer",
+					() -> this.news.onAnswer(MonotonicClock.millis(), replica, answer.backpressure())
+						.ifPresent((millis) -> scheduleNote(millis, replica.id())));
 		}
 	}
 
 	/**
-	 * Takes in a change of the deployment, or another node's note.
+	 * Handles a change of the deployment or a peer's note.
 	 */
-	void learned(FleetChange change) {
+	void onFleetChange(FleetChange change) {
 		if (change instanceof FleetChange.Listed listed) {
-			listed(listed.replica());
+			onListed(listed.replica());
 		}
-		else if (change instanceof FleetChange.NoteWritten noted && noted.key().startsWith(NOTES)) {
-			learn(noted);
+		else if (change instanceof FleetChange.NoteWritten noted && noted.key().startsWith(NOTE_PREFIX)) {
+			onPeerNote(noted);
 		}
 	}
 
-	private void listed(Replica replica) {
-		applyAndLog(replica, "note", () -> this.news.onReplicaListed(Clock.millis(), replica));
+	private void onListed(Replica replica) {
+		applyAndLog(replica, "note", () -> this.news.onReplicaListed(MonotonicClock.millis(), replica));
 	}
 
-	private void learn(FleetChange.NoteWritten noted) {
-		ReplicaId id = new ReplicaId(noted.key().substring(NOTES.length()));
+	private void onPeerNote(FleetChange.NoteWritten noted) {
+		ReplicaId id = new ReplicaId(noted.key().substring(NOTE_PREFIX.length()));
 		Optional<Replica> listed = this.fleet.directory().find(id);
 		try {
 			LimitNote note = Json.read(noted.value(), LimitNote.class);
-			Runnable learn = () -> this.news.onNote(Clock.millis(), id, note, listed)
+			Runnable learn = () -> this.news.onNote(MonotonicClock.millis(), id, note, listed)
 				.ifPresent((millis) -> this.vertx.setTimer(millis,
-						(timer) -> this.fleet.directory().find(id).ifPresent(this::listed)));
+						(timer) -> this.fleet.directory().find(id).ifPresent(this::onListed)));
 			listed.ifPresentOrElse((replica) -> applyAndLog(replica, "note", learn), learn);
 		}
 		catch (IOException ex) {
-			this.log.unreadable(noted.key(), ex.getMessage());
+			this.log.unreadableRecord(noted.key(), ex.getMessage());
 		}
 	}
 
 	/**
-	 * Does something by which a replica's limit may change, and logs the change.
+	 * Runs an action that may change a replica's rate limit, and logs the change.
 	 */
 	private void applyAndLog(Replica replica, String source, Runnable change) {
-		OptionalDouble before = this.book.limit(replica);
+		OptionalDouble before = this.table.limit(replica);
 		change.run();
-		OptionalDouble now = this.book.limit(replica);
+		OptionalDouble now = this.table.limit(replica);
 		if (!now.equals(before)) {
-			this.log.limited(replica.id(), now, source);
+			this.log.rateLimitChanged(replica.id(), now, source);
 			this.telemetry.count(now.isPresent() ? "replica.limits.named" : "replica.limits.ended");
 		}
 	}
 
-	private void tellIn(long millis, ReplicaId id) {
-		if (this.due.add(id)) {
-			this.vertx.setTimer(Math.max(1, millis), (timer) -> tell(id));
+	private void scheduleNote(long millis, ReplicaId id) {
+		if (this.scheduled.add(id)) {
+			this.vertx.setTimer(Math.max(1, millis), (timer) -> writeNote(id));
 		}
 	}
 
-	private void tell(ReplicaId id) {
-		this.due.remove(id);
-		NodeNote note = this.notes.computeIfAbsent(id, (key) -> new NodeNote(this.store, NOTES + key));
-		if (note.busy()) {
-			tellIn(AGAIN_MILLIS, id);
+	private void writeNote(ReplicaId id) {
+		this.scheduled.remove(id);
+		NodeNoteWriter note = this.notes.computeIfAbsent(id,
+				(key) -> new NodeNoteWriter(this.store, NOTE_PREFIX + key));
+		if (note.isBusy()) {
+			scheduleNote(RETRY_DELAY_MILLIS, id);
 			return;
 		}
 		this.news.findNoteToWrite(id).ifPresent((told) -> note.write(Json.write(told), () -> {
 			this.news.onWriteFailed(id);
-			tellIn(AGAIN_MILLIS, id);
+			scheduleNote(RETRY_DELAY_MILLIS, id);
 		}));
 	}
 
 	/**
-	 * Says whether a replica may be asked for its load.
+	 * Returns whether a replica may be probed for its load.
 	 */
-	boolean mayAsk(Replica replica) {
-		return this.book.canAskForLoad(Clock.millis(), replica) && !this.fleet.directory().isLeaving(replica);
+	boolean canProbe(Replica replica) {
+		return this.table.canAskForLoad(MonotonicClock.millis(), replica) && !this.fleet.directory().isLeaving(replica);
 	}
 
 	/**
-	 * Forgets replicas that are gone.
+	 * Removes the state of replicas that are no longer listed.
 	 */
 	void retain(Set<ReplicaId> known) {
-		this.book.retain(known);
+		this.table.retain(known);
 		this.news.retain(known);
 		this.notes.keySet().retainAll(known);
 	}
--- /dev/null
+++ b/daemon/src/main/java/org/gullsaddle/gateway/BufferManager.java
@@ -0,0 +1,151 @@
+package org.gullsaddle.gateway;
+
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+
+import org.gullsaddle.hold.BufferAccount;
+import org.gullsaddle.hold.BufferBudget;
+import org.gullsaddle.telemetry.Telemetry;
+
+/**
+ * Accounts for the bytes that this node buffers for callers and replicas, in deployments
+ * whose callers may read slowly. Confined to the event loop.
+ */
+final class BufferManager {
+
+	private final Optional<BufferBudget> budget;
+
+	private final DecisionLog log;
+
+	private final Telemetry telemetry;
+
+	private final Map<BufferAccount, Transfer> transfers = new LinkedHashMap<>();
+
+	/**
+	 * Creates a manager whose budget follows the settings. The bytes are on the heap,
+	 * which may be smaller than the memory limit of the process.
+	 */
+	BufferManager(LoadSettings load, DecisionLog log, Telemetry telemetry) {
+		this.budget = (load.pressure() && load.memoryLimitBytes() > 0)
+				? Optional
+					.of(BufferBudget.ofMemory(Math.min(load.memoryLimitBytes(), Runtime.getRuntime().maxMemory())))
+				: Optional.empty();
+		this.log = log;
+		this.telemetry = telemetry;
+	}
+
+	void registerGauges() {
+		if (this.budget.isPresent()) {
+			this.telemetry.gauge("held.bytes", () -> this.budget.get().bufferedBytes());
+			this.telemetry.gauge("paused.answers", this::countPaused);
+		}
+	}
+
+	boolean isEnabled() {
+		return this.budget.isPresent();
+	}
+
+	/**
+	 * Returns whether the budget is exceeded, so that only transfers that hold little may
+	 * read.
+	 */
+	boolean isExhausted() {
+		return this.budget.map(BufferBudget::isExhausted).orElse(false);
+	}
+
+	/**
+	 * Creates the sink for an answer.
+	 * @param giveUp aborts the answer
+	 */
+	AnswerSink newSink(ServedRequest request, Runnable giveUp) {
+		return isEnabled() ? new FlowControlledSink(request, this, giveUp)
+				: new AnswerSink.Direct(request.http().response());
+	}
+
+	/**
+	 * Registers a transfer.
+	 * @param paceMillis how long the other side may pause and still be on time
+	 */
+	BufferAccount open(String id, long paceMillis, Transfer party) {
+		BufferAccount holder = this.budget.orElseThrow().openAccount(id, paceMillis);
+		this.transfers.put(holder, party);
+		return holder;
+	}
+
+	void close(BufferAccount holder) {
+		this.transfers.remove(holder);
+		holder.close();
+	}
+
+	/**
+	 * Checks all transfers and aborts one if memory runs out; called several times a
+	 * second.
+	 */
+	void check(long now) {
+		if (this.transfers.isEmpty()) {
+			return;
+		}
+		List.copyOf(this.transfers.values()).forEach((party) -> party.check(now));
+		this.budget.flatMap((each) -> each.findToAbort(now)).ifPresent((holder) -> abort(holder, now));
+	}
+
+	private void abort(BufferAccount holder, long now) {
+		Transfer party = this.transfers.get(holder);
+		this.log.transferAborted(holder, party.kind(), holder.secondsToEmpty(now), this.budget.orElseThrow().bufferedBytes());
+		this.telemetry.count("given.up." + party.kind());
+		close(holder);
+		party.abort();
+	}
+
+	/**
+	 * Records that a paused answer is read ahead so that its replica does not abort it.
+	 */
+	void recordReadAhead(BufferAccount holder, long pausedMillis) {
+		this.log.answerReadAhead(holder, pausedMillis);
+		this.telemetry.count("read.on.answer");
+	}
+
+	/**
+	 * Returns whether there are complete answers that callers have not yet read.
+	 */
+	boolean isSending() {
+		return this.transfers.values()
+			.stream()
+			.anyMatch((party) -> party instanceof FlowControlledSink flow && flow.isSending());
+	}
+
+	private long countPaused() {
+		return this.transfers.values().stream().filter(Transfer::isPaused).count();
+	}
+
+	/**
+	 * Transfer of a request body or an answer whose bytes are buffered.
+	 */
+	sealed interface Transfer permits FlowControlledSink, RequestBodyReader {
+
+		/**
+		 * Checks all transfers and aborts one if memory runs out; called several times a
+		 * second.
+		 */
+		void check(long now);
+
+		/**
+		 * Returns whether reading from a replica is paused.
+		 */
+		boolean isPaused();
+
+		/**
+		 * Returns the kind of the buffered bytes, for logs and metrics.
+		 */
+		String kind();
+
+		/**
+		 * Aborts the transfer because there is no memory left for it.
+		 */
+		void abort();
+
+	}
+
+}
--- a/daemon/src/main/java/org/gullsaddle/gateway/CallerAnswerWriter.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/CallerAnswerWriter.java
@@ -18,75 +18,76 @@
 
 	private final HttpServerResponse response;
 
-	private final AnswerOutlet outlet;
+	private final AnswerSink sink;
 
 	private final BooleanSupplier stopping;
 
 	private boolean begun;
 
 	CallerAnswerWriter(HttpServerResponse response, BooleanSupplier stopping) {
-		this(response, new AnswerOutlet.Direct(response), stopping);
+		this(response, new AnswerSink.Direct(response), stopping);
 	}
 
-	CallerAnswerWriter(HttpServerResponse response, AnswerOutlet outlet, BooleanSupplier stopping) {
+	CallerAnswerWriter(HttpServerResponse response, AnswerSink outlet, BooleanSupplier stopping) {
 		this.response = response;
-		this.outlet = outlet;
+		this.sink = outlet;
 		this.stopping = stopping;
 	}
 
 	/**
-	 * Says whether the caller has got any of the answer.
+	 * Returns whether any part of the answer was written.
 	 */
-	boolean begun() {
+	boolean hasBegun() {
 		return this.begun;
 	}
 
 	/**
-	 * Begins an answer whose length is not known, unless it has begun.
+	 * Begins an answer of unknown length, unless it has begun.
 	 */
 	void begin(int status, MultiMap headers) {
 		if (this.begun || this.response.closed()) {
 			return;
 		}
 		this.begun = true;
-		head(status, headers);
+		writeHead(status, headers);
 		this.response.headers().remove(HttpHeaders.CONTENT_LENGTH);
 		this.response.setChunked(true);
 	}
 
 	void write(Buffer bytes) {
 		if (!this.response.closed()) {
-			this.outlet.write(bytes);
+			this.sink.write(bytes);
 		}
 	}
 
 	void end(Buffer rest) {
 		if (!this.response.closed()) {
-			this.outlet.end(rest);
+			this.sink.end(rest);
 		}
 	}
 
 	/**
-	 * Sends a whole answer.
+	 * Writes a complete answer.
 	 */
-	void whole(int status, MultiMap headers, Buffer body) {
+	void writeWhole(int status, MultiMap headers, Buffer body) {
 		if (!this.response.closed()) {
 			this.begun = true;
-			head(status, headers);
-			this.outlet.end(body);
+			writeHead(status, headers);
+			this.sink.end(body);
 		}
 	}
 
 	/**
-	 * Sends an answer of the router's own.
-	 * @param afterMillis when to come back, in milliseconds, if the request was not run
+	 * Writes an error of the gateway itself.
+	 * @param afterMillis when the caller may retry, in milliseconds, if the request was
+	 * not run
 	 */
-	void error(int status, Optional<Long> afterMillis, String reason) {
+	void writeError(int status, Optional<Long> afterMillis, String reason) {
 		if (this.response.closed()) {
 			return;
 		}
 		this.begun = true;
-		head(status, MultiMap.caseInsensitiveMultiMap());
+		writeHead(status, MultiMap.caseInsensitiveMultiMap());
 		afterMillis.ifPresent((millis) -> this.response.putHeader("Retry-After",
 				String.format(Locale.ROOT, "%.2f", millis / MILLIS_PER_SECOND)));
 		this.response.putHeader(HttpHeaders.CONTENT_TYPE, "application/json");
@@ -94,17 +95,17 @@
 	}
 
 	/**
-	 * Breaks an answer off that cannot be completed, so that the caller sees it is not
-	 * whole.
+	 * Aborts an answer that cannot be completed, so that the caller sees that it is
+	 * incomplete.
 	 */
 	void abort() {
-		this.outlet.drop();
+		this.sink.discard();
 		if (!this.response.closed()) {
 			this.response.reset();
 		}
 	}
 
-	private void head(int status, MultiMap headers) {
+	private void writeHead(int status, MultiMap headers) {
 		this.response.setStatusCode(status);
 		this.response.headers().addAll(headers);
 		if (this.stopping.getAsBoolean()) {
--- a/daemon/src/main/java/org/gullsaddle/gateway/Cascade.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/Cascade.java
@@ -12,12 +12,12 @@
 import org.gullsaddle.telemetry.Telemetry;
 
 /**
- * The models that one request goes through: which it asks now, and whether an answer is
- * dropped for a larger model's.
+ * Model cascade of one request: holds the current model and decides whether an answer is
+ * dropped in favor of a larger model.
  */
 final class Cascade {
 
-	private final Decisions decisions;
+	private final SharedRoutingState decisions;
 
 	private final DecisionLog log;
 
@@ -29,110 +29,111 @@
 
 	private final RetryPolicy rule;
 
-	private final TeamTurn turn;
+	private final RequestPriority priority;
 
 	private String model;
 
-	private String next = "";
+	private String nextModel = "";
 
-	private String doubted = "";
+	private String doubtedModel = "";
 
 	private int doubtedConfidence = -1;
 
 	/**
-	 * Begins with the model that the caller names, or with the first of the route's.
+	 * Begins with the model that the caller names, or with the first model of the route.
 	 */
-	Cascade(Gateway gateway, ServedRequest request, RetryPolicy rule, TeamTurn turn) {
-		this.decisions = gateway.decisions();
+	Cascade(Gateway gateway, ServedRequest request, RetryPolicy rule, RequestPriority turn) {
+		this.decisions = gateway.routingState();
 		this.log = gateway.log();
 		this.telemetry = gateway.telemetry();
 		this.request = request;
 		this.route = request.route();
 		this.rule = rule;
-		this.turn = turn;
+		this.priority = turn;
 		this.model = this.route.models().isEmpty() ? request.caller().model()
 				: this.decisions.models().firstModel(this.route);
 	}
 
 	/**
-	 * Returns the model that is asked now, empty for a plain service.
+	 * Returns the current model, empty for a plain service.
 	 */
 	String model() {
 		return this.model;
 	}
 
 	/**
-	 * Returns the model that might be asked in place of an answer, of which the caller
-	 * has had nothing.
-	 * @param confidence the model's own opinion of it
+	 * Finds a larger model to replace an answer of which nothing was sent to the caller.
+	 * @param confidence the model's confidence in its answer
 	 * @return the larger model, or empty if the answer is good enough
 	 */
-	Optional<String> larger(OptionalInt confidence) {
+	Optional<String> findLargerModel(OptionalInt confidence) {
 		ModelSelector models = this.decisions.models();
 		if (this.doubtedConfidence >= 0) {
-			models.recordComparison(this.doubted, this.doubtedConfidence, this.model, confidence.orElse(-1));
+			models.recordComparison(this.doubtedModel, this.doubtedConfidence, this.model, confidence.orElse(-1));
 		}
 		return models.findLargerModel(this.route, this.model, confidence, this.rule.isNextAttemptLast());
 	}
 
 	/**
-	 * Decides whether a doubted answer is dropped, so that {@link #goOn} follows.
-	 * @param confidence the model's own opinion of it
+	 * Decides whether an answer of low confidence is dropped; if so, {@link #advance}
+	 * must follow.
+	 * @param confidence the model's confidence in its answer
 	 * @param larger the model that would be asked instead
-	 * @param choice where that would run, if anywhere
-	 * @param left the time left in milliseconds
+	 * @param choice the replica that would run it, if any
+	 * @param left the remaining time in milliseconds
 	 * @return whether it is dropped
 	 */
-	boolean drops(int confidence, String larger, Optional<ReplicaChoice> choice, long left) {
-		String kept = whyKept(confidence, choice, left);
-		this.log.doubted(this.request.id(), this.model, confidence, this.decisions.models().sufficientConfidence(),
-				larger, kept);
+	boolean decideDrop(int confidence, String larger, Optional<ReplicaChoice> choice, long left) {
+		String kept = reasonToKeep(confidence, choice, left);
+		this.log.answerDoubted(this.request.id(), this.model, confidence, this.decisions.models().sufficientConfidence(),
+				larger,
+				kept);
 		if (kept.isEmpty()) {
-			this.doubted = this.model;
+			this.doubtedModel = this.model;
 			this.doubtedConfidence = confidence;
-			this.next = larger;
+			this.nextModel = larger;
 		}
 		return kept.isEmpty();
 	}
 
 	/**
-	 * Goes on with the larger model.
+	 * Makes the larger model the current one.
 	 */
-	void goOn() {
-		this.model = this.next;
+	void advance() {
+		this.model = this.nextModel;
 	}
 
 	/**
-	 * Says why an answer that its model doubts is kept all the same, empty if it is not.
+	 * Returns why an answer of low confidence is kept, empty if it is dropped.
 	 */
-	private String whyKept(int confidence, Optional<ReplicaChoice> choice, long left) {
+	private String reasonToKeep(int confidence, Optional<ReplicaChoice> choice, long left) {
 		if (!this.rule.canDropAnswer(left)) {
 			return "no attempt or time left";
 		}
 		if (choice.isEmpty()) {
 			return "no replica";
 		}
-		String tooLong = whyTooLong(confidence, choice.get(), left);
+		String tooLong = reasonTooSlow(confidence, choice.get(), left);
 		if (!tooLong.isEmpty()) {
 			return tooLong;
 		}
 		return this.decisions.spendRetry() ? "" : "no retry left";
 	}
 
-	private String whyTooLong(int confidence, ReplicaChoice choice, long left) {
+	private String reasonTooSlow(int confidence, ReplicaChoice choice, long left) {
 		ModelSelector models = this.decisions.models();
 		if (models.hasQueueBounds()) {
-			return whyNotJoined(choice, left);
+			return reasonNotToQueue(choice, left);
 		}
 		DelayEstimate delay = choice.delay();
 		return models.isWorthAsking(this.route, confidence, delay, left) ? ""
 				: "in " + Math.round(delay.expectedMillis()) + " of " + left + " ms";
 	}
 
-	private String whyNotJoined(ReplicaChoice choice, long left) {
+	private String reasonNotToQueue(ReplicaChoice choice, long left) {
 		QueueBounds bounds = this.decisions.bounds(this.request.config());
-		// What a team sends beyond its share waits behind its rank's other requests.
-		int rank = this.request.rank() + (this.turn.over() ? 1 : 0);
+		// Requests beyond a team's share queue behind the other requests of their rank.
+		int rank = this.request.rank() + (this.priority.isOverShare() ? 1 : 0);
 		boolean joined = this.decisions.models().canJoinQueue(bounds, rank, choice, left);
 		this.telemetry.count(joined ? "larger.model.queues.joined" : "larger.model.queues.too.long");
 		return joined ? "" : "queue of " + Math.round(choice.queueMillis()) + " ms, "
--- a/daemon/src/main/java/org/gullsaddle/gateway/CrashController.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/CrashController.java
@@ -24,53 +24,57 @@
 import org.gullsaddle.telemetry.Telemetry;
 
 /**
- * Watches for requests that crash their replicas, finds out at once whether a replica is
- * dead whose connections broke, and tells the other nodes by a note. Confined to the
- * event loop.
+ * Detects requests that crash their replicas, checks at once whether a replica is dead
+ * when its connections break, and shares crash evidence with peers by a note. Confined to
+ * the event loop.
  */
 final class CrashController {
 
-	static final String NOTES = "gullsaddle/crashes/";
+	static final String NOTE_PREFIX = "gullsaddle/crashes/";
 
 	/**
-	 * How long crashes are gathered before they are told, in milliseconds: the failure of
-	 * a rack is one note.
+	 * How long crashes are collected before a note is written, in milliseconds: the
+	 * failure of a rack is one note.
 	 */
-	private static final long GATHER_MILLIS = 200;
+	private static final long COLLECT_MILLIS = 200;
 
 	/**
-	 * In what time for each node they tell what several may tell, in milliseconds.
+	 * Time per node, in milliseconds, over which nodes spread notes that several of them
+	 * may write.
 	 */
-	private static final long SPREAD_MILLIS = 4;
+	private static final long SPREAD_PER_NODE_MILLIS = 4;
 
-	/** When a note is written again that the store may not have, in milliseconds. */
-	private static final long AGAIN_MILLIS = 1000;
+	/**
+	 * Delay before a note that may not have been written is written again, in
+	 * milliseconds.
+	 */
+	private static final long RETRY_DELAY_MILLIS = 1000;
 
 	/**
-	 * How long after its connections broke a replica is asked whether it lives, in
-	 * milliseconds: by then all that broke in the same moment is known.
+	 * Delay from a broken connection to the liveness check of the replica, in
+	 * milliseconds: by then all connections that broke at the same moment are known.
 	 */
-	private static final long ASK_MILLIS = 50;
+	private static final long LIVENESS_CHECK_DELAY_MILLIS = 50;
 
 	/**
-	 * How much later it is asked again for an answer without a length to be whole, in
-	 * milliseconds: one that dies of it may accept a connection before.
+	 * Delay to a second check, after which an answer without a length counts as complete,
+	 * in milliseconds: a crashing replica may still accept a connection at first.
 	 */
-	private static final long ASK_AGAIN_MILLIS = 500;
+	private static final long SECOND_CHECK_DELAY_MILLIS = 500;
 
 	/**
-	 * How long an answer has gone on for its engine to have borne the request, in
+	 * How long an answer must go on until the request counts as sound for its engine, in
 	 * milliseconds.
 	 */
-	private static final long BORNE_MILLIS = 500;
+	private static final long MIN_SOUND_ANSWER_MILLIS = 500;
 
 	private final Vertx vertx;
 
 	private final ChannelPool pool;
 
-	private final Decisions decisions;
+	private final SharedRoutingState decisions;
 
-	private final NodeRegister nodes;
+	private final NodeRegistry nodes;
 
 	private final DecisionLog log;
 
@@ -78,226 +82,226 @@
 
 	private final String key;
 
-	private final NodeNote note;
+	private final NodeNoteWriter note;
 
 	private final CrashTrials trials;
 
 	private final CrashDetector watch = new CrashDetector();
 
-	private final CrashTracker book = new CrashTracker();
+	private final CrashTracker crashTable = new CrashTracker();
 
-	/** The processes that are asked whether they live. */
-	private final Set<String> asked = new HashSet<>();
+	/** Processes whose liveness is being checked. */
+	private final Set<String> livenessChecks = new HashSet<>();
 
 	private final RandomGenerator random = RandomGenerator.getDefault();
 
-	private boolean wrote;
+	private boolean hasWritten;
 
-	private boolean due;
+	private boolean noteScheduled;
 
-	private boolean telling;
+	private boolean spreadScheduled;
 
-	CrashController(Vertx vertx, Store store, String node, ChannelPool pool, Decisions decisions, NodeRegister nodes,
-			DecisionLog log, Telemetry telemetry) {
+	CrashController(Vertx vertx, Store store, String node, ChannelPool pool, SharedRoutingState decisions,
+			NodeRegistry nodes, DecisionLog log, Telemetry telemetry) {
 		this.vertx = vertx;
 		this.pool = pool;
 		this.decisions = decisions;
 		this.nodes = nodes;
 		this.log = log;
 		this.telemetry = telemetry;
-		this.key = NOTES + node;
-		this.note = new NodeNote(store, this.key);
-		this.trials = new CrashTrials(store, node, this.book, log, telemetry);
-		telemetry.gauge("traits.refused", this.book::blockedCount);
+		this.key = NOTE_PREFIX + node;
+		this.note = new NodeNoteWriter(store, this.key);
+		this.trials = new CrashTrials(store, node, this.crashTable, log, telemetry);
+		telemetry.gauge("traits.refused", this.crashTable::blockedCount);
 	}
 
-	CrashTracker book() {
-		return this.book;
+	CrashTracker crashTable() {
+		return this.crashTable;
 	}
 
 	/**
-	 * Says whether others' news of crashes are awaited.
+	 * Returns whether crash notes of peers are awaited.
 	 */
-	boolean unsettled() {
-		return this.book.isAwaitingNotes(Clock.millis());
+	boolean awaitsCrashNotes() {
+		return this.crashTable.isAwaitingNotes(MonotonicClock.millis());
 	}
 
 	/**
-	 * Lets a request go on: at once, or once it is known whether it is let through to try
-	 * a trait that is refused.
+	 * Continues a request: at once, or if one of its traits is blocked, once it is
+	 * decided whether the request is a trial.
 	 * @param model the model that is to run it first
 	 */
-	void ask(ServedRequest request, String model, Runnable then) {
-		List<Trait> traits = (this.book.blockedCount() > 0) ? request.traits(model) : List.of();
-		if (!this.book.isBlocked(traits)) {
+	void admit(ServedRequest request, String model, Runnable then) {
+		List<Trait> traits = (this.crashTable.blockedCount() > 0) ? request.traits(model) : List.of();
+		if (!this.crashTable.isBlocked(traits)) {
 			then.run();
 			return;
 		}
-		if (this.book.onRequest(Clock.millis(), traits)) {
-			tellIn(GATHER_MILLIS);
+		if (this.crashTable.onRequest(MonotonicClock.millis(), traits)) {
+			scheduleNote(COLLECT_MILLIS);
 		}
-		this.trials.ask(request, traits, then);
+		this.trials.requestTrial(request, traits, then);
 	}
 
 	/**
-	 * Notes that the head of an answer came.
+	 * Handles the head of an answer.
 	 */
-	void head(Attempt attempt) {
+	void onHead(Attempt attempt) {
 		Replica replica = attempt.choice().replica();
-		this.book.onAlive(Crash.processName(replica), attempt.startedAt());
-		whole(this.watch.onAnswer(replica, attempt.startedAt()));
+		this.crashTable.onAlive(Crash.processName(replica), attempt.startedAt());
+		onConfirmedWhole(this.watch.onAnswer(replica, attempt.startedAt()));
 	}
 
 	/**
-	 * Notes that more of an answer came.
+	 * Handles bytes of an answer's body.
 	 */
-	void data(ServedRequest request, String model, Attempt attempt) {
-		if (attempt.goesOnFor(BORNE_MILLIS)) {
-			sound(traits(request, model));
+	void onData(ServedRequest request, String model, Attempt attempt) {
+		if (attempt.checkBodyLasted(MIN_SOUND_ANSWER_MILLIS)) {
+			recordSound(traits(request, model));
 		}
 	}
 
 	/**
-	 * Notes how an attempt ended.
+	 * Handles the end of an attempt.
 	 */
-	void ended(ServedRequest request, String model, Attempt attempt, AttemptEnd end) {
+	void onEnded(ServedRequest request, String model, Attempt attempt, AttemptEnd end) {
 		switch (end) {
 			case AttemptEnd.Broken broken -> {
-				boolean lost = attempt.lost() || attempt.endedWithConnection();
-				ended(request, model, attempt, lost ? CrashDetector.EndKind.BROKEN : CrashDetector.EndKind.CANCELLED);
+				boolean lost = attempt.isConnectionLost() || attempt.hasEndedWithConnection();
+				onEnded(request, model, attempt, lost ? CrashDetector.EndKind.BROKEN : CrashDetector.EndKind.CANCELLED);
 			}
-			case AttemptEnd.Answered answered -> answered(request, model, attempt, answered);
-			case AttemptEnd.NotRun notRun -> notRun(attempt);
-			case AttemptEnd.Withdrawn withdrawn -> ended(request, model, attempt, CrashDetector.EndKind.CANCELLED);
-			case AttemptEnd.Dropped dropped -> ended(request, model, attempt, CrashDetector.EndKind.CANCELLED);
+			case AttemptEnd.Answered answered -> onAnswered(request, model, attempt, answered);
+			case AttemptEnd.NotRun notRun -> onNotRun(attempt);
+			case AttemptEnd.Withdrawn withdrawn -> onEnded(request, model, attempt, CrashDetector.EndKind.CANCELLED);
+			case AttemptEnd.Dropped dropped -> onEnded(request, model, attempt, CrashDetector.EndKind.CANCELLED);
 		}
 	}
 
-	private void answered(ServedRequest request, String model, Attempt attempt, AttemptEnd.Answered answered) {
+	private void onAnswered(ServedRequest request, String model, Attempt attempt, AttemptEnd.Answered answered) {
 		if (answered.hasFailed()) {
 			return;
 		}
-		if (attempt.endedWithConnection()) {
-			ended(request, model, attempt, CrashDetector.EndKind.CLOSE_DELIMITED);
-			boolean again = this.watch.isRepeatedCloseDelimited(Trait.content(request.content()));
-			if (again || !this.book.hasSuccessWithEach(request.partTraits(model))) {
-				askWhetherItLives(attempt.choice().replica());
+		if (attempt.hasEndedWithConnection()) {
+			onEnded(request, model, attempt, CrashDetector.EndKind.CLOSE_DELIMITED);
+			boolean again = this.watch.isRepeatedCloseDelimited(Trait.content(request.contentHash()));
+			if (again || !this.crashTable.hasSuccessWithEach(request.partTraits(model))) {
+				checkLiveness(attempt.choice().replica());
 			}
 		}
 		else {
-			sound(traits(request, model));
+			recordSound(traits(request, model));
 		}
 	}
 
-	private void ended(ServedRequest request, String model, Attempt attempt, CrashDetector.EndKind manner) {
+	private void onEnded(ServedRequest request, String model, Attempt attempt, CrashDetector.EndKind manner) {
 		Replica replica = attempt.choice().replica();
-		this.watch.onAttemptEnd(Clock.millis(), replica, attempt.startedAt(), manner, request.traits(model))
-			.ifPresent((crash) -> crashed(crash, "more that ran there"));
+		this.watch.onAttemptEnd(MonotonicClock.millis(), replica, attempt.startedAt(), manner, request.traits(model))
+			.ifPresent((crash) -> onCrash(crash, "more that ran there"));
 		if (manner == CrashDetector.EndKind.BROKEN) {
-			askWhetherItLives(replica);
+			checkLiveness(replica);
 		}
 	}
 
 	/**
-	 * A connection that is refused, or accepted by another process, tells that the
-	 * replica is dead.
+	 * Handles an attempt that was not run. A connection that is refused, or accepted by
+	 * another process, shows that the replica is dead.
 	 */
-	private void notRun(Attempt attempt) {
+	private void onNotRun(Attempt attempt) {
 		Replica replica = attempt.choice().replica();
-		if (attempt.connectRefused()) {
-			down(replica.id(), "refuses connections");
+		if (attempt.isConnectionRefused()) {
+			onProcessGone(replica.id(), "refuses connections");
 		}
-		else if (attempt.misdirected()) {
-			down(replica.id(), "another process has its address");
+		else if (attempt.isMisdirected()) {
+			onProcessGone(replica.id(), "another process has its address");
 		}
 	}
 
-	private void askWhetherItLives(Replica replica) {
+	private void checkLiveness(Replica replica) {
 		String process = Crash.processName(replica);
-		if (!this.asked.add(process)) {
+		if (!this.livenessChecks.add(process)) {
 			return;
 		}
-		askIn(ASK_MILLIS, replica, (askedAt) -> {
+		connectAfter(LIVENESS_CHECK_DELAY_MILLIS, replica, (askedAt) -> {
 			if (this.watch.hasUnconfirmedAnswers(replica)) {
-				askIn(ASK_AGAIN_MILLIS, replica, (again) -> {
-					this.asked.remove(process);
-					whole(this.watch.onConnectionAccepted(replica, askedAt));
+				connectAfter(SECOND_CHECK_DELAY_MILLIS, replica, (again) -> {
+					this.livenessChecks.remove(process);
+					onConfirmedWhole(this.watch.onConnectionAccepted(replica, askedAt));
 				});
 			}
 			else {
-				this.asked.remove(process);
+				this.livenessChecks.remove(process);
 			}
 		});
 	}
 
 	/**
-	 * Asks a replica after a while whether it accepts a connection.
-	 * @param accepted is given when it was asked
+	 * Checks after a delay whether a replica accepts a connection.
+	 * @param accepted receives the time of the check, if it does
 	 */
-	private void askIn(long millis, Replica replica, LongConsumer accepted) {
+	private void connectAfter(long millis, Replica replica, LongConsumer accepted) {
 		this.vertx.setTimer(millis, (timer) -> {
-			long askedAt = Clock.millis();
-			this.pool.take(replica, true).onComplete((channel, failure) -> {
+			long askedAt = MonotonicClock.millis();
+			this.pool.acquire(replica, true).onComplete((channel, failure) -> {
 				if (failure == null) {
 					channel.close();
 					accepted.accept(askedAt);
 					return;
 				}
-				this.asked.remove(Crash.processName(replica));
-				if (ChannelPool.refused(failure)) {
-					this.decisions.picker().onUnreachable(Clock.millis(), replica);
-					down(replica.id(), "refuses connections");
+				this.livenessChecks.remove(Crash.processName(replica));
+				if (ChannelPool.isConnectionRefused(failure)) {
+					this.decisions.picker().onUnreachable(MonotonicClock.millis(), replica);
+					onProcessGone(replica.id(), "refuses connections");
 				}
 			});
 		});
 	}
 
 	/**
-	 * Takes in that answers without a length turned out to be whole.
+	 * Handles that answers without a length turned out to be complete.
 	 */
-	private void whole(Set<Trait> traits) {
+	private void onConfirmedWhole(Set<Trait> traits) {
 		if (!traits.isEmpty()) {
-			sound(List.copyOf(traits));
+			recordSound(List.copyOf(traits));
 		}
 	}
 
 	/**
-	 * Is called some times a second.
+	 * Decides on suspects and schedules notes; called several times a second.
 	 */
-	void look(long now) {
-		refused(this.book.reevaluate(now), "this node");
-		if (this.book.hasUnreportedBlocks() && !this.telling) {
-			// Other nodes find the same out at the same time; one of them tells it.
-			this.telling = true;
+	void check(long now) {
+		logBlocked(this.crashTable.reevaluate(now), "this node");
+		if (this.crashTable.hasUnreportedBlocks() && !this.spreadScheduled) {
+			// Peers find out the same at the same time; one of them writes the note.
+			this.spreadScheduled = true;
 			this.vertx.setTimer(spreadMillis(), (timer) -> {
-				this.telling = false;
-				if (this.book.hasUnreportedBlocks()) {
-					tellIn(1);
+				this.spreadScheduled = false;
+				if (this.crashTable.hasUnreportedBlocks()) {
+					scheduleNote(1);
 				}
 			});
 		}
 	}
 
 	private long spreadMillis() {
-		return 1 + this.random.nextLong(SPREAD_MILLIS * this.nodes.known().orElse(1));
+		return 1 + this.random.nextLong(SPREAD_PER_NODE_MILLIS * this.nodes.knownCount().orElse(1));
 	}
 
 	/**
-	 * Takes in a change of the deployment, or another node's note.
+	 * Handles a change of the deployment or a peer's note.
 	 */
-	void learned(FleetChange change) {
+	void onFleetChange(FleetChange change) {
 		switch (change) {
 			case FleetChange.Unlisted unlisted -> {
-				down(unlisted.id(), "is not listed any more");
-				this.watch.onLeaving(Clock.millis(), unlisted.id());
+				onProcessGone(unlisted.id(), "is not listed any more");
+				this.watch.onLeaving(MonotonicClock.millis(), unlisted.id());
 			}
-			case FleetChange.Listed listed -> this.watch.onListed(Clock.millis(), listed.replica())
-				.ifPresent((crash) -> crashed(crash, "another process has its id"));
+			case FleetChange.Listed listed -> this.watch.onListed(MonotonicClock.millis(), listed.replica())
+				.ifPresent((crash) -> onCrash(crash, "another process has its id"));
 			case FleetChange.NoteWritten noted -> {
-				// What this node told in an earlier life is news to it.
+				// A note that an earlier process of this node wrote is new to this one.
 				boolean own = noted.key().equals(this.key);
-				if (noted.key().startsWith(NOTES) && !(own && this.wrote)) {
-					learn(noted, own);
+				if (noted.key().startsWith(NOTE_PREFIX) && !(own && this.hasWritten)) {
+					onPeerNote(noted, own);
 				}
 			}
 			default -> {
@@ -305,76 +309,76 @@
 		}
 	}
 
-	private void down(ReplicaId replica, String how) {
-		this.watch.onDead(Clock.millis(), replica).ifPresent((crash) -> crashed(crash, how));
+	private void onProcessGone(ReplicaId replica, String how) {
+		this.watch.onDead(MonotonicClock.millis(), replica).ifPresent((crash) -> onCrash(crash, how));
 	}
 
-	private void crashed(Crash crash, String how) {
-		long now = Clock.millis();
+	private void onCrash(Crash crash, String how) {
+		long now = MonotonicClock.millis();
 		this.log.replicaEnded(crash, now, how);
 		this.telemetry.count("replicas.ended.under.work");
-		refused(this.book.onCrash(now, crash), "this node");
-		tellIn(GATHER_MILLIS);
+		logBlocked(this.crashTable.onCrash(now, crash), "this node");
+		scheduleNote(COLLECT_MILLIS);
 	}
 
-	private void sound(List<Trait> traits) {
-		long now = Clock.millis();
-		List<Trait> cleared = this.book.onSuccess(now, traits);
-		cleared.forEach((trait) -> this.log.acquitted(trait, "this node"));
+	private void recordSound(List<Trait> traits) {
+		long now = MonotonicClock.millis();
+		List<Trait> cleared = this.crashTable.onSuccess(now, traits);
+		cleared.forEach((trait) -> this.log.traitUnblocked(trait, "this node"));
 		if (!cleared.isEmpty()) {
-			tellIn(GATHER_MILLIS);
+			scheduleNote(COLLECT_MILLIS);
 		}
-		else if (this.book.shouldReportSuccess(traits)) {
-			tellIn(GATHER_MILLIS + spreadMillis());
+		else if (this.crashTable.shouldReportSuccess(traits)) {
+			scheduleNote(COLLECT_MILLIS + spreadMillis());
 		}
 	}
 
 	/**
-	 * Hashing the content is left out while nothing is known of any crash.
+	 * Returns the request's traits; skips hashing the content while no crash is known.
 	 */
 	private List<Trait> traits(ServedRequest request, String model) {
-		return this.book.hasCrashEvidence() ? request.traits(model) : request.partTraits(model);
+		return this.crashTable.hasCrashEvidence() ? request.traits(model) : request.partTraits(model);
 	}
 
-	private void learn(FleetChange.NoteWritten noted, boolean own) {
+	private void onPeerNote(FleetChange.NoteWritten noted, boolean own) {
 		try {
 			CrashNote told = Json.read(noted.value(), CrashNote.class);
-			long now = Clock.millis();
+			long now = MonotonicClock.millis();
 			long timeOfDay = System.currentTimeMillis();
-			CrashTracker.NoteEffect learned = own ? this.book.onOwnNote(now, timeOfDay, told)
-					: this.book.onNote(now, timeOfDay, told);
-			refused(learned.blocked(), noted.key());
-			learned.unblocked().forEach((trait) -> this.log.acquitted(trait, noted.key()));
-			if (this.book.hasReportedAnyBlocked(learned.unblocked())) {
-				tellIn(GATHER_MILLIS + spreadMillis());
+			CrashTracker.NoteEffect learned = own ? this.crashTable.onOwnNote(now, timeOfDay, told)
+					: this.crashTable.onNote(now, timeOfDay, told);
+			logBlocked(learned.blocked(), noted.key());
+			learned.unblocked().forEach((trait) -> this.log.traitUnblocked(trait, noted.key()));
+			if (this.crashTable.hasReportedAnyBlocked(learned.unblocked())) {
+				scheduleNote(COLLECT_MILLIS + spreadMillis());
 			}
 		}
 		catch (IOException ex) {
-			this.log.unreadable(noted.key(), ex.getMessage());
+			this.log.unreadableRecord(noted.key(), ex.getMessage());
 		}
 	}
 
-	private void refused(List<Trait> traits, String source) {
-		traits.forEach((trait) -> this.log.convicted(trait, this.book, source));
+	private void logBlocked(List<Trait> traits, String source) {
+		traits.forEach((trait) -> this.log.traitBlocked(trait, this.crashTable, source));
 	}
 
-	private void tellIn(long millis) {
-		if (!this.due) {
-			this.due = true;
-			this.vertx.setTimer(millis, (timer) -> tell());
+	private void scheduleNote(long millis) {
+		if (!this.noteScheduled) {
+			this.noteScheduled = true;
+			this.vertx.setTimer(millis, (timer) -> writeNote());
 		}
 	}
 
-	private void tell() {
-		this.due = false;
-		if (this.note.busy()) {
-			tellIn(GATHER_MILLIS);
+	private void writeNote() {
+		this.noteScheduled = false;
+		if (this.note.isBusy()) {
+			scheduleNote(COLLECT_MILLIS);
 			return;
 		}
-		Optional<CrashNote> told = this.book.buildNote(Clock.millis(), System.currentTimeMillis());
+		Optional<CrashNote> told = this.crashTable.buildNote(MonotonicClock.millis(), System.currentTimeMillis());
 		if (told.isPresent()) {
-			this.wrote = true;
-			this.note.write(Json.write(told.get()), () -> tellIn(AGAIN_MILLIS));
+			this.hasWritten = true;
+			this.note.write(Json.write(told.get()), () -> scheduleNote(RETRY_DELAY_MILLIS));
 		}
 	}
 
--- a/daemon/src/main/java/org/gullsaddle/gateway/CrashTrials.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/CrashTrials.java
@@ -16,48 +16,48 @@
 import org.gullsaddle.telemetry.Telemetry;
 
 /**
- * Lets single requests through whose trait is refused, one at all nodes together: the
- * node that writes the trial down first. Without the store there is none. Confined to the
- * event loop.
+ * Admits single requests with a blocked trait as trials, one at a time over all nodes:
+ * the node that records the trial in the store first runs it. Without the store there are
+ * no trials. Confined to the event loop.
  */
 final class CrashTrials {
 
-	private static final String TRIALS = "gullsaddle/crash-trials/";
+	private static final String KEY_PREFIX = "gullsaddle/crash-trials/";
 
 	/**
-	 * How long ago a trial was at least that another node decided on for it not to be the
-	 * one that is due here, in milliseconds.
+	 * Shortest time since a peer's trial, in milliseconds, after which this node's trial
+	 * is a different one.
 	 */
-	private static final long APART_MILLIS = 20_000;
+	private static final long MIN_INTERVAL_MILLIS = 20_000;
 
 	private final Store store;
 
 	private final String node;
 
-	private final CrashTracker book;
+	private final CrashTracker crashTable;
 
 	private final DecisionLog log;
 
 	private final Telemetry telemetry;
 
-	private final Set<Trait> asking = new HashSet<>();
+	private final Set<Trait> pending = new HashSet<>();
 
 	CrashTrials(Store store, String node, CrashTracker book, DecisionLog log, Telemetry telemetry) {
 		this.store = store;
 		this.node = node;
-		this.book = book;
+		this.crashTable = book;
 		this.log = log;
 		this.telemetry = telemetry;
 	}
 
 	/**
-	 * Finds out whether a request that is refused is let through.
+	 * Decides whether a request with a blocked trait is admitted as a trial.
 	 * @param traits the request's traits
-	 * @param then goes on with it
+	 * @param then continues the request
 	 */
-	void ask(ServedRequest request, List<Trait> traits, Runnable then) {
-		Optional<CrashTracker.Trial> trial = this.book.findTrial(Clock.millis(), traits);
-		if (trial.isEmpty() || !this.asking.add(trial.get().trait())) {
+	void requestTrial(ServedRequest request, List<Trait> traits, Runnable then) {
+		Optional<CrashTracker.Trial> trial = this.crashTable.findTrial(MonotonicClock.millis(), traits);
+		if (trial.isEmpty() || !this.pending.add(trial.get().trait())) {
 			then.run();
 			return;
 		}
@@ -65,30 +65,31 @@
 	}
 
 	/**
-	 * Writes the trial down. Where the store gives no answer, whether it was written is
-	 * not known, and no request of this node goes.
+	 * Records the trial in the store. If the store does not answer, it is unknown whether
+	 * the trial was recorded, and no request of this node is admitted.
 	 */
 	private void claim(CrashTracker.Trial trial, ServedRequest request, Runnable then) {
-		// Keys are short: traits of the same hash share their trials.
-		String key = TRIALS + Integer.toHexString(trial.trait().value().hashCode());
+		// Keys are short: traits with the same hash share their trials.
+		String key = KEY_PREFIX + Integer.toHexString(trial.trait().value().hashCode());
 		this.store.get(key).flatMap((before) -> {
-			if (before.isPresent() && System.currentTimeMillis() - at(before.get().value()) < APART_MILLIS) {
+			if (before.isPresent()
+					&& System.currentTimeMillis() - parseTime(before.get().value()) < MIN_INTERVAL_MILLIS) {
 				return Single.just(Optional.<Long>empty());
 			}
 			String value = Json.write(Map.of("at", System.currentTimeMillis(), "node", this.node));
 			return this.store.write(key, before.map(Store.StoredValue::revision).orElse(0L),
 					List.of(new Store.Put(key, value)));
 		})
-			.subscribe((written) -> decided(trial, written.isPresent(), request, then),
-					(failure) -> notDecided(trial, failure, request, then));
+			.subscribe((written) -> onDecided(trial, written.isPresent(), request, then),
+					(failure) -> onFailure(trial, failure, request, then));
 	}
 
-	private void notDecided(CrashTracker.Trial trial, Throwable failure, ServedRequest request, Runnable then) {
+	private void onFailure(CrashTracker.Trial trial, Throwable failure, ServedRequest request, Runnable then) {
 		this.log.trialNotDecided(trial, failure.getMessage());
-		decided(trial, false, request, then);
+		onDecided(trial, false, request, then);
 	}
 
-	private static long at(String value) {
+	private static long parseTime(String value) {
 		try {
 			return Json.tree(value).path("at").asLong(0);
 		}
@@ -97,13 +98,13 @@
 		}
 	}
 
-	private void decided(CrashTracker.Trial trial, boolean mine, ServedRequest request, Runnable then) {
-		this.asking.remove(trial.trait());
-		this.book.onTrialDecided(Clock.millis(), trial);
+	private void onDecided(CrashTracker.Trial trial, boolean mine, ServedRequest request, Runnable then) {
+		this.pending.remove(trial.trait());
+		this.crashTable.onTrialDecided(MonotonicClock.millis(), trial);
 		if (mine) {
 			this.telemetry.count("crash.trials");
-			this.log.trial(trial, request.id());
-			request.letThrough();
+			this.log.trialAdmitted(trial, request.id());
+			request.markTrial();
 		}
 		then.run();
 	}
--- /dev/null
+++ b/daemon/src/main/java/org/gullsaddle/gateway/FleetPoller.java
@@ -0,0 +1,221 @@
+package org.gullsaddle.gateway;
+
+import java.util.OptionalLong;
+import java.util.function.BooleanSupplier;
+import java.util.function.Consumer;
+
+import io.reactivex.rxjava3.core.Single;
+import io.vertx.core.Vertx;
+
+import org.gullsaddle.fleet.FleetChange;
+
+/**
+ * Keeps {@link FleetState} up to date: reads everything once, then polls for changes, and
+ * rereads everything if changes were missed.
+ */
+final class FleetPoller {
+
+	/**
+	 * How long one call waits for changes, in milliseconds. A dead connection is only
+	 * noticed after it, and a change must still take effect in time: the interval between
+	 * calls, this wait, the store's latency and one more call fit into that time.
+	 */
+	private static final long POLL_WAIT_MILLIS = 200;
+
+	/**
+	 * Interval between calls for a while after a full read, in milliseconds, when
+	 * replicas reappear one after another.
+	 */
+	private static final long SETTLING_INTERVAL_MILLIS = 1000;
+
+	/**
+	 * Longest interval during a roll-out, in milliseconds: nodes then exchange evidence
+	 * about the new release through the store.
+	 */
+	private static final long MAX_ROLLOUT_INTERVAL_MILLIS = 1600;
+
+	/**
+	 * Interval relative to the duration of a short roll-out: evidence must reach all
+	 * nodes before the share of the new release rises.
+	 */
+	private static final double ROLLOUT_INTERVAL_RATIO = 0.0625;
+
+	private static final long MIN_ROLLOUT_INTERVAL_MILLIS = 500;
+
+	/**
+	 * Interval while crash notes of peers are awaited or the share of a new release
+	 * rises, in milliseconds.
+	 */
+	private static final long URGENT_INTERVAL_MILLIS = 500;
+
+	/** How long replicas reappear after a full read, in milliseconds. */
+	private static final long SETTLE_MILLIS = 5000;
+
+	/**
+	 * Interval relative to the time within which a change must take effect. Every
+	 * replica's heartbeat is a change: without a pause a node would call as often as all
+	 * replicas send heartbeats, and each call costs money.
+	 */
+	private static final double PROPAGATION_INTERVAL_RATIO = 0.5;
+
+	/**
+	 * Delay before the call after a first failure, in milliseconds; it grows with each
+	 * failure in a row.
+	 */
+	private static final long RETRY_DELAY_MILLIS = 150;
+
+	private static final long MAX_RETRY_DELAY_MILLIS = 600;
+
+	/**
+	 * How much longer than its wait a call may take without being logged, in
+	 * milliseconds.
+	 */
+	private static final long SLOW_MILLIS = 100;
+
+	/** Failures in a row after which the store counts as unavailable. */
+	private static final int FAILURES_UNTIL_UNAVAILABLE = 2;
+
+	private final Vertx vertx;
+
+	private final FleetSource source;
+
+	private final FleetState state;
+
+	private final DecisionLog log;
+
+	private final Consumer<FleetChange> listener;
+
+	private final long intervalMillis;
+
+	private final BooleanSupplier crashNotesAwaited;
+
+	private long revision = -1;
+
+	private long readAllAt = Long.MIN_VALUE;
+
+	private long requestedAt;
+
+	private int failures;
+
+	private boolean stopped;
+
+	/**
+	 * Creates a poller.
+	 * @param newsMillis time within which a change must take effect here, in milliseconds
+	 * @param crashes tells whether crash notes of peers are awaited
+	 */
+	FleetPoller(Vertx vertx, FleetSource source, FleetState state, DecisionLog log, Consumer<FleetChange> listener,
+			long newsMillis, BooleanSupplier crashes) {
+		this.vertx = vertx;
+		this.source = source;
+		this.state = state;
+		this.log = log;
+		this.listener = listener;
+		this.intervalMillis = Math.max(SETTLING_INTERVAL_MILLIS, Math.round(PROPAGATION_INTERVAL_RATIO * newsMillis));
+		this.crashNotesAwaited = crashes;
+	}
+
+	void start() {
+		poll();
+	}
+
+	void stop() {
+		this.stopped = true;
+	}
+
+	private void poll() {
+		if (this.stopped) {
+			return;
+		}
+		boolean whole = this.revision < 0;
+		this.requestedAt = MonotonicClock.millis();
+		Single<FleetSource.Update> call = whole ? this.source.readAll()
+				: this.source.awaitChanges(this.revision, POLL_WAIT_MILLIS);
+		call.subscribe((news) -> onUpdate(news, whole), this::onFailure);
+	}
+
+	void onUpdate(FleetSource.Update news, boolean whole) {
+		long now = MonotonicClock.millis();
+		if (this.failures >= FAILURES_UNTIL_UNAVAILABLE) {
+			this.log.dependencyRegained("store", now);
+		}
+		this.failures = 0;
+		this.state.directory().storeUnreachable(now, false);
+		this.state.onUpdate(this.requestedAt);
+		if (whole) {
+			this.readAllAt = now;
+			this.state.retain(now, news.changes());
+		}
+		for (FleetChange change : news.changes()) {
+			if (this.state.apply(now, change)) {
+				this.log.fleetChange(change, news.revision(), now - this.requestedAt);
+			}
+			this.listener.accept(change);
+		}
+		logIfSlow(news, now);
+		this.revision = news.revision();
+		long pause = whole ? 0 : delayMillis(this.requestedAt, now, intervalMillis(now));
+		if (pause == 0) {
+			poll();
+			return;
+		}
+		this.vertx.setTimer(pause, (timer) -> poll());
+	}
+
+	private void logIfSlow(FleetSource.Update news, long now) {
+		long took = MonotonicClock.millis() - now;
+		if (took >= SLOW_MILLIS || now - this.requestedAt >= POLL_WAIT_MILLIS + SLOW_MILLIS) {
+			this.log.slowUpdate(news.changes().size(), news.revision(), now - this.requestedAt, took);
+		}
+	}
+
+	/**
+	 * Returns the current interval between calls for changes, in milliseconds.
+	 */
+	long intervalMillis(long now) {
+		if (this.crashNotesAwaited.getAsBoolean() || this.state.isReleaseShareRising()) {
+			return URGENT_INTERVAL_MILLIS;
+		}
+		boolean settling = this.readAllAt != Long.MIN_VALUE && now - this.readAllAt < SETTLE_MILLIS;
+		if (settling) {
+			return SETTLING_INTERVAL_MILLIS;
+		}
+		OptionalLong rollout = this.state.shortestRolloutMillis();
+		if (rollout.isEmpty()) {
+			return this.intervalMillis;
+		}
+		long evidence = Math.max(MIN_ROLLOUT_INTERVAL_MILLIS, Math.round(ROLLOUT_INTERVAL_RATIO * rollout.getAsLong()));
+		return Math.min(Math.min(MAX_ROLLOUT_INTERVAL_MILLIS, this.intervalMillis), evidence);
+	}
+
+	/**
+	 * Returns the delay before the next call, in milliseconds.
+	 */
+	static long delayMillis(long askedAt, long now, long every) {
+		return Math.max(0, askedAt + every - now);
+	}
+
+	private void onFailure(Throwable failure) {
+		long now = MonotonicClock.millis();
+		this.failures++;
+		this.log.storeCallFailed((this.revision < 0) ? "read all" : "changes", now - this.requestedAt,
+				failure.getMessage());
+		if (failure instanceof HistoryCompactedException) {
+			this.revision = -1;
+		}
+		if (this.failures == FAILURES_UNTIL_UNAVAILABLE) {
+			// After the outage everything is reread: an entry that expired during the
+			// outage
+			// and came back does not show in the changes.
+			this.state.directory().storeUnreachable(now, true);
+			this.log.dependencyLost("store", failure.getMessage(), this.state.ageMillis(now));
+		}
+		if (failure instanceof HistoryCompactedException) {
+			poll();
+			return;
+		}
+		long pause = Math.min(MAX_RETRY_DELAY_MILLIS, RETRY_DELAY_MILLIS * this.failures);
+		this.vertx.setTimer(pause, (timer) -> poll());
+	}
+
+}
--- a/daemon/src/main/java/org/gullsaddle/gateway/FleetState.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/FleetState.java
@@ -20,12 +20,11 @@
 import org.gullsaddle.serve.RolloutLimits;
 
 /**
- * What the node believes of the deployment, and how old that is. Confined to the event
- * loop.
+ * The node's view of the deployment and its age. Confined to the event loop.
  */
 final class FleetState {
 
-	private static final long LONG_AGO = Long.MIN_VALUE / 2;
+	private static final long NEVER = Long.MIN_VALUE / 2;
 
 	private final ReplicaDirectory directory = new ReplicaDirectory();
 
@@ -39,39 +38,39 @@
 
 	private boolean configUnreadable;
 
-	/** As of when the node knows the deployment, and the configuration. */
+	/** Times as of which the deployment and the configuration are known. */
 	private long knownAt;
 
 	private long configKnownAt;
 
-	/** The same of the deployment before the latest news. */
-	private long knownBefore = LONG_AGO;
+	/** Time as of which the deployment was known before the latest update. */
+	private long previouslyKnownAt = NEVER;
 
-	private boolean heard;
+	private boolean everUpdated;
 
 	FleetState(RolloutLimits limits) {
 		this.limits = limits;
 	}
 
 	/**
-	 * Takes in a change.
-	 * @return whether it changed what the node believes
+	 * Applies a change.
+	 * @return whether it changed the node's view
 	 */
 	boolean apply(long now, FleetChange change) {
 		return switch (change) {
-			case FleetChange.Configured configured -> configure(configured.config());
+			case FleetChange.Configured configured -> applyConfig(configured.config());
 			case FleetChange.ConfigUnreadable unreadable -> {
 				this.configUnreadable = true;
 				yield true;
 			}
-			case FleetChange.Listed listed -> list(now, listed);
+			case FleetChange.Listed listed -> applyListed(now, listed);
 			case FleetChange.Unlisted unlisted -> {
 				boolean known = this.directory.find(unlisted.id()).isPresent();
 				this.directory.onUnlisted(now, unlisted.id());
 				yield known;
 			}
-			case FleetChange.RolloutOrdered ordered -> order(now, ordered);
-			case FleetChange.RolloutProgressed progressed -> progress(progressed);
+			case FleetChange.RolloutOrdered ordered -> applyOrdered(now, ordered);
+			case FleetChange.RolloutProgressed progressed -> applyProgressed(progressed);
 			case FleetChange.EvacuationBegan began -> this.directory.evacuate(began.dataCenter());
 			case FleetChange.EvacuationEnded ended -> this.directory.endEvacuation(ended.dataCenter());
 			case FleetChange.NoteWritten noted -> false;
@@ -80,10 +79,10 @@
 	}
 
 	/**
-	 * A node must never go back: a read that was slow on its way may bring a version
-	 * older than one that requests were served by.
+	 * Ignores older versions: a delayed read may return a version older than one under
+	 * which requests were already served.
 	 */
-	private boolean configure(FleetConfig newConfig) {
+	private boolean applyConfig(FleetConfig newConfig) {
 		if (this.config != null && newConfig.version() <= this.config.version()) {
 			return false;
 		}
@@ -92,7 +91,7 @@
 		return true;
 	}
 
-	private boolean list(long now, FleetChange.Listed listed) {
+	private boolean applyListed(long now, FleetChange.Listed listed) {
 		Replica replica = listed.replica();
 		Optional<Replica> before = this.directory.find(replica.id());
 		this.directory.onListed(replica);
@@ -102,13 +101,13 @@
 		return !before.equals(Optional.of(replica));
 	}
 
-	private boolean order(long now, FleetChange.RolloutOrdered ordered) {
+	private boolean applyOrdered(long now, FleetChange.RolloutOrdered ordered) {
 		ServiceName service = ordered.order().service();
 		Rollout known = this.rollouts.get(service);
 		if (known != null && known.revision() >= ordered.revision()) {
 			return false;
 		}
-		Rollout rollout = new Rollout(this.knownBefore, now, ordered.order(), ordered.revision(), this.limits);
+		Rollout rollout = new Rollout(this.previouslyKnownAt, now, ordered.order(), ordered.revision(), this.limits);
 		this.rollouts.put(service, rollout);
 		long timeOfDay = System.currentTimeMillis();
 		this.directory.knownIds()
@@ -123,7 +122,7 @@
 		return true;
 	}
 
-	private boolean progress(FleetChange.RolloutProgressed progressed) {
+	private boolean applyProgressed(FleetChange.RolloutProgressed progressed) {
 		FleetChange.RolloutProgressed before = this.progress.get(progressed.service());
 		if (before != null && before.revision() > progressed.revision()) {
 			return false;
@@ -137,7 +136,7 @@
 	}
 
 	/**
-	 * Takes in that everything was read: what was not told is gone.
+	 * Removes replicas and evacuations that a full read did not list.
 	 */
 	void retain(long now, List<FleetChange> everything) {
 		Set<ReplicaId> replicas = new HashSet<>();
@@ -158,50 +157,50 @@
 	}
 
 	/**
-	 * Takes in that the platform has told all changes.
-	 * @param askedAt when it was asked: of later ones nothing is known
+	 * Records that all changes were read.
+	 * @param askedAt when the call was made; later changes are unknown
 	 */
-	void heard(long askedAt) {
-		this.knownBefore = this.heard ? this.knownAt : LONG_AGO;
-		this.heard = true;
+	void onUpdate(long askedAt) {
+		this.previouslyKnownAt = this.everUpdated ? this.knownAt : NEVER;
+		this.everUpdated = true;
 		this.knownAt = askedAt;
-		configHeard(askedAt);
+		onConfigRead(askedAt);
 	}
 
 	/**
-	 * Takes in that the platform has told the configuration.
-	 * @param askedAt when it was asked
+	 * Records that the configuration was read.
+	 * @param askedAt when the call was made
 	 */
-	void configHeard(long askedAt) {
+	void onConfigRead(long askedAt) {
 		this.configKnownAt = Math.max(this.configKnownAt, askedAt);
 	}
 
 	/**
-	 * Takes in that more time has passed than the clock counted.
+	 * Adds time that the clock did not count to the age of what is known.
 	 */
-	void suspended(long millis) {
+	void onSuspended(long millis) {
 		this.knownAt -= millis;
 		this.configKnownAt -= millis;
 	}
 
 	/**
-	 * Returns how old what the node knows may be, in milliseconds.
+	 * Returns the largest possible age of the node's view, in milliseconds.
 	 */
-	long age(long now) {
+	long ageMillis(long now) {
 		return now - this.knownAt;
 	}
 
 	/**
-	 * Returns how old the configuration that the node knows may be, in milliseconds.
+	 * Returns the largest possible age of the known configuration, in milliseconds.
 	 */
-	long configAge(long now) {
+	long configAgeMillis(long now) {
 		return now - this.configKnownAt;
 	}
 
 	/**
-	 * Says whether a newer configuration came that cannot be read.
+	 * Returns whether a newer configuration exists that cannot be parsed.
 	 */
-	boolean configUnreadable() {
+	boolean hasUnreadableConfig() {
 		return this.configUnreadable;
 	}
 
@@ -222,16 +221,16 @@
 	}
 
 	/**
-	 * Says whether the share of a new release rises.
+	 * Returns whether the share of a new release is rising.
 	 */
-	boolean releaseGrows() {
+	boolean isReleaseShareRising() {
 		return this.rollouts.values().stream().anyMatch(Rollout::isRampingUp);
 	}
 
 	/**
-	 * Returns the time of the shortest roll-out that is under way, in milliseconds.
+	 * Returns the duration of the shortest roll-out in progress, in milliseconds.
 	 */
-	OptionalLong shortestRollout() {
+	OptionalLong shortestRolloutMillis() {
 		return this.rollouts.values()
 			.stream()
 			.filter((rollout) -> rollout.writtenState().map((state) -> state == RolloutState.RUNNING).orElse(true))
--- a/daemon/src/main/java/org/gullsaddle/gateway/Gateway.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/Gateway.java
@@ -27,7 +27,7 @@
  * One gateway node.
  *
  * <pre>
- * Gateway gateway = Gateway.with(settings).source(source).store(store).codec(codec).on(vertx);
+ * Gateway gateway = Gateway.builder(settings).source(source, stateWriter).store(store).codec(codec).build(vertx);
  * gateway.start();
  * ...
  * gateway.drain();
@@ -35,17 +35,20 @@
  */
 public final class Gateway {
 
-	/** How often open requests are looked at, in milliseconds. */
-	private static final long TICK_MILLIS = 50;
+	/** Interval at which open requests are checked, in milliseconds. */
+	private static final long TICK_INTERVAL_MILLIS = 50;
 
-	/** How often idle connections are looked at, in milliseconds. */
-	private static final long TIDY_MILLIS = 1000;
+	/**
+	 * Interval at which idle connections and state of unlisted replicas are cleaned up,
+	 * in milliseconds.
+	 */
+	private static final long CLEANUP_INTERVAL_MILLIS = 1000;
 
 	/**
-	 * When an idle connection of a caller is closed, in seconds: longer than any caller
-	 * is told to keep one.
+	 * Idle time after which a caller's connection is closed, in seconds: longer than any
+	 * caller is told to keep one.
 	 */
-	private static final int CALLER_IDLE_SECONDS = 75;
+	private static final int CALLER_IDLE_TIMEOUT_SECONDS = 75;
 
 	private static final int MAX_HEADER_BYTES = 65_536;
 
@@ -61,21 +64,21 @@
 
 	private final FleetState fleet;
 
-	private final Decisions decisions;
+	private final SharedRoutingState routingState;
 
-	private final Returns returns;
+	private final RetryAfterAdvisor retryAfterAdvisor;
 
 	private final ColdReplicaLimiter coldPace;
 
 	private final ChannelPool pool;
 
-	private final LoadProbe probe;
+	private final LoadProbe loadProbe;
 
-	private final FleetFeed feed;
+	private final FleetPoller poller;
 
-	private final ConfigCheck configCheck;
+	private final ConfigRefresher configRefresher;
 
-	private final NodeRegister nodes;
+	private final NodeRegistry nodeRegistry;
 
 	private final ReplicaEligibility rules;
 
@@ -85,15 +88,15 @@
 
 	private final BackpressureController backpressure;
 
-	private final Holdings holdings;
+	private final BufferManager buffers;
 
-	private final StallWatch stalls = new StallWatch();
+	private final StallDetector stallDetector = new StallDetector();
 
-	private final Set<Serving> open = new LinkedHashSet<>();
+	private final Set<RequestExecution> openRequests = new LinkedHashSet<>();
 
 	private HttpServer server;
 
-	private final StopPlan stop = new StopPlan();
+	private final DrainPolicy drainPolicy = new DrainPolicy();
 
 	private final RequestDispatcher dispatcher;
 
@@ -101,68 +104,69 @@
 		this.vertx = vertx;
 		this.settings = builder.settings;
 		this.codec = builder.codec;
-		this.fleet = new FleetState(this.settings.rollouts());
-		this.holdings = new Holdings(this.settings.load(), this.log, this.telemetry);
-		this.decisions = new Decisions(this.settings.place(), this.settings.retryShare(),
+		this.fleet = new FleetState(this.settings.rolloutLimits());
+		this.buffers = new BufferManager(this.settings.load(), this.log, this.telemetry);
+		this.routingState = new SharedRoutingState(this.settings.place(), this.settings.retryBudgetRatio(),
 				this.settings.load().pressure());
-		this.returns = new Returns(this.settings.load().pressure(), this.telemetry);
+		this.retryAfterAdvisor = new RetryAfterAdvisor(this.settings.load().pressure(), this.telemetry);
 		this.coldPace = new ColdReplicaLimiter(this.settings.node());
 		this.pool = new ChannelPool(vertx);
-		this.nodes = new NodeRegister(vertx, builder.store, this.settings,
+		this.nodeRegistry = new NodeRegistry(vertx, builder.store, this.settings,
 				() -> this.fleet.directory().storeUnreachable());
 		BackpressureTable book = new BackpressureTable(new NodeId(this.settings.node()), this.settings.place(),
-				this.nodes::peers, RandomGenerator.getDefault());
+				this.nodeRegistry::peers, RandomGenerator.getDefault());
 		this.backpressure = new BackpressureController(vertx, builder.store, this.fleet, book, this.log,
 				this.telemetry);
-		this.probe = new LoadProbe(vertx, this.pool, this.codec, this.decisions.picker(), this.backpressure, this.log);
-		this.crashes = new CrashController(vertx, builder.store, this.settings.node(), this.pool, this.decisions,
-				this.nodes, this.log, this.telemetry);
+		this.loadProbe = new LoadProbe(vertx, this.pool, this.codec, this.routingState.picker(), this.backpressure,
+				this.log);
+		this.crashes = new CrashController(vertx, builder.store, this.settings.node(), this.pool, this.routingState,
+				this.nodeRegistry, this.log, this.telemetry);
 		this.rules = new ReplicaEligibility(this.fleet.directory(), this.settings.place(), this.coldPace, book,
-				this.crashes.book());
+				this.crashes.crashTable());
 		this.rollouts = new RolloutController(vertx, builder.board, builder.store, this.settings.node(), this.fleet,
 				this.log);
 		this.dispatcher = new RequestDispatcher(vertx, this);
-		this.feed = new FleetFeed(vertx, builder.source, this.fleet, this.log, this::learned,
-				this.settings.newsMillis(), this.crashes::unsettled);
-		this.configCheck = new ConfigCheck(builder.source, this.fleet, this.settings.newsMillis(), this::learned,
-				this.log, this.telemetry);
+		this.poller = new FleetPoller(vertx, builder.source, this.fleet, this.log, this::onFleetChange,
+				this.settings.maxPropagationMillis(), this.crashes::awaitsCrashNotes);
+		this.configRefresher = new ConfigRefresher(builder.source, this.fleet, this.settings.maxPropagationMillis(),
+				this::onFleetChange, this.log, this.telemetry);
 	}
 
 	/**
-	 * Starts a gateway's parts.
-	 * @param settings its settings
+	 * Creates a builder.
+	 * @param settings the gateway's settings
 	 * @return a builder
 	 */
-	public static Builder with(GatewaySettings settings) {
+	public static Builder builder(GatewaySettings settings) {
 		return new Builder(settings);
 	}
 
-	private void showGauges() {
-		this.telemetry.gauge("open.requests", this.open::size);
-		this.telemetry.gauge("held.requests", this.dispatcher::held);
+	private void registerGauges() {
+		this.telemetry.gauge("open.requests", this.openRequests::size);
+		this.telemetry.gauge("held.requests", this.dispatcher::heldCount);
 		this.telemetry.gauge("replicas.known", () -> this.fleet.directory().knownIds().size());
-		this.telemetry.gauge("replicas.cold", () -> this.fleet.directory().coldCount(Clock.millis()));
-		this.telemetry.gauge("replicas.telling.pace", this.decisions.picker()::countReportedSlowdowns);
+		this.telemetry.gauge("replicas.cold", () -> this.fleet.directory().coldCount(MonotonicClock.millis()));
+		this.telemetry.gauge("replicas.telling.pace", this.routingState.picker()::countReportedSlowdowns);
 		this.telemetry.gauge("data.centers.evacuated", () -> this.fleet.directory().evacuatedDataCenters().size());
-		this.telemetry.gauge("nodes.known", () -> this.nodes.known().orElse(0));
-		this.telemetry.gauge("config.unreadable", () -> this.fleet.configUnreadable() ? 1 : 0);
-		this.telemetry.gauge("config.age.milliseconds", () -> this.fleet.configAge(Clock.millis()));
+		this.telemetry.gauge("nodes.known", () -> this.nodeRegistry.knownCount().orElse(0));
+		this.telemetry.gauge("config.unreadable", () -> this.fleet.hasUnreadableConfig() ? 1 : 0);
+		this.telemetry.gauge("config.age.milliseconds", () -> this.fleet.configAgeMillis(MonotonicClock.millis()));
 		this.telemetry.gauge("config.version", this::configVersion);
-		this.telemetry.gauge("fleet.age.milliseconds", () -> this.fleet.age(Clock.millis()));
-		this.telemetry.gauge("log.lines.left.out", this.log::leftOut);
-		this.telemetry.gauge("probes.sent", this.probe::asked);
-		this.telemetry.gauge("probes.failed", this.probe::failed);
-		this.holdings.showGauges();
+		this.telemetry.gauge("fleet.age.milliseconds", () -> this.fleet.ageMillis(MonotonicClock.millis()));
+		this.telemetry.gauge("log.lines.left.out", this.log::omittedLines);
+		this.telemetry.gauge("probes.sent", this.loadProbe::sentCount);
+		this.telemetry.gauge("probes.failed", this.loadProbe::failedCount);
+		this.buffers.registerGauges();
 	}
 
 	/**
-	 * Starts listening and reading the platform's store.
+	 * Starts to listen and to read the platform's store.
 	 * @return completes when callers can connect
 	 */
 	public Future<Void> start() {
 		HttpServerOptions options = new HttpServerOptions().setMaxHeaderSize(MAX_HEADER_BYTES)
 			.setMaxInitialLineLength(MAX_HEADER_BYTES)
-			.setIdleTimeout(CALLER_IDLE_SECONDS)
+			.setIdleTimeout(CALLER_IDLE_TIMEOUT_SECONDS)
 			.setTcpNoDelay(true)
 			.setTcpKeepAlive(true)
 			.setReuseAddress(true)
@@ -171,82 +175,82 @@
 			.setHttp2ClearTextEnabled(false)
 			.setAcceptBacklog(EarlyListener.BACKLOG);
 		this.server = this.vertx.createHttpServer(options)
-			.connectionHandler(this.dispatcher::connected)
-			.requestHandler((request) -> new Intake(this, request).begin());
-		showGauges();
-		this.feed.start();
+			.connectionHandler(this.dispatcher::onConnected)
+			.requestHandler((request) -> new RequestBodyReader(this, request).begin());
+		registerGauges();
+		this.poller.start();
 		this.rollouts.start();
-		this.vertx.setTimer(HeldRequests.HOLD_MILLIS, (timer) -> this.dispatcher.release());
-		this.stalls.look(Clock.millis());
-		this.vertx.setPeriodic(TICK_MILLIS, (timer) -> tick());
-		this.vertx.setPeriodic(TIDY_MILLIS, (timer) -> tidy());
-		return this.server.listen(this.settings.callers().port(), this.settings.callers().host())
+		this.vertx.setTimer(StartupRequestQueue.HOLD_MILLIS, (timer) -> this.dispatcher.releaseHeld());
+		this.stallDetector.check(MonotonicClock.millis());
+		this.vertx.setPeriodic(TICK_INTERVAL_MILLIS, (timer) -> tick());
+		this.vertx.setPeriodic(CLEANUP_INTERVAL_MILLIS, (timer) -> cleanUp());
+		return this.server.listen(this.settings.callerAddress().port(), this.settings.callerAddress().host())
 			.compose((listening) -> StatusServer.listen(this.vertx, this))
 			.onSuccess((nothing) -> this.log.started(this.settings.node(), this.settings.place().dataCenter()));
 	}
 
 	/**
-	 * Stops gracefully: tells the balancer, serves what still comes for a moment, then
-	 * only what ends before the process does.
-	 * @return completes when nothing is open, or the time to stop is over
+	 * Stops gracefully: reports not ready to the load balancer, still accepts all
+	 * requests for a moment, then only those that end before the process does.
+	 * @return completes when nothing is open or the stop timeout is over
 	 */
 	public Future<Void> drain() {
 		Promise<Void> stopped = Promise.promise();
 		this.vertx.runOnContext((nothing) -> {
-			this.stop.begin(Clock.millis(), this.settings.stopMillis());
-			this.log.stopping(this.open.size());
-			this.vertx.setTimer(StopPlan.TAKE_ON_MILLIS,
-					(timer) -> this.vertx.setPeriodic(TICK_MILLIS, (tick) -> endIfIdle(stopped)));
+			this.drainPolicy.begin(MonotonicClock.millis(), this.settings.stopTimeoutMillis());
+			this.log.stopping(this.openRequests.size());
+			this.vertx.setTimer(DrainPolicy.ACCEPT_ALL_MILLIS,
+					(timer) -> this.vertx.setPeriodic(TICK_INTERVAL_MILLIS, (tick) -> stopIfIdle(stopped)));
 		});
 		return stopped.future();
 	}
 
-	private void endIfIdle(Promise<Void> stopped) {
-		if (stopped.future().isComplete() || (busy() && !this.stop.over(Clock.millis()))) {
+	private void stopIfIdle(Promise<Void> stopped) {
+		if (stopped.future().isComplete() || (isBusy() && !this.drainPolicy.isOver(MonotonicClock.millis()))) {
 			return;
 		}
-		this.stop.end();
-		this.log.stopped(this.open.size());
-		List.copyOf(this.open).forEach(Serving::cutOff);
-		this.feed.stop();
+		this.drainPolicy.stopAccepting();
+		this.log.stopped(this.openRequests.size());
+		List.copyOf(this.openRequests).forEach(RequestExecution::abort);
+		this.poller.stop();
 		stopped.tryComplete();
 	}
 
-	private boolean busy() {
-		return !this.open.isEmpty() || this.holdings.sending();
+	private boolean isBusy() {
+		return !this.openRequests.isEmpty() || this.buffers.isSending();
 	}
 
 	/**
-	 * Notes that the settings were read anew.
-	 * @param what what has changed, for the log
+	 * Logs that the settings were reloaded.
+	 * @param what what has changed
 	 */
-	public void reloaded(String what) {
+	public void onSettingsReloaded(String what) {
 		this.log.reloaded(what);
 	}
 
 	/**
-	 * Says whether callers' connections are welcome.
+	 * Returns whether the node is ready for callers.
 	 * @return true once the configuration and the replicas are known, until a stop
 	 */
-	public boolean ready() {
-		return !stopping() && this.fleet.config().isPresent() && this.fleet.directory().isLoaded();
+	public boolean isReady() {
+		return !isStopping() && this.fleet.config().isPresent() && this.fleet.directory().isLoaded();
 	}
 
 	/**
-	 * Says whether a replica is listed.
+	 * Returns whether a replica is listed.
 	 * @param replica its id
 	 * @return true if it is
 	 */
-	public boolean knows(String replica) {
+	public boolean knowsReplica(String replica) {
 		return this.fleet.directory().find(new ReplicaId(replica)).isPresent();
 	}
 
 	/**
-	 * Returns how old what the node knows of the deployment may be.
-	 * @return the time since the platform last told anything, in milliseconds
+	 * Returns the largest possible age of the node's view of the deployment.
+	 * @return the time since the platform was last read, in milliseconds
 	 */
-	public long knowledgeMillis() {
-		return this.fleet.age(Clock.millis());
+	public long fleetAgeMillis() {
+		return this.fleet.ageMillis(MonotonicClock.millis());
 	}
 
 	/**
@@ -258,127 +262,126 @@
 	}
 
 	/**
-	 * Says whether a newer configuration came that cannot be read.
-	 * @return true until one that can be read is in force
+	 * Returns whether a newer configuration exists that cannot be parsed.
+	 * @return true until a valid one is in force
 	 */
-	public boolean configUnreadable() {
-		return this.fleet.configUnreadable();
+	public boolean hasUnreadableConfig() {
+		return this.fleet.hasUnreadableConfig();
 	}
 
 	/**
-	 * Returns how many requests wait for the configuration of a node that has just
-	 * started.
+	 * Returns the number of requests that wait for the configuration after the start.
 	 * @return the number
 	 */
-	public int held() {
-		return this.dispatcher.held();
+	public int heldRequestCount() {
+		return this.dispatcher.heldCount();
 	}
 
-	void opened(Serving serving) {
-		this.open.add(serving);
-		this.returns.opened(serving.request());
-		this.rollouts.asked(serving.request());
+	void onOpened(RequestExecution serving) {
+		this.openRequests.add(serving);
+		this.retryAfterAdvisor.onOpened(serving.request());
+		this.rollouts.recordRequest(serving.request());
 	}
 
-	void attemptEnded(Serving serving, Attempt attempt, AttemptEnd end, long now) {
+	void onAttemptEnded(RequestExecution serving, Attempt attempt, AttemptEnd end, long now) {
 		long millis = now - attempt.startedAt();
-		this.decisions.picker().onAttemptEnded(now, attempt.choice(), end);
-		this.crashes.ended(serving.request(), serving.model(), attempt, end);
-		this.log.attempt(serving.request(), attempt, serving.model(), end.toString(), millis, serving.clock(),
+		this.routingState.picker().onAttemptEnded(now, attempt.choice(), end);
+		this.crashes.onEnded(serving.request(), serving.model(), attempt, end);
+		this.log.attempt(serving.request(), attempt, serving.model(), end.toString(), millis, serving.timing(),
 				!(end instanceof AttemptEnd.Answered answered) || answered.hasFailed());
 		this.telemetry.attempt(serving.service().value(), end.metricLabel());
-		if (serving.clock().begun() && serving.route().kind() == RouteKind.STREAM) {
-			this.decisions.hopeless().recordAnswerStarted(now, serving.service());
-			long first = serving.clock().firstMillis(now);
+		if (serving.timing().hasBegun() && serving.route().kind() == RouteKind.STREAM) {
+			this.routingState.hopeless().recordAnswerStarted(now, serving.service());
+			long first = serving.timing().firstEventMillis(now);
 			this.telemetry.firstEvent(serving.route().name(), serving.model(), first);
 			this.telemetry.delayError(serving.service().value(), serving.model(),
 					first - Math.round(attempt.choice().delay().expectedMillis()));
 		}
 		if (end instanceof AttemptEnd.NotRun notRun && notRun.unreachable()) {
-			this.rollouts.unreachable(attempt.choice().replica());
+			this.rollouts.onUnreachable(attempt.choice().replica());
 		}
 	}
 
-	void closed(Serving serving, String outcome, int status, String reason) {
-		this.open.remove(serving);
-		long now = Clock.millis();
-		DecisionLog.RequestLine line = serving.line(outcome, status, reason, now, this.fleet.age(now));
+	void onClosed(RequestExecution serving, String outcome, int status, String reason) {
+		this.openRequests.remove(serving);
+		long now = MonotonicClock.millis();
+		DecisionLog.RequestLine line = serving.requestLine(outcome, status, reason, now, this.fleet.ageMillis(now));
 		this.log.request(line);
-		this.returns.closed(serving.request(), line.attempts() > 0 && !outcome.equals("refused"));
+		this.retryAfterAdvisor.onClosed(serving.request(), line.attempts() > 0 && !outcome.equals("refused"));
 		this.telemetry.request(serving.route().name(), serving.request().teamName(), outcome, line.millis());
 	}
 
-	private void learned(FleetChange change) {
+	private void onFleetChange(FleetChange change) {
 		if (change instanceof FleetChange.Configured) {
-			// The replicas that were read with it are taken in first.
-			this.vertx.runOnContext((nothing) -> this.dispatcher.release());
+			// Replicas that were read together with it are applied first.
+			this.vertx.runOnContext((nothing) -> this.dispatcher.releaseHeld());
 		}
-		this.nodes.learned(change);
-		this.rollouts.learned(change);
-		this.crashes.learned(change);
-		this.backpressure.learned(change);
+		this.nodeRegistry.onFleetChange(change);
+		this.rollouts.onFleetChange(change);
+		this.crashes.onFleetChange(change);
+		this.backpressure.onFleetChange(change);
 	}
 
 	private void tick() {
-		long now = Clock.millis();
-		this.configCheck.lookForSuspension(now);
-		long stalled = this.stalls.look(now);
+		long now = MonotonicClock.millis();
+		this.configRefresher.checkForSuspension(now);
+		long stalled = this.stallDetector.check(now);
 		if (stalled > 0) {
-			this.log.stalled(stalled, this.open.size());
+			this.log.nodeStalled(stalled, this.openRequests.size());
 		}
-		if (!this.open.isEmpty()) {
-			List.copyOf(this.open).forEach((serving) -> serving.tick(now));
+		if (!this.openRequests.isEmpty()) {
+			List.copyOf(this.openRequests).forEach((serving) -> serving.tick(now));
 		}
-		this.holdings.look(now);
-		this.crashes.look(now);
+		this.buffers.check(now);
+		this.crashes.check(now);
 	}
 
-	private void tidy() {
-		this.pool.tidy(this.fleet.directory().knownIds());
-		this.decisions.picker().retain(this.fleet.directory().knownIds());
-		this.decisions.patience().retain(this.fleet.directory().knownIds());
+	private void cleanUp() {
+		this.pool.closeExpired(this.fleet.directory().knownIds());
+		this.routingState.picker().retain(this.fleet.directory().knownIds());
+		this.routingState.patience().retain(this.fleet.directory().knownIds());
 		this.coldPace.retain(this.fleet.directory().knownIds());
 		this.backpressure.retain(this.fleet.directory().knownIds());
 	}
 
-	boolean stopping() {
-		return this.stop.begun();
+	boolean isStopping() {
+		return this.drainPolicy.hasBegun();
 	}
 
-	StopPlan stop() {
-		return this.stop;
+	DrainPolicy drainPolicy() {
+		return this.drainPolicy;
 	}
 
 	FleetState fleet() {
 		return this.fleet;
 	}
 
-	Decisions decisions() {
-		return this.decisions;
+	SharedRoutingState routingState() {
+		return this.routingState;
 	}
 
-	Returns returns() {
-		return this.returns;
+	RetryAfterAdvisor retryAfterAdvisor() {
+		return this.retryAfterAdvisor;
 	}
 
 	RequestDispatcher dispatcher() {
 		return this.dispatcher;
 	}
 
-	NodeRegister nodes() {
-		return this.nodes;
+	NodeRegistry nodeRegistry() {
+		return this.nodeRegistry;
 	}
 
 	ReplicaEligibility rules() {
 		return this.rules;
 	}
 
-	StallWatch stalls() {
-		return this.stalls;
+	StallDetector stallDetector() {
+		return this.stallDetector;
 	}
 
-	ConfigCheck configCheck() {
-		return this.configCheck;
+	ConfigRefresher configRefresher() {
+		return this.configRefresher;
 	}
 
 	RolloutController rollouts() {
@@ -397,16 +400,16 @@
 		return this.log;
 	}
 
-	Holdings holdings() {
-		return this.holdings;
+	BufferManager buffers() {
+		return this.buffers;
 	}
 
 	ChannelPool pool() {
 		return this.pool;
 	}
 
-	LoadProbe probe() {
-		return this.probe;
+	LoadProbe loadProbe() {
+		return this.loadProbe;
 	}
 
 	HeaderCodec codec() {
@@ -432,7 +435,7 @@
 
 		private Store store;
 
-		private RolloutBoard board;
+		private RolloutStateWriter board;
 
 		private HeaderCodec codec;
 
@@ -441,19 +444,19 @@
 		}
 
 		/**
-		 * Sets where the deployment is told of.
+		 * Sets the source of information about the deployment.
 		 * @param newSource the source
-		 * @param newBoard where the state of roll-outs is written
+		 * @param newBoard the writer of roll-out states
 		 * @return this builder
 		 */
-		public Builder source(FleetSource newSource, RolloutBoard newBoard) {
+		public Builder source(FleetSource newSource, RolloutStateWriter newBoard) {
 			this.source = newSource;
 			this.board = newBoard;
 			return this;
 		}
 
 		/**
-		 * Sets where nodes leave notes for each other.
+		 * Sets the store for notes between nodes.
 		 * @param newStore the store
 		 * @return this builder
 		 */
@@ -474,10 +477,10 @@
 
 		/**
 		 * Builds the gateway.
-		 * @param vertx where it runs, with one event loop
+		 * @param vertx the Vert.x instance to run on, with one event loop
 		 * @return the gateway, not started
 		 */
-		public Gateway on(Vertx vertx) {
+		public Gateway build(Vertx vertx) {
 			return new Gateway(this, vertx);
 		}
 
--- a/daemon/src/main/java/org/gullsaddle/gateway/LoadProbe.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/LoadProbe.java
@@ -18,17 +18,17 @@
 import org.gullsaddle.serve.ReplicaSelector;
 
 /**
- * Asks a few engines for their load before one of them is given a request. Confined to
- * the event loop.
+ * Asks a few engines for their load before one of them is chosen for a request. Confined
+ * to the event loop.
  * <p>
- * A node with many others beside it sees an answer of each engine every few seconds, and
- * several nodes take the same engine for idle at once. The fresh loads of two or three
- * candidates even the queues out nearly as well as the loads of all would.
+ * With many nodes, each node sees an answer of an engine only every few seconds, and
+ * several nodes take the same engine for idle at once. Fresh loads of two or three
+ * candidates balance the queues nearly as well as the loads of all engines would.
  */
 final class LoadProbe {
 
-	/** How long engines may take to tell, in milliseconds. */
-	private static final long WAIT_MILLIS = 60;
+	/** Time within which engines must report, in milliseconds. */
+	private static final long TIMEOUT_MILLIS = 60;
 
 	private final Vertx vertx;
 
@@ -42,9 +42,9 @@
 
 	private final DecisionLog log;
 
-	private int asked;
+	private int sentCount;
 
-	private int failed;
+	private int failedCount;
 
 	LoadProbe(Vertx vertx, ChannelPool pool, HeaderCodec codec, ReplicaSelector picker,
 			BackpressureController backpressure, DecisionLog log) {
@@ -57,13 +57,13 @@
 	}
 
 	/**
-	 * Asks engines, and has the picker learn what they say.
+	 * Asks engines for their load and passes the reports to the picker.
 	 * @param replicas the engines
-	 * @param then is given those that told in time, which may be none
+	 * @param then receives those that reported in time, possibly none
 	 */
-	void ask(List<Replica> replicas, Consumer<List<Replica>> then) {
+	void probe(List<Replica> replicas, Consumer<List<Replica>> then) {
 		List<Future<Boolean>> answers = replicas.stream()
-			.map((replica) -> ask(replica, WAIT_MILLIS).map(Optional::isPresent))
+			.map((replica) -> probe(replica, TIMEOUT_MILLIS).map(Optional::isPresent))
 			.toList();
 		Future.join(answers).onComplete((all) -> {
 			List<Replica> told = new ArrayList<>();
@@ -77,76 +77,77 @@
 	}
 
 	/**
-	 * Returns how many reports were asked for since the start.
+	 * Returns the number of probes sent since the start.
 	 */
-	int asked() {
-		return this.asked;
+	int sentCount() {
+		return this.sentCount;
 	}
 
 	/**
-	 * Returns how many of them did not come in time, or could not be read.
+	 * Returns the number of probes that timed out or failed.
 	 */
-	int failed() {
-		return this.failed;
+	int failedCount() {
+		return this.failedCount;
 	}
 
 	/**
-	 * Asks one engine, and has the picker learn what it says.
+	 * Asks one engine for its load and passes the report to the picker.
 	 * @param replica the engine
-	 * @param waitMillis how long it may take to tell, in milliseconds
-	 * @return what it says, empty if it did not tell in time
+	 * @param waitMillis time within which it must report, in milliseconds
+	 * @return the report, empty if none came in time
 	 */
-	Future<Optional<EngineReport>> ask(Replica replica, long waitMillis) {
-		this.asked++;
+	Future<Optional<EngineReport>> probe(Replica replica, long waitMillis) {
+		this.sentCount++;
 		Promise<EngineReport> answer = Promise.promise();
 		long timer = this.vertx.setTimer(waitMillis, (id) -> answer.tryFail("nothing in " + waitMillis + " ms"));
 		answer.future().onComplete((done) -> this.vertx.cancelTimer(timer));
-		this.pool.take(replica, false).onComplete((channel, unreachable) -> {
+		this.pool.acquire(replica, false).onComplete((channel, unreachable) -> {
 			if (unreachable != null) {
-				this.picker.onUnreachable(Clock.millis(), replica);
+				this.picker.onUnreachable(MonotonicClock.millis(), replica);
 				answer.tryFail("unreachable");
 				return;
 			}
 			answer.future().onFailure((failure) -> channel.close());
-			if (!this.backpressure.mayAsk(replica)) {
+			if (!this.backpressure.canProbe(replica)) {
 				answer.tryFail("asks for fewer requests");
 			}
 			else if (!answer.future().isComplete()) {
-				read(replica, channel).onComplete(answer::tryComplete, answer::tryFail);
+				requestReport(replica, channel).onComplete(answer::tryComplete, answer::tryFail);
 			}
 		});
 		return answer.future()
-			.map((report) -> told(replica, report))
-			.otherwise((failure) -> notTold(replica, failure.getMessage()));
+			.map((report) -> onReport(replica, report))
+			.otherwise((failure) -> onFailure(replica, failure.getMessage()));
 	}
 
-	private Optional<EngineReport> told(Replica replica, EngineReport report) {
-		this.picker.onLoadReport(Clock.millis(), replica, report);
+	private Optional<EngineReport> onReport(Replica replica, EngineReport report) {
+		this.picker.onLoadReport(MonotonicClock.millis(), replica, report);
 		return Optional.of(report);
 	}
 
-	private Optional<EngineReport> notTold(Replica replica, String reason) {
-		this.failed++;
-		this.log.loadUnknown(replica.id(), reason);
+	private Optional<EngineReport> onFailure(Replica replica, String reason) {
+		this.failedCount++;
+		this.log.loadProbeFailed(replica.id(), reason);
 		return Optional.empty();
 	}
 
-	private Future<EngineReport> read(Replica replica, ChannelPool.Channel channel) {
-		RequestOptions options = new RequestOptions().setMethod(HttpMethod.GET).setURI(this.codec.reportPath());
+	private Future<EngineReport> requestReport(Replica replica, ChannelPool.Channel channel) {
+		RequestOptions options = new RequestOptions().setMethod(HttpMethod.GET).setURI(this.codec.loadReportPath());
 		return channel.connection().request(options).compose(HttpClientRequest::send).compose((response) -> {
 			ReplicaAnswer answer = this.codec.read(response);
-			this.backpressure.heard(replica, answer);
-			answer.pacePercent().ifPresent((percent) -> this.picker.onSlowdownReport(Clock.millis(), replica, percent));
-			return response.body().compose((body) -> report(channel, answer, body));
+			this.backpressure.onAnswer(replica, answer);
+			answer.slowdownPercent()
+				.ifPresent((percent) -> this.picker.onSlowdownReport(MonotonicClock.millis(), replica, percent));
+			return response.body().compose((body) -> parseReport(channel, answer, body));
 		});
 	}
 
-	private Future<EngineReport> report(ChannelPool.Channel channel, ReplicaAnswer answer, Buffer body) {
-		Optional<EngineReport> report = answer.success() ? this.codec.readReport(body) : Optional.empty();
+	private Future<EngineReport> parseReport(ChannelPool.Channel channel, ReplicaAnswer answer, Buffer body) {
+		Optional<EngineReport> report = answer.isSuccess() ? this.codec.readLoadReport(body) : Optional.empty();
 		if (report.isEmpty()) {
 			return Future.failedFuture("no report, but status " + answer.status());
 		}
-		this.pool.giveBack(channel, answer.closes() ? 0 : answer.keepMillis());
+		this.pool.release(channel, answer.closesConnection() ? 0 : answer.keepAliveMillis());
 		return Future.succeededFuture(report.get());
 	}
 
--- a/daemon/src/main/java/org/gullsaddle/gateway/Clock.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/MonotonicClock.java
@@ -1,13 +1,14 @@
 package org.gullsaddle.gateway;
 
 /**
- * The steady clock. The time of day may jump; nothing that the gateway decides reads it.
+ * Clock for intervals. The time of day may jump, so the gateway does not base decisions
+ * on it.
  */
-final class Clock {
+final class MonotonicClock {
 
 	private static final long NANOS_PER_MILLI = 1_000_000;
 
-	private Clock() {
+	private MonotonicClock() {
 	}
 
 	static long millis() {
--- a/daemon/src/main/java/org/gullsaddle/gateway/NodeNote.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/NodeNoteWriter.java
@@ -6,14 +6,14 @@
 import org.gullsaddle.store.Store;
 
 /**
- * What a node writes in the store for the other nodes, under a key of its own. Confined
- * to the event loop.
+ * Writes this node's note for its peers in the store, under a key of its own. Confined to
+ * the event loop.
  * <p>
- * Each write names the revision that it replaces. After a lost answer, or an earlier life
- * of this node under the same key, that revision is not known; it is read anew, and the
- * note is due again.
+ * Each write names the revision that it replaces. After a lost answer, or an earlier
+ * process of this node under the same key, that revision is unknown; it is reread, and
+ * the note must be written again.
  */
-final class NodeNote {
+final class NodeNoteWriter {
 
 	private final Store store;
 
@@ -23,30 +23,30 @@
 
 	private boolean busy;
 
-	NodeNote(Store store, String key) {
+	NodeNoteWriter(Store store, String key) {
 		this.store = store;
 		this.key = key;
 	}
 
 	/**
-	 * Says whether the store has yet to answer.
+	 * Returns whether a write is in progress.
 	 */
-	boolean busy() {
+	boolean isBusy() {
 		return this.busy;
 	}
 
 	/**
 	 * Writes the note.
 	 * @param value the new value
-	 * @param dueAgain is told if the value may not stand there
+	 * @param dueAgain runs if the value may not have been written
 	 */
 	void write(String value, Runnable dueAgain) {
 		this.busy = true;
 		this.store.write(this.key, this.revision, List.of(new Store.Put(this.key, value)))
-			.subscribe((written) -> wrote(written, dueAgain), (failure) -> refresh(dueAgain));
+			.subscribe((written) -> onWritten(written, dueAgain), (failure) -> refresh(dueAgain));
 	}
 
-	private void wrote(Optional<Long> written, Runnable dueAgain) {
+	private void onWritten(Optional<Long> written, Runnable dueAgain) {
 		if (written.isPresent()) {
 			this.revision = written.get();
 			this.busy = false;
--- a/daemon/src/main/java/org/gullsaddle/gateway/ReplicaChooser.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/ReplicaChooser.java
@@ -22,12 +22,13 @@
 import org.gullsaddle.suspect.Trait;
 
 /**
- * Chooses the replicas that one request goes to.
+ * Chooses the replicas for the attempts of one request.
  */
 final class ReplicaChooser {
 
-	/** Why there is no replica for a time that the rules know. */
-	private static final Set<ReplicaEligibility.NoReplica> BY_THE_RULES = EnumSet.of(
+	/** Reasons for which the rules know how long there is no replica. */
+	private static final Set<ReplicaEligibility.NoReplica> REASONS_WITH_KNOWN_DELAY = EnumSet
+		.of(
 			ReplicaEligibility.NoReplica.LIMITED, ReplicaEligibility.NoReplica.RESTING,
 			ReplicaEligibility.NoReplica.CRASHES);
 
@@ -41,126 +42,128 @@
 	}
 
 	/**
-	 * Says whether there is a replica that the request was not sent to yet.
+	 * Returns whether there is a usable replica that the request was not sent to yet.
 	 */
-	boolean another(Set<ReplicaId> tried, String model) {
-		Set<ReplicaId> leftOut = leftOut(tried, model);
+	boolean hasUntried(Set<ReplicaId> tried, String model) {
+		Set<ReplicaId> leftOut = excluded(tried, model);
 		return usable(leftOut, model).stream().anyMatch((replica) -> !leftOut.contains(replica.id()));
 	}
 
 	/**
-	 * Says whether the request may go to no replica, as it would crash it.
+	 * Returns whether the request may not run anywhere because one of its traits is
+	 * blocked for crashes.
 	 */
-	boolean refused(String model) {
-		return rules().isBlocked(wanted(model));
+	boolean isBlocked(String model) {
+		return rules().isBlocked(requirements(model));
 	}
 
 	/**
-	 * Says why there is no replica for the request.
+	 * Returns why there is no replica for the request.
 	 */
-	ReplicaEligibility.NoReplica whyNone(String model) {
-		return rules().noReplicaReason(Clock.millis(), wanted(model));
+	ReplicaEligibility.NoReplica noReplicaReason(String model) {
+		return rules().noReplicaReason(MonotonicClock.millis(), requirements(model));
 	}
 
 	/**
-	 * Returns when the caller is to come back, as there is no replica for the request.
+	 * Returns the retry delay for the caller if there is no replica, in milliseconds.
 	 */
-	long comeBackMillis(ReplicaEligibility.NoReplica why, String model) {
-		if (BY_THE_RULES.contains(why)) {
-			return this.gateway.decisions().comeBackMillis(rules().retryAfterMillis(Clock.millis(), wanted(model)));
+	long retryAfterMillis(ReplicaEligibility.NoReplica why, String model) {
+		if (REASONS_WITH_KNOWN_DELAY.contains(why)) {
+			return this.gateway.routingState()
+				.retryAfterMillis(rules().retryAfterMillis(MonotonicClock.millis(), requirements(model)));
 		}
-		return this.gateway.decisions().comeBackMillis(why);
+		return this.gateway.routingState().retryAfterMillis(why);
 	}
 
 	/**
-	 * Gives the request to a replica.
+	 * Takes an admission for the request at a replica.
 	 */
 	SendPermission admit(Replica replica) {
-		return this.gateway.backpressure().book().admit(Clock.millis(), replica);
+		return this.gateway.backpressure().table().admit(MonotonicClock.millis(), replica);
 	}
 
 	/**
-	 * Says whether a replica that was given the request may still be sent it.
+	 * Returns whether the request may still be sent to the chosen replica.
 	 */
-	boolean stillOpen(Replica chosen, SendPermission admission, String model) {
-		return !refused(model) && this.gateway.fleet().directory().canStillUse(Clock.millis(), chosen)
-				&& this.gateway.backpressure().book().canStillSend(Clock.millis(), chosen, admission);
+	boolean canStillSend(Replica chosen, SendPermission admission, String model) {
+		return !isBlocked(model) && this.gateway.fleet().directory().canStillUse(MonotonicClock.millis(), chosen)
+				&& this.gateway.backpressure().table().canStillSend(MonotonicClock.millis(), chosen, admission);
 	}
 
 	/**
-	 * Returns how long a replica stays cold, 0 if it is warm.
+	 * Returns how much longer a replica stays cold, in milliseconds, 0 if it is warm.
 	 */
 	long coldMillis(Replica replica) {
-		return this.gateway.fleet().directory().coldMillis(Clock.millis(), replica.id());
+		return this.gateway.fleet().directory().coldMillis(MonotonicClock.millis(), replica.id());
 	}
 
 	/**
-	 * Notes that the request is sent to a replica.
+	 * Records that the request is sent to a replica.
 	 */
-	void sent(Replica replica) {
-		rules().onSent(Clock.millis(), wanted(""), replica);
+	void recordSent(Replica replica) {
+		rules().onSent(MonotonicClock.millis(), requirements(""), replica);
 	}
 
-	private Set<ReplicaId> leftOut(Set<ReplicaId> tried, String model) {
-		return rules().excludedReplicas(Clock.millis(), wanted(model), tried);
+	private Set<ReplicaId> excluded(Set<ReplicaId> tried, String model) {
+		return rules().excludedReplicas(MonotonicClock.millis(), requirements(model), tried);
 	}
 
 	private List<Replica> usable(Set<ReplicaId> leftOut, String model) {
-		return rules().eligibleReplicas(Clock.millis(), wanted(model), leftOut);
+		return rules().eligibleReplicas(MonotonicClock.millis(), requirements(model), leftOut);
 	}
 
-	private ReplicaEligibility.Requirements wanted(String model) {
-		CrashTracker crashes = this.gateway.crashes().book();
+	private ReplicaEligibility.Requirements requirements(String model) {
+		CrashTracker crashes = this.gateway.crashes().crashTable();
 		List<Trait> traits = (crashes.blockedCount() == 0 || this.request.isTrial()) ? List.of()
 				: this.request.traits(model);
-		return new ReplicaEligibility.Requirements(this.request.service(), this.request.limit(),
-				this.request.coldStart(), this.gateway.nodes().known(),
+		return new ReplicaEligibility.Requirements(this.request.service(), this.request.regionLimit(),
+				this.request.coldStart(), this.gateway.nodeRegistry().knownCount(),
 				this.gateway.fleet().rollout(this.request.service()), this.request.releaseKey(), traits);
 	}
 
 	/**
-	 * Chooses a replica for a task, after some were asked for their load where too little
-	 * is known of it.
+	 * Chooses a replica for a task; probes candidates first if too little is known of
+	 * their load.
 	 * @param tried replicas that are left out
-	 * @param then is given the choice, at once or when the replicas have told
+	 * @param then receives the choice, at once or after the probes
 	 */
 	void choose(ReplicaTask task, Set<ReplicaId> tried, Consumer<Optional<ReplicaChoice>> then) {
-		Set<ReplicaId> leftOut = leftOut(tried, task.model());
+		Set<ReplicaId> leftOut = excluded(tried, task.model());
 		List<Replica> usable = usable(leftOut, task.model());
 		if (this.request.isTrial()) {
-			then.accept(emptiest(task, usable, leftOut));
+			then.accept(chooseLeastLoaded(task, usable, leftOut));
 			return;
 		}
-		List<Replica> asked = toAsk(usable, task, leftOut);
+		List<Replica> asked = replicasToProbe(usable, task, leftOut);
 		if (asked.isEmpty()) {
-			then.accept(picker().chooseReplica(Clock.millis(), usable, leftOut, task));
+			then.accept(picker().chooseReplica(MonotonicClock.millis(), usable, leftOut, task));
 			return;
 		}
-		this.gateway.probe().ask(asked, (told) -> {
-			Set<ReplicaId> leftOutNow = leftOut(tried, task.model());
+		this.gateway.loadProbe().probe(asked, (told) -> {
+			Set<ReplicaId> leftOutNow = excluded(tried, task.model());
 			List<Replica> stillUsable = usable(leftOutNow, task.model());
-			List<Replica> left = withoutSilent(stillUsable, asked, told);
-			then.accept(picker().chooseReplica(Clock.millis(), left, leftOutNow, task)
-				.or(() -> picker().chooseReplica(Clock.millis(), stillUsable, leftOutNow, task)));
+			List<Replica> left = withoutUnanswered(stillUsable, asked, told);
+			then.accept(picker().chooseReplica(MonotonicClock.millis(), left, leftOutNow, task)
+				.or(() -> picker().chooseReplica(MonotonicClock.millis(), stillUsable, leftOutNow, task)));
 		});
 	}
 
 	/**
-	 * Chooses the replica with the fewest requests, which are lost if it crashes.
+	 * Chooses the replica with the fewest requests, since they are lost if it crashes.
 	 */
-	private Optional<ReplicaChoice> emptiest(ReplicaTask task, List<Replica> usable, Set<ReplicaId> leftOut) {
-		return picker().bestChoices(Clock.millis(), usable, leftOut, task, usable.size())
+	private Optional<ReplicaChoice> chooseLeastLoaded(ReplicaTask task, List<Replica> usable, Set<ReplicaId> leftOut) {
+		return picker().bestChoices(MonotonicClock.millis(), usable, leftOut, task, usable.size())
 			.stream()
 			.min(Comparator.comparingDouble((choice) -> choice.load().requests()));
 	}
 
 	/**
-	 * Chooses among the replicas that told their load lately, without asking any.
+	 * Chooses among the replicas that reported their load recently, without probing any.
 	 * @param tried replicas that are left out
 	 */
-	Optional<ReplicaChoice> known(ReplicaTask task, Set<ReplicaId> tried) {
-		long now = Clock.millis();
-		Set<ReplicaId> leftOut = new HashSet<>(leftOut(tried, task.model()));
+	Optional<ReplicaChoice> chooseAmongReported(ReplicaTask task, Set<ReplicaId> tried) {
+		long now = MonotonicClock.millis();
+		Set<ReplicaId> leftOut = new HashSet<>(excluded(tried, task.model()));
 		List<Replica> usable = usable(leftOut, task.model());
 		usable.stream()
 			.filter((replica) -> !picker().hasRecentReport(now, replica))
@@ -169,28 +172,29 @@
 	}
 
 	/**
-	 * Returns when an answer would begin at a replica if the request came there now. One
-	 * of which nothing is known is taken to be as full as the others, tried ones too.
+	 * Returns the expected delay until an answer would begin if the request arrived at a
+	 * replica now. A replica of unknown load is assumed to be as loaded as the others,
+	 * including tried ones.
 	 */
-	DelayEstimate delayAt(Replica replica, ReplicaTask task) {
-		return picker().estimateDelay(Clock.millis(), usable(Set.of(), task.model()), replica, task);
+	DelayEstimate expectedDelay(Replica replica, ReplicaTask task) {
+		return picker().estimateDelay(MonotonicClock.millis(), usable(Set.of(), task.model()), replica, task);
 	}
 
 	/**
-	 * Says whether the request would not begin in its time at any replica that may run
-	 * its smallest model. What a cold one would do is not known.
+	 * Returns whether no replica that may run the request's smallest model would begin in
+	 * time. Never true if there are cold replicas, whose delay is unknown.
 	 */
-	boolean hopeless(ReplicaTask task, ReplicaChoice choice, long left) {
+	boolean wouldMissDeadline(ReplicaTask task, ReplicaChoice choice, long left) {
 		if (!this.gateway.settings().load().pressure() || this.request.engine().isEmpty()
 				|| !DeadlineCheck.isTooLate(choice, left)) {
 			return false;
 		}
-		long now = Clock.millis();
-		// Limited ones are among them: they may take it yet.
+		long now = MonotonicClock.millis();
+		// Rate-limited replicas are included: they may still accept the request.
 		List<Replica> usable = usable(Set.of(), task.model());
 		List<ReplicaChoice> all = picker().bestChoices(now, usable, Set.of(), task, usable.size());
-		boolean refused = !rules().hasColdReplica(now, wanted(task.model()))
-				&& this.gateway.decisions().hopeless().shouldRefuse(now, this.request.service(), all, left);
+		boolean refused = !rules().hasColdReplica(now, requirements(task.model()))
+				&& this.gateway.routingState().hopeless().shouldRefuse(now, this.request.service(), all, left);
 		if (refused) {
 			this.gateway.telemetry().count("would.not.begin");
 		}
@@ -198,21 +202,23 @@
 	}
 
 	/**
-	 * A question is work too: what cold or limited replicas bear is kept for requests,
-	 * and one that asks for rest is not asked.
+	 * Returns the replicas to probe. A probe is work too: the capacity of cold or
+	 * rate-limited replicas is kept for requests, and a replica in back-off is not
+	 * probed.
 	 */
-	private List<Replica> toAsk(List<Replica> usable, ReplicaTask task, Set<ReplicaId> leftOut) {
-		return picker().replicasToQuery(Clock.millis(), usable, leftOut, task).stream().filter(this::mayAsk).toList();
+	private List<Replica> replicasToProbe(List<Replica> usable, ReplicaTask task, Set<ReplicaId> leftOut) {
+		return picker().replicasToQuery(MonotonicClock.millis(), usable, leftOut, task).stream().filter(this::canProbe).toList();
 	}
 
 	/**
-	 * Says whether a replica may be asked for its load.
+	 * Returns whether a replica may be probed for its load.
 	 */
-	boolean mayAsk(Replica replica) {
-		return !rules().isCold(Clock.millis(), wanted(""), replica) && this.gateway.backpressure().mayAsk(replica);
+	boolean canProbe(Replica replica) {
+		return !rules().isCold(MonotonicClock.millis(), requirements(""), replica)
+				&& this.gateway.backpressure().canProbe(replica);
 	}
 
-	private static List<Replica> withoutSilent(List<Replica> usable, List<Replica> asked, List<Replica> told) {
+	private static List<Replica> withoutUnanswered(List<Replica> usable, List<Replica> asked, List<Replica> told) {
 		Set<ReplicaId> silent = asked.stream().map(Replica::id).collect(Collectors.toSet());
 		told.forEach((replica) -> silent.remove(replica.id()));
 		return usable.stream().filter((replica) -> !silent.contains(replica.id())).toList();
@@ -223,7 +229,7 @@
 	}
 
 	private ReplicaSelector picker() {
-		return this.gateway.decisions().picker();
+		return this.gateway.routingState().picker();
 	}
 
 }
--- /dev/null
+++ b/daemon/src/main/java/org/gullsaddle/gateway/RequestBodyReader.java
@@ -0,0 +1,139 @@
+package org.gullsaddle.gateway;
+
+import java.util.Optional;
+
+import io.vertx.core.buffer.Buffer;
+import io.vertx.core.http.HttpServerRequest;
+
+import org.gullsaddle.hold.BufferAccount;
+
+/**
+ * Reads a caller's request with its whole body and passes it to the dispatcher.
+ */
+final class RequestBodyReader implements BufferManager.Transfer {
+
+	/** Largest body while no configuration is known, in bytes. */
+	private static final long DEFAULT_BODY_BYTES = 4_194_304;
+
+	/** Time over which a caller's sending rate is measured, in milliseconds. */
+	private static final long RATE_WINDOW_MILLIS = 1000;
+
+	private final Gateway gateway;
+
+	private final HttpServerRequest request;
+
+	private final long startedAt = MonotonicClock.millis();
+
+	private Buffer body = Buffer.buffer();
+
+	private Optional<BufferAccount> holder = Optional.empty();
+
+	private boolean paused;
+
+	private boolean done;
+
+	RequestBodyReader(Gateway gateway, HttpServerRequest request) {
+		this.gateway = gateway;
+		this.request = request;
+	}
+
+	void begin() {
+		CallerRequest caller;
+		try {
+			caller = this.gateway.codec().read(this.request);
+		}
+		catch (BadRequestException ex) {
+			reject(HttpStatuses.BAD_REQUEST, Optional.empty(), ex.getMessage());
+			return;
+		}
+		long limit = this.gateway.fleet()
+			.config()
+			.map((config) -> config.limits().bodyBytes())
+			.orElse(DEFAULT_BODY_BYTES);
+		this.request.handler((bytes) -> append(bytes, limit, caller));
+		this.request.exceptionHandler((failure) -> this.done = true);
+		this.request.endHandler((nothing) -> {
+			if (!this.done) {
+				this.done = true;
+				this.holder.ifPresent((each) -> each.recordBuffered(this.body.length(), false, MonotonicClock.millis()));
+				this.gateway.dispatcher().dispatch(this.request, caller, this.body, this.startedAt);
+			}
+		});
+	}
+
+	private void append(Buffer bytes, long limit, CallerRequest caller) {
+		if (this.done) {
+			return;
+		}
+		if (this.body.length() + bytes.length() > limit) {
+			reject(HttpStatuses.CONTENT_TOO_LARGE, Optional.empty(), "the body is larger than " + limit + " bytes");
+			return;
+		}
+		this.body.appendBuffer(bytes);
+		if (this.gateway.buffers().isEnabled()) {
+			updateHolder(bytes.length(), caller.attemptId().orElse(""));
+		}
+	}
+
+	private void updateHolder(int bytes, String id) {
+		if (this.holder.isEmpty()) {
+			this.holder = Optional.of(this.gateway.buffers().open(id, RATE_WINDOW_MILLIS, this));
+		}
+		BufferAccount mine = this.holder.get();
+		mine.recordBuffered(this.body.length(), true, MonotonicClock.millis());
+		mine.recordTransferred(bytes, MonotonicClock.millis());
+		if (this.gateway.buffers().isExhausted() && !mine.canRead()) {
+			this.paused = true;
+			this.request.pause();
+		}
+	}
+
+	@Override
+	public void check(long now) {
+		if (this.request.response().ended() || this.request.response().closed()) {
+			this.holder.ifPresent(this.gateway.buffers()::close);
+		}
+		if (this.paused && !this.gateway.buffers().isExhausted()) {
+			resume();
+		}
+	}
+
+	private void resume() {
+		if (this.paused) {
+			this.paused = false;
+			this.request.resume();
+		}
+	}
+
+	/**
+	 * Returns false: this reads a caller's body, never a replica's answer.
+	 */
+	@Override
+	public boolean isPaused() {
+		return false;
+	}
+
+	@Override
+	public String kind() {
+		return "body";
+	}
+
+	@Override
+	public void abort() {
+		this.body = Buffer.buffer();
+		reject(HttpStatuses.SERVICE_UNAVAILABLE, Optional.of(this.gateway.routingState().retryAfterMillis()),
+				"sent too slowly");
+		resume();
+	}
+
+	/**
+	 * Answers a request that is not read to its end and closes its connection, since
+	 * later requests on it could not be told apart from the unread body.
+	 */
+	private void reject(int status, Optional<Long> after, String reason) {
+		this.done = true;
+		CallerAnswerWriter writer = new CallerAnswerWriter(this.request.response(), () -> true);
+		this.gateway.dispatcher().sendRefusal(writer, CallerRequest.unreadable(), status, after, reason);
+	}
+
+}
--- a/daemon/src/main/java/org/gullsaddle/gateway/RequestDispatcher.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/RequestDispatcher.java
@@ -14,8 +14,8 @@
 import org.gullsaddle.fleet.Team;
 
 /**
- * Decides what becomes of requests that were read: they are held for the configuration,
- * refused, or served. Confined to the event loop.
+ * Queues requests until there is a configuration, refuses them, or starts to serve them.
+ * Confined to the event loop.
  */
 final class RequestDispatcher {
 
@@ -23,10 +23,13 @@
 
 	private final Gateway gateway;
 
-	private final HeldRequests held = new HeldRequests();
+	private final StartupRequestQueue startupQueue = new StartupRequestQueue();
 
-	/** Callers' connections that were opened after the balancer should have noticed. */
-	private final Set<HttpConnection> lateCallers = new HashSet<>();
+	/**
+	 * Callers' connections that were opened after the load balancer should have noticed
+	 * the stop.
+	 */
+	private final Set<HttpConnection> lateConnections = new HashSet<>();
 
 	RequestDispatcher(Vertx vertx, Gateway gateway) {
 		this.vertx = vertx;
@@ -34,38 +37,39 @@
 	}
 
 	/**
-	 * Takes in that a caller has connected.
+	 * Handles a new connection of a caller.
 	 */
-	void connected(HttpConnection connection) {
-		if (!this.gateway.stop().takesAll(Clock.millis())) {
-			this.lateCallers.add(connection);
-			connection.closeHandler((nothing) -> this.lateCallers.remove(connection));
+	void onConnected(HttpConnection connection) {
+		if (!this.gateway.drainPolicy().acceptsAll(MonotonicClock.millis())) {
+			this.lateConnections.add(connection);
+			connection.closeHandler((nothing) -> this.lateConnections.remove(connection));
 		}
 	}
 
 	/**
-	 * Returns how many requests wait for the configuration.
+	 * Returns the number of requests that wait for the configuration.
 	 */
-	int held() {
-		return this.held.count();
+	int heldCount() {
+		return this.startupQueue.count();
 	}
 
 	/**
-	 * Decides on the requests that are held.
+	 * Releases the requests that wait for the configuration.
 	 */
-	void release() {
-		this.held.release();
+	void releaseHeld() {
+		this.startupQueue.release();
 	}
 
 	/**
-	 * Takes in a request whose body is complete. A node that is behind may read it after
-	 * its caller has left. The close of its connection, which is read in the next turn of
-	 * the event loop, is waited for then, so that no replica gets work for nobody.
+	 * Dispatches a request whose body is complete. A node that lags may read it after its
+	 * caller has left; it then waits for the next turn of the event loop, which would
+	 * read the close of the connection, so that no replica works for a caller that has
+	 * left.
 	 */
-	void take(HttpServerRequest request, CallerRequest caller, Buffer body, long startedAt) {
+	void dispatch(HttpServerRequest request, CallerRequest caller, Buffer body, long startedAt) {
 		Runnable serve = () -> serve(request, caller, body, startedAt, false);
-		if (this.gateway.stalls().behind(Clock.millis())) {
-			// A timer that is due may still run in this turn; one that it sets does not.
+		if (this.gateway.stallDetector().isBehind(MonotonicClock.millis())) {
+			// A due timer may still run in this turn; a timer set by it does not.
 			this.vertx.setTimer(1, (first) -> this.vertx.setTimer(1, (second) -> serve.run()));
 		}
 		else {
@@ -75,84 +79,85 @@
 
 	/**
 	 * Serves or refuses a request.
-	 * @param checked whether the configuration was read anew for it
+	 * @param checked whether the configuration was reread for it
 	 */
 	private void serve(HttpServerRequest request, CallerRequest caller, Buffer body, long startedAt, boolean checked) {
-		CallerAnswerWriter writer = new CallerAnswerWriter(request.response(), this.gateway::stopping);
+		CallerAnswerWriter writer = new CallerAnswerWriter(request.response(), this.gateway::isStopping);
 		Optional<FleetConfig> config = this.gateway.fleet().config();
 		if (request.response().closed()) {
 			return;
 		}
-		if (config.isEmpty() && !this.gateway.stopping()
-				&& this.held.hold(() -> serve(request, caller, body, startedAt, checked))) {
+		if (config.isEmpty() && !this.gateway.isStopping()
+				&& this.startupQueue.offer(() -> serve(request, caller, body, startedAt, checked))) {
 			return;
 		}
 		if (config.isEmpty()) {
-			refused(writer, caller, Statuses.UNAVAILABLE, Optional.of(this.gateway.decisions().comeBackMillis()),
-					"no configuration yet");
+			sendRefusal(writer, caller, HttpStatuses.SERVICE_UNAVAILABLE,
+					Optional.of(this.gateway.routingState().retryAfterMillis()), "no configuration yet");
 			return;
 		}
 		Optional<Route> route = config.get().findRoute(caller.host(), caller.path());
 		boolean keyed = config.get().isKeyRequired() && route.isPresent() && !route.get().isOpen();
-		Optional<Team> team = keyed ? caller.key().flatMap(config.get()::findTeam) : Optional.empty();
+		Optional<Team> team = keyed ? caller.apiKey().flatMap(config.get()::findTeam) : Optional.empty();
 		boolean allowed = route.isPresent() && !(keyed && team.isEmpty());
-		if (!checked && this.gateway.configCheck().due(allowed)) {
-			this.gateway.configCheck().read(() -> serve(request, caller, body, startedAt, true));
+		if (!checked && this.gateway.configRefresher().isDue(allowed)) {
+			this.gateway.configRefresher().refresh(() -> serve(request, caller, body, startedAt, true));
 			return;
 		}
 		if (!allowed) {
 			refuse(writer, caller, route.isEmpty());
 			return;
 		}
-		if (!this.gateway.stop().takes(route.get(), Clock.millis())) {
-			boolean noNodeReady = this.lateCallers.contains(request.connection());
-			long after = noNodeReady ? this.gateway.stop().backMillis(Clock.millis()) : 0;
-			refused(writer, caller, Statuses.UNAVAILABLE,
-					Optional.of(after + this.gateway.decisions().comeBackMillis()), "stopping");
+		if (!this.gateway.drainPolicy().accepts(route.get(), MonotonicClock.millis())) {
+			boolean noNodeReady = this.lateConnections.contains(request.connection());
+			long after = noNodeReady ? this.gateway.drainPolicy().retryAfterMillis(MonotonicClock.millis()) : 0;
+			sendRefusal(writer, caller, HttpStatuses.SERVICE_UNAVAILABLE,
+					Optional.of(after + this.gateway.routingState().retryAfterMillis()), "stopping");
 			return;
 		}
 		ServedRequest served = ServedRequest.of(request)
 			.caller(caller, team)
-			.under(config.get(), route.get(),
-					this.gateway.decisions().service(route.get(), caller.attemptId().orElse("")))
+			.routing(config.get(), route.get(),
+					this.gateway.routingState().service(route.get(), caller.attemptId().orElse("")))
 			.body(body)
-			.time(startedAt, this.gateway.stop().latest(route.get()))
+			.time(startedAt, this.gateway.drainPolicy().latestAnswerAt(route.get()))
 			.build();
-		if (this.gateway.holdings().inForce() && !served.fits()) {
-			refused(writer, caller, Statuses.UNAVAILABLE, Optional.of(this.gateway.decisions().comeBackMillis()),
-					"larger than a replica's memory");
+		if (this.gateway.buffers().isEnabled() && !served.fitsReplicaMemory()) {
+			sendRefusal(writer, caller, HttpStatuses.SERVICE_UNAVAILABLE,
+					Optional.of(this.gateway.routingState().retryAfterMillis()), "larger than a replica's memory");
 			return;
 		}
-		new Serving(this.gateway, served).start();
+		new RequestExecution(this.gateway, served).start();
 	}
 
 	/**
-	 * Refuses a request that the known configuration does not allow. That is definite
-	 * only if no newer one may allow it.
+	 * Refuses a request that the known configuration does not allow: for good only if no
+	 * newer configuration may allow it.
 	 */
 	private void refuse(CallerAnswerWriter writer, CallerRequest caller, boolean noRoute) {
-		if (this.gateway.configCheck().due(false)) {
-			refused(writer, caller, Statuses.UNAVAILABLE, Optional.of(this.gateway.decisions().comeBackMillis()),
-					"the configuration may have changed");
+		if (this.gateway.configRefresher().isDue(false)) {
+			sendRefusal(writer, caller, HttpStatuses.SERVICE_UNAVAILABLE,
+					Optional.of(this.gateway.routingState().retryAfterMillis()), "the configuration may have changed");
 		}
 		else if (noRoute) {
-			refused(writer, caller, Statuses.NOT_FOUND, Optional.empty(), "no route");
+			sendRefusal(writer, caller, HttpStatuses.NOT_FOUND, Optional.empty(), "no route");
 		}
 		else {
-			refused(writer, caller, Statuses.UNAUTHORIZED, Optional.empty(), "unknown key");
+			sendRefusal(writer, caller, HttpStatuses.UNAUTHORIZED, Optional.empty(), "unknown key");
 		}
 	}
 
 	/**
-	 * Ends a request that no route took.
-	 * @param after when the caller may come back, in milliseconds
+	 * Refuses a request that no route accepted.
+	 * @param after when the caller may retry, in milliseconds
 	 */
-	void refused(CallerAnswerWriter writer, CallerRequest caller, int status, Optional<Long> after, String reason) {
-		writer.error(status, after, reason);
+	void sendRefusal(CallerAnswerWriter writer, CallerRequest caller, int status, Optional<Long> after, String reason) {
+		writer.writeError(status, after, reason);
 		long version = this.gateway.fleet().config().map(FleetConfig::version).orElse(0L);
 		this.gateway.log()
 			.request(new DecisionLog.RequestLine(caller.attemptId().orElse(""), "", "", "", "refused", status, reason,
-					"not-run", 0, false, after.orElse(-1L), 0, version, this.gateway.fleet().age(Clock.millis()), 0));
+					"not-run", 0, false, after.orElse(-1L), 0, version,
+					this.gateway.fleet().ageMillis(MonotonicClock.millis()), 0));
 		this.gateway.telemetry().count("refused." + status);
 	}
 
--- a/daemon/src/main/java/org/gullsaddle/gateway/Returns.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/RetryAfterAdvisor.java
@@ -8,10 +8,10 @@
 import org.gullsaddle.telemetry.Telemetry;
 
 /**
- * Tells callers when to come back: where they compete for too little room, by the rate at
- * which requests end. Confined to the event loop.
+ * Computes retry delays for refused callers: under pressure from the rate at which
+ * requests end. Confined to the event loop.
  */
-final class Returns {
+final class RetryAfterAdvisor {
 
 	private final boolean pressure;
 
@@ -19,38 +19,38 @@
 
 	private final RetryAfterScheduler times = new RetryAfterScheduler(RandomGenerator.getDefault());
 
-	Returns(boolean pressure, Telemetry telemetry) {
+	RetryAfterAdvisor(boolean pressure, Telemetry telemetry) {
 		this.pressure = pressure;
 		this.telemetry = telemetry;
 	}
 
-	void opened(ServedRequest request) {
+	void onOpened(ServedRequest request) {
 		if (this.pressure) {
-			this.times.onRequestOpened(Clock.millis(), request.service(), request.rank());
+			this.times.onRequestOpened(MonotonicClock.millis(), request.service(), request.rank());
 		}
 	}
 
 	/**
-	 * Notes that a request is open no longer.
-	 * @param ran whether it took room at replicas
+	 * Handles the end of a request.
+	 * @param ran whether it took capacity of replicas
 	 */
-	void closed(ServedRequest request, boolean ran) {
+	void onClosed(ServedRequest request, boolean ran) {
 		if (this.pressure) {
-			this.times.onRequestClosed(Clock.millis(), request.service(), request.rank(), ran);
+			this.times.onRequestClosed(MonotonicClock.millis(), request.service(), request.rank(), ran);
 		}
 	}
 
 	/**
-	 * Returns when a refused caller is to come back.
-	 * @param soonest the soonest that it may be told, in milliseconds
+	 * Returns the retry delay for a refused caller, in milliseconds.
+	 * @param soonest the shortest delay allowed, in milliseconds
 	 */
-	long backMillis(ServedRequest request, long soonest) {
+	long retryAfterMillis(ServedRequest request, long soonest) {
 		if (!this.pressure) {
 			return soonest;
 		}
-		long now = Clock.millis();
+		long now = MonotonicClock.millis();
 		RefusedRequest refused = new RefusedRequest(request.service(), request.rank(), request.teamName(),
-				request.content());
+				request.contentHash());
 		RetryAfter time = this.times.schedule(now, refused, soonest, request.timeLeft(now));
 		this.telemetry.count(time.capacityExpected() ? "returns.told" : "returns.told.without.hope");
 		return time.retryAfterMillis();
--- a/daemon/src/main/java/org/gullsaddle/gateway/RolloutController.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/RolloutController.java
@@ -24,35 +24,41 @@
 import org.gullsaddle.store.Store;
 
 /**
- * Drives roll-outs: tells other nodes what this one saw, and writes the state when it is
- * due.
+ * Drives roll-outs: shares this node's evidence with its peers and writes a roll-out's
+ * state when a change is due.
  * <p>
- * No node is elected for it. The state is written under the condition that it still has
- * the revision that the decision was made by, so that of several nodes that find it due
- * at once one succeeds, and a node that was frozen and wakes writes nothing.
+ * No node is elected. The state is written on the condition that it still has the
+ * revision on which the decision was based, so that only one of several nodes succeeds,
+ * and a node that resumes after a freeze writes nothing.
  */
 final class RolloutController {
 
-	static final String NOTES = "gullsaddle/rollouts/";
+	static final String NOTE_PREFIX = "gullsaddle/rollouts/";
 
-	/** How often roll-outs are looked at, in milliseconds; spread out between nodes. */
-	private static final long LOOK_MILLIS = 200;
+	/**
+	 * Interval at which roll-outs are checked, in milliseconds; jitter spreads it between
+	 * nodes.
+	 */
+	private static final long CHECK_INTERVAL_MILLIS = 200;
 
-	/** How often a note is written while it changes, in milliseconds: each is a call. */
-	private static final long NOTE_MILLIS = 2000;
+	/**
+	 * Longest interval between notes that change, in milliseconds: each is a call to the
+	 * store.
+	 */
+	private static final long MAX_NOTE_INTERVAL_MILLIS = 2000;
 
-	/** The same as a part of a short roll-out's time. */
-	private static final double NOTE_PART = 0.06;
+	/** Interval between notes relative to the duration of a short roll-out. */
+	private static final double NOTE_INTERVAL_RATIO = 0.06;
 
-	/** New evidence that is told at once: that of a failure. */
+	/** Evidence that is shared at once: that of one failure. */
 	private static final double URGENT_EVIDENCE = 1;
 
-	/** How long urgent notes are apart at least, in milliseconds. */
-	private static final long URGENT_NOTE_MILLIS = 400;
+	/** Shortest interval between urgent notes, in milliseconds. */
+	private static final long MIN_URGENT_INTERVAL_MILLIS = 400;
 
 	private final Vertx vertx;
 
-	private final RolloutBoard board;
+	private final RolloutStateWriter board;
 
 	private final Store store;
 
@@ -68,12 +74,13 @@
 
 	private final RolloutWriteSchedule turns;
 
-	private final Map<String, Told> told = new HashMap<>();
+	private final Map<String, ReportedNote> reportedNotes = new HashMap<>();
 
-	/** What was reported last of each roll-out. */
-	private final Map<String, Shown> shown = new HashMap<>();
+	/** Share that was last logged for each roll-out. */
+	private final Map<String, LoggedShare> loggedShares = new HashMap<>();
 
-	RolloutController(Vertx vertx, RolloutBoard board, Store store, String node, FleetState fleet, DecisionLog log) {
+	RolloutController(Vertx vertx, RolloutStateWriter board, Store store, String node, FleetState fleet,
+			DecisionLog log) {
 		this.vertx = vertx;
 		this.board = board;
 		this.store = store;
@@ -84,81 +91,81 @@
 	}
 
 	void start() {
-		this.vertx.setTimer(LOOK_MILLIS + this.random.nextLong(LOOK_MILLIS), (timer) -> {
-			this.fleet.rollouts().forEach(this::look);
+		this.vertx.setTimer(CHECK_INTERVAL_MILLIS + this.random.nextLong(CHECK_INTERVAL_MILLIS), (timer) -> {
+			this.fleet.rollouts().forEach(this::check);
 			start();
 		});
 	}
 
 	/**
-	 * Notes that a request was sent to a replica.
+	 * Records that a request was sent to a replica.
 	 */
-	void sent(Replica replica) {
+	void recordSent(Replica replica) {
 		this.fleet.rollout(replica.service()).ifPresent((rollout) -> rollout.recordSent(replica));
 	}
 
 	/**
-	 * Takes in the head of a replica's answer. An answer that is lost on the way says
-	 * nothing of the release; only a failure that the replica itself reports does, and
-	 * that stands in the head.
-	 * @param kind the route, and the model that answers
+	 * Handles the head of a replica's answer. An answer lost on the way says nothing
+	 * about the release; only a failure that the replica itself reports does, and that is
+	 * in the head.
+	 * @param kind the route and the model that answers
 	 */
-	void answered(AnswerKind kind, Attempt attempt, ReplicaAnswer answer) {
+	void onAnswer(AnswerKind kind, Attempt attempt, ReplicaAnswer answer) {
 		Replica replica = attempt.choice().replica();
 		this.fleet.rollout(replica.service()).ifPresent((rollout) -> {
 			answer.load()
-				.ifPresent((load) -> rollout.onLoadReported(Clock.millis(), replica, load, attempt.startedAt()));
+				.ifPresent((load) -> rollout.onLoadReported(MonotonicClock.millis(), replica, load, attempt.startedAt()));
 			rollout.onAnswerStarted(replica, kind, new AttemptEnd.Answered(answer.status()).hasFailed(),
 					attempt.startedAt(), attempt.headAt() - attempt.startedAt());
 		});
 	}
 
 	/**
-	 * Notes that a replica could not be reached.
+	 * Handles that a replica could not be reached.
 	 */
-	void unreachable(Replica replica) {
+	void onUnreachable(Replica replica) {
 		this.fleet.rollout(replica.service()).ifPresent((rollout) -> rollout.recordUnreachable(replica));
 	}
 
 	/**
-	 * Notes that a request came for a service.
+	 * Records the arrival of a request for a service.
 	 */
-	void asked(ServedRequest request) {
+	void recordRequest(ServedRequest request) {
 		this.fleet.rollout(request.service()).ifPresent((rollout) -> rollout.recordRequest(request.releaseKey()));
 	}
 
 	/**
-	 * Takes in another node's note.
+	 * Handles a peer's note.
 	 */
-	void learned(FleetChange change) {
-		if (!(change instanceof FleetChange.NoteWritten noted) || !noted.key().startsWith(NOTES)) {
+	void onFleetChange(FleetChange change) {
+		if (!(change instanceof FleetChange.NoteWritten noted) || !noted.key().startsWith(NOTE_PREFIX)) {
 			return;
 		}
 		for (Rollout rollout : this.fleet.rollouts()) {
 			if (noted.key().startsWith(prefix(rollout)) && !noted.key().equals(key(rollout))) {
-				learn(rollout, noted);
+				onPeerNote(rollout, noted);
 			}
 		}
 	}
 
-	private void learn(Rollout rollout, FleetChange.NoteWritten noted) {
+	private void onPeerNote(Rollout rollout, FleetChange.NoteWritten noted) {
 		try {
-			rollout.onNote(Clock.millis(), Json.read(noted.value(), RolloutNote.class));
+			rollout.onNote(MonotonicClock.millis(), Json.read(noted.value(), RolloutNote.class));
 		}
 		catch (IOException ex) {
-			this.log.unreadable(noted.key(), ex.getMessage());
+			this.log.unreadableRecord(noted.key(), ex.getMessage());
 		}
 	}
 
-	private void look(Rollout rollout) {
-		long now = Clock.millis();
-		rollout.update(now, this.fleet.age(now));
-		reportShare(rollout, rollout.progress(now));
+	private void check(Rollout rollout) {
+		long now = MonotonicClock.millis();
+		rollout.update(now, this.fleet.ageMillis(now));
+		logShareIfChanged(rollout, rollout.progress(now));
 		rollout.findDueState(now)
 			.filter((state) -> this.turns.isWriteDue(now, rollout, state))
 			.ifPresent((state) -> write(rollout, state));
 		if (rollout.writtenState().equals(Optional.of(RolloutState.RUNNING))) {
-			tell(rollout, now);
+			writeNoteIfDue(rollout, now);
 		}
 	}
 
@@ -169,70 +176,73 @@
 		}
 		this.board.write(rollout.order(), state, rollout.stateRevision()).subscribe((written) -> {
 			this.writing.remove(service);
-			this.turns.onWriteAnswered(Clock.millis(), rollout, state);
-			report(rollout, state, written ? "written" : "another node was first");
+			this.turns.onWriteAnswered(MonotonicClock.millis(), rollout, state);
+			logStateWrite(rollout, state, written ? "written" : "another node was first");
 		}, (failure) -> {
 			this.writing.remove(service);
-			report(rollout, state, "not answered: " + failure.getMessage());
+			logStateWrite(rollout, state, "not answered: " + failure.getMessage());
 		});
 	}
 
-	private void report(Rollout rollout, RolloutState state, String outcome) {
-		this.log.rollout(rollout.order().service().value(), rollout.order().target(), state.name(), rollout.evidence(),
-				rollout.answerCount(), outcome);
+	private void logStateWrite(Rollout rollout, RolloutState state, String outcome) {
+		this.log.rolloutStateWritten(rollout.order().service().value(), rollout.order().target(), state.name(),
+				rollout.evidence(), rollout.answerCount(), outcome);
 	}
 
-	private void reportShare(Rollout rollout, RolloutProgress progress) {
-		Shown shown = new Shown(progress.share(), progress.provedMillis());
-		if (!shown.equals(this.shown.put(key(rollout), shown))) {
+	private void logShareIfChanged(Rollout rollout, RolloutProgress progress) {
+		LoggedShare shown = new LoggedShare(progress.share(), progress.provedMillis());
+		if (!shown.equals(this.loggedShares.put(key(rollout), shown))) {
 			this.log.rolloutShare(rollout, progress);
 		}
 	}
 
-	private void tell(Rollout rollout, long now) {
-		Told last = this.told.computeIfAbsent(key(rollout), (key) -> new Told(this.store, key));
+	private void writeNoteIfDue(Rollout rollout, long now) {
+		ReportedNote last = this.reportedNotes.computeIfAbsent(key(rollout),
+				(key) -> new ReportedNote(this.store, key));
 		RolloutNote note = rollout.note(now, this.node);
-		last.lowest = Math.min(last.lowest, note.evidence());
-		boolean urgent = note.evidence() - last.lowest >= URGENT_EVIDENCE && now - last.at >= URGENT_NOTE_MILLIS;
+		last.lowestEvidence = Math.min(last.lowestEvidence, note.evidence());
+		boolean urgent = note.evidence() - last.lowestEvidence >= URGENT_EVIDENCE
+				&& now - last.writtenAt >= MIN_URGENT_INTERVAL_MILLIS;
 		boolean news = note.provedMillis() != last.provedMillis;
-		long every = Math.min(NOTE_MILLIS, Math.round(NOTE_PART * rollout.order().durationMillis()));
-		boolean due = news || (note.answers() != last.answers && now - last.at >= every);
-		if (last.note.busy() || !(urgent || due)) {
+		long every = Math.min(MAX_NOTE_INTERVAL_MILLIS,
+				Math.round(NOTE_INTERVAL_RATIO * rollout.order().durationMillis()));
+		boolean due = news || (note.answers() != last.answers && now - last.writtenAt >= every);
+		if (last.writer.isBusy() || !(urgent || due)) {
 			return;
 		}
-		last.at = now;
-		last.lowest = note.evidence();
+		last.writtenAt = now;
+		last.lowestEvidence = note.evidence();
 		last.answers = note.answers();
 		last.provedMillis = note.provedMillis();
-		last.note.write(Json.write(note), () -> last.answers = -1);
+		last.writer.write(Json.write(note), () -> last.answers = -1);
 	}
 
 	private String prefix(Rollout rollout) {
-		return NOTES + rollout.order().service() + '/' + rollout.order().target() + '/';
+		return NOTE_PREFIX + rollout.order().service() + '/' + rollout.order().target() + '/';
 	}
 
 	private String key(Rollout rollout) {
 		return prefix(rollout) + this.node;
 	}
 
-	private record Shown(double share, long provedMillis) {
+	private record LoggedShare(double share, long provedMillis) {
 	}
 
-	private static final class Told {
+	private static final class ReportedNote {
 
-		private final NodeNote note;
+		private final NodeNoteWriter writer;
 
-		private long at;
+		private long writtenAt;
 
-		/** The least evidence since the last note: what has risen since is news. */
-		private double lowest;
+		/** Lowest evidence since the last note; a rise above it is new. */
+		private double lowestEvidence;
 
 		private int answers;
 
 		private long provedMillis;
 
-		Told(Store store, String key) {
-			this.note = new NodeNote(store, key);
+		ReportedNote(Store store, String key) {
+			this.writer = new NodeNoteWriter(store, key);
 		}
 
 	}
--- a/daemon/src/main/java/org/gullsaddle/gateway/ServedRequest.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/ServedRequest.java
@@ -27,8 +27,8 @@
 import org.gullsaddle.suspect.Trait;
 
 /**
- * A request that is served, as it was read: what it asks for, under which configuration,
- * and until when.
+ * Accepted request: its contents, the configuration and route it is served under, and its
+ * deadline.
  */
 final class ServedRequest {
 
@@ -46,13 +46,13 @@
 
 	private final long startedAt;
 
-	private final long endsAt;
+	private final long deadlineAt;
 
 	private final ServiceName service;
 
-	private Fingerprint content;
+	private Fingerprint contentHash;
 
-	private boolean letThrough;
+	private boolean trial;
 
 	private ServedRequest(Builder builder) {
 		this.http = builder.http;
@@ -63,9 +63,9 @@
 		this.body = builder.body;
 		this.startedAt = builder.startedAt;
 		this.service = builder.service;
-		long patience = Math.min(this.caller.deadlineMillis().orElse(this.route.timeoutMillis()),
+		long patience = Math.min(this.caller.timeoutMillis().orElse(this.route.timeoutMillis()),
 				this.route.timeoutMillis());
-		this.endsAt = Math.min(this.startedAt + patience, builder.latest);
+		this.deadlineAt = Math.min(this.startedAt + patience, builder.latestAnswerAt);
 	}
 
 	static Builder of(HttpServerRequest http) {
@@ -113,49 +113,50 @@
 	}
 
 	/**
-	 * Returns how long the caller, the route and this node still wait, in milliseconds.
+	 * Returns the time until the deadline of caller, route and node, whichever is first,
+	 * in milliseconds.
 	 */
-	long left(long now) {
-		return this.endsAt - now;
+	long remainingMillis(long now) {
+		return this.deadlineAt - now;
 	}
 
 	/**
-	 * Returns the time that its caller has left, if it was refused now.
+	 * Returns the time that its caller would have left if it was refused now.
 	 */
 	RemainingTime timeLeft(long now) {
-		return new RemainingTime(left(now), this.route.targetMillis() - (now - this.startedAt));
+		return new RemainingTime(remainingMillis(now), this.route.targetMillis() - (now - this.startedAt));
 	}
 
 	/**
-	 * Returns the engines that run it, empty for a plain service.
+	 * Returns the engines of its service, empty for a plain service.
 	 */
 	Optional<EngineSpec> engine() {
 		return this.config.findService(this.service).flatMap(ServiceSpec::engine);
 	}
 
 	/**
-	 * Says whether the memory of a replica has room for it. One larger than that is
-	 * turned away by each of them, or crashes it.
+	 * Returns whether it fits the memory of a replica. A larger one would be refused by
+	 * every replica, or crash it.
 	 */
-	boolean fits() {
+	boolean fitsReplicaMemory() {
 		return engine().map((engine) -> engine.fits(this.caller.prompt().maxTokens())).orElse(true);
 	}
 
 	/**
-	 * Returns what cold replicas of its service bear.
+	 * Returns the limits of cold replicas of its service.
 	 */
 	ColdStart coldStart() {
 		return this.config.findService(this.service).map(ServiceSpec::coldStart).orElse(ColdStart.NONE);
 	}
 
 	/**
-	 * Returns where it may be served, by its route and by its team.
+	 * Returns the regions in which its route and its team allow it to run.
 	 */
-	RegionLimit limit() {
+	RegionLimit regionLimit() {
 		return this.team.map(Team::limit).orElse(RegionLimit.ANYWHERE).intersect(this.route.limit());
 	}
 
-	boolean stream() {
+	boolean isStream() {
 		return this.route.kind() == RouteKind.STREAM;
 	}
 
@@ -164,8 +165,8 @@
 	}
 
 	/**
-	 * Returns what a replica does for it.
-	 * @param model the model that is to run, empty for a plain service
+	 * Returns the task of a replica that runs it.
+	 * @param model the model to run, empty for a plain service
 	 */
 	ReplicaTask task(String model) {
 		return engine()
@@ -175,8 +176,9 @@
 	}
 
 	/**
-	 * Returns what it keeps its release by. A prompt's last part is its own or its
-	 * session's, so that one without a session may still belong to one.
+	 * Returns the key by which it sticks to a release. The last part of a prompt belongs
+	 * to the request or its session, so a request without a session id may still belong
+	 * to one.
 	 */
 	ReleaseKey releaseKey() {
 		List<PromptPart> parts = this.caller.prompt().parts();
@@ -188,18 +190,18 @@
 	}
 
 	/**
-	 * Returns a hash of its team and content, the same when it is sent again.
+	 * Returns a hash of its team and content, the same for repeats.
 	 */
-	Fingerprint content() {
-		if (this.content == null) {
-			this.content = ContentHash.of(teamName(), this.http.method(), this.caller.host(), this.http.uri(),
+	Fingerprint contentHash() {
+		if (this.contentHash == null) {
+			this.contentHash = ContentHash.of(teamName(), this.http.method(), this.caller.host(), this.http.uri(),
 					this.body);
 		}
-		return this.content;
+		return this.contentHash;
 	}
 
 	/**
-	 * Returns what it has in common with others that share parts of its prompt.
+	 * Returns the traits that it shares with requests that have the same prompt parts.
 	 * @param model the model that runs it, empty for a plain service
 	 */
 	List<Trait> partTraits(String model) {
@@ -212,39 +214,40 @@
 	}
 
 	/**
-	 * Returns what it has in common with others: parts of its prompt, and all its content
-	 * with those that repeat it.
+	 * Returns its traits: those of its prompt parts, and its whole content, which repeats
+	 * share.
 	 * @param model the model that runs it, empty for a plain service
 	 */
 	List<Trait> traits(String model) {
 		List<Trait> traits = partTraits(model);
-		traits.add(Trait.content(content()));
+		traits.add(Trait.content(contentHash()));
 		return traits;
 	}
 
 	/**
-	 * Lets it go to one replica although one of its traits is refused.
+	 * Marks it as a trial: it may go to one replica although one of its traits is
+	 * blocked.
 	 */
-	void letThrough() {
-		this.letThrough = true;
+	void markTrial() {
+		this.trial = true;
 	}
 
 	/**
-	 * Notes that it was tried: no other replica gets it for the same reason.
+	 * Ends its trial: no other replica gets it.
 	 */
-	void tried() {
-		this.letThrough = false;
+	void endTrial() {
+		this.trial = false;
 	}
 
 	/**
-	 * Says whether it may go to one replica although one of its traits is refused.
+	 * Returns whether it may go to one replica although one of its traits is blocked.
 	 */
 	boolean isTrial() {
-		return this.letThrough;
+		return this.trial;
 	}
 
 	/**
-	 * Collects what a {@link ServedRequest} consists of.
+	 * Builder of a {@link ServedRequest}.
 	 */
 	static final class Builder {
 
@@ -264,7 +267,7 @@
 
 		private long startedAt;
 
-		private long latest;
+		private long latestAnswerAt;
 
 		private Builder(HttpServerRequest http) {
 			this.http = http;
@@ -276,7 +279,7 @@
 			return this;
 		}
 
-		Builder under(FleetConfig newConfig, Route newRoute, ServiceName newService) {
+		Builder routing(FleetConfig newConfig, Route newRoute, ServiceName newService) {
 			this.config = newConfig;
 			this.route = newRoute;
 			this.service = newService;
@@ -289,13 +292,13 @@
 		}
 
 		/**
-		 * Sets the time that it has.
-		 * @param newStartedAt when it came, in milliseconds
+		 * Sets its time limits.
+		 * @param newStartedAt when it arrived, in milliseconds
 		 * @param newLatest until when this node can serve it, in milliseconds
 		 */
 		Builder time(long newStartedAt, long newLatest) {
 			this.startedAt = newStartedAt;
-			this.latest = newLatest;
+			this.latestAnswerAt = newLatest;
 			return this;
 		}
 
--- a/daemon/src/main/java/org/gullsaddle/gateway/StatusServer.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/StatusServer.java
@@ -10,42 +10,42 @@
 import org.gullsaddle.base.Address;
 
 /**
- * Answers whether the node is ready, and shows its metrics.
+ * Serves the readiness check and the metrics.
  */
 final class StatusServer {
 
-	private static final int SERVER_ERROR = 500;
+	private static final int INTERNAL_SERVER_ERROR = 500;
 
-	/** HTTP/2 classes would be loaded with the first question. */
+	/** Without this, HTTP/2 classes would be loaded with the first request. */
 	private static final HttpServerOptions OPTIONS = new HttpServerOptions().setHttp2ClearTextEnabled(false);
 
 	private StatusServer() {
 	}
 
 	static Future<Void> listen(Vertx vertx, Gateway gateway) {
-		Address ready = gateway.settings().ready();
+		Address ready = gateway.settings().readinessAddress();
 		Future<Void> listening = vertx.createHttpServer(OPTIONS)
 			.requestHandler((request) -> request.response()
-				.setStatusCode(gateway.ready() ? Statuses.OK : Statuses.UNAVAILABLE)
+				.setStatusCode(gateway.isReady() ? HttpStatuses.OK : HttpStatuses.SERVICE_UNAVAILABLE)
 				.end())
 			.listen(ready.port(), ready.host())
 			.mapEmpty();
-		Address metrics = gateway.settings().metrics();
+		Address metrics = gateway.settings().metricsAddress();
 		if (metrics.port() == 0) {
 			return listening;
 		}
 		return listening.compose((nothing) -> vertx.createHttpServer(OPTIONS)
-			.requestHandler((request) -> metrics(request, gateway))
+			.requestHandler((request) -> serveMetrics(request, gateway))
 			.listen(metrics.port(), metrics.host())
 			.mapEmpty());
 	}
 
-	private static void metrics(HttpServerRequest request, Gateway gateway) {
+	private static void serveMetrics(HttpServerRequest request, Gateway gateway) {
 		try {
 			request.response().putHeader("Content-Type", "text/plain; version=0.0.4").end(gateway.telemetry().scrape());
 		}
 		catch (IOException ex) {
-			request.response().setStatusCode(SERVER_ERROR).end(ex.getMessage());
+			request.response().setStatusCode(INTERNAL_SERVER_ERROR).end(ex.getMessage());
 		}
 	}
 
--- a/daemon/src/test/java/org/gullsaddle/gateway/AttemptTests.java
+++ b/daemon/src/test/java/org/gullsaddle/gateway/AttemptTests.java
@@ -9,14 +9,14 @@
 
 class AttemptTests {
 
-	/** Guards against an answer that breaks off and is taken for a whole one. */
+	/** Guards against taking a truncated answer for a complete one. */
 	@ParameterizedTest
 	@CsvSource(delimiter = ';', value = { "chunked; true", "Chunked; true", "gzip, chunked; true", "identity; false",
 			"gzip; false", "chunked, gzip; false" })
-	void answerShowsItsEndIfItsLastTransferCodingIsChunked(String codings, boolean framed) {
+	void answerIsFramedIfItsLastTransferCodingIsChunked(String codings, boolean framed) {
 		MultiMap headers = MultiMap.caseInsensitiveMultiMap().add("Transfer-Encoding", codings);
-		assertThat(Attempt.framed(headers)).isEqualTo(framed);
-		assertThat(Attempt.framed(headers.add("Content-Length", "12"))).isEqualTo(framed);
+		assertThat(Attempt.isFramed(headers)).isEqualTo(framed);
+		assertThat(Attempt.isFramed(headers.add("Content-Length", "12"))).isEqualTo(framed);
 	}
 
 	@Test
@@ -24,13 +24,13 @@
 		MultiMap headers = MultiMap.caseInsensitiveMultiMap()
 			.add("Transfer-Encoding", "chunked")
 			.add("Transfer-Encoding", "gzip");
-		assertThat(Attempt.framed(headers)).isFalse();
+		assertThat(Attempt.isFramed(headers)).isFalse();
 	}
 
 	@Test
-	void answerWithoutACodingShowsItsEndByItsLength() {
-		assertThat(Attempt.framed(MultiMap.caseInsensitiveMultiMap())).isFalse();
-		assertThat(Attempt.framed(MultiMap.caseInsensitiveMultiMap().add("Content-Length", "0"))).isTrue();
+	void answerWithoutACodingIsFramedByItsLength() {
+		assertThat(Attempt.isFramed(MultiMap.caseInsensitiveMultiMap())).isFalse();
+		assertThat(Attempt.isFramed(MultiMap.caseInsensitiveMultiMap().add("Content-Length", "0"))).isTrue();
 	}
 
 }
--- a/daemon/src/test/java/org/gullsaddle/gateway/NodeRegisterTests.java
+++ b/daemon/src/test/java/org/gullsaddle/gateway/NodeRegistryTests.java
@@ -20,29 +20,29 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-class NodeRegisterTests {
+class NodeRegistryTests {
 
 	private static final String SELF = "self";
 
-	private static final String OTHER = "other";
+	private static final String PEER = "other";
 
-	/** After so many of its own notes a node forgets one that wrote none. */
+	/** Refreshes of its own after which a node removes a peer that wrote no note. */
 	private static final int ROUNDS = 4;
 
 	private final Vertx vertx = Vertx.vertx();
 
-	private final NotingStore store = new NotingStore();
+	private final RecordingStore store = new RecordingStore();
 
-	private boolean storeAway;
+	private boolean storeUnavailable;
 
-	private NodeRegister register;
+	private NodeRegistry registry;
 
 	@BeforeEach
 	void open() {
 		Address nowhere = new Address("127.0.0.1", 1);
 		GatewaySettings settings = new GatewaySettings(SELF, new NodeLocation("a", Map.of("a", "north")), nowhere,
-				nowhere, nowhere, 1, 1, 1, RolloutLimits.DEFAULT, LoadSettings.USUAL);
-		this.register = new NodeRegister(this.vertx, this.store, settings, () -> this.storeAway);
+				nowhere, nowhere, 1, 1, 1, RolloutLimits.DEFAULT, LoadSettings.DEFAULTS);
+		this.registry = new NodeRegistry(this.vertx, this.store, settings, () -> this.storeUnavailable);
 	}
 
 	@AfterEach
@@ -51,7 +51,7 @@
 	}
 
 	private void note(String node, String value) {
-		this.register.learned(new FleetChange.NoteWritten(NodeRegister.NOTES + node, value));
+		this.registry.onFleetChange(new FleetChange.NoteWritten(NodeRegistry.NOTE_PREFIX + node, value));
 	}
 
 	private void note(String node) {
@@ -59,92 +59,98 @@
 	}
 
 	/**
-	 * Has time pass in which this node alone writes its note.
+	 * Simulates refresh rounds in which only this node writes its note.
 	 */
-	private void pass(int rounds) {
+	private void passRounds(int rounds) {
 		for (int i = 0; i < rounds; i++) {
 			note(SELF);
-			this.register.refresh();
+			this.registry.refresh();
 		}
 	}
 
 	@Test
-	void nodesAreNotKnownBeforeThisOneIsToTheOthers() {
-		note(OTHER);
-		assertThat(this.register.known()).isEmpty();
+	void nodesAreNotCountedBeforePeersKnowThisOne() {
+		note(PEER);
+		assertThat(this.registry.knownCount()).isEmpty();
 		note(SELF);
-		assertThat(this.register.known()).contains(2);
+		assertThat(this.registry.knownCount()).contains(2);
 	}
 
-	/** Guards against nodes that take their shares before the others know them. */
+	/** Guards against nodes that take their shares before peers know them. */
 	@Test
 	void nodesAreNotPeersAtOnce() {
 		note(SELF);
-		assertThat(this.register.peers()).isEmpty();
+		assertThat(this.registry.peers()).isEmpty();
 	}
 
-	/** Guards against shares that are kept for nodes that were renamed or taken away. */
+	/**
+	 * Guards against shares that are reserved for nodes that were renamed or removed.
+	 */
 	@Test
-	void nodeThatWritesNoMoreIsForgotten() {
+	void nodeThatStopsRefreshingIsRemoved() {
 		note(SELF);
-		note(OTHER);
-		pass(ROUNDS - 1);
-		assertThat(this.register.known()).contains(2);
-		pass(1);
-		assertThat(this.register.known()).contains(1);
+		note(PEER);
+		passRounds(ROUNDS - 1);
+		assertThat(this.registry.knownCount()).contains(2);
+		passRounds(1);
+		assertThat(this.registry.knownCount()).contains(1);
 	}
 
 	@Test
-	void nodeThatWritesNowAndThenIsKept() {
+	void nodeThatRefreshesNowAndThenIsKept() {
 		note(SELF);
-		note(OTHER);
+		note(PEER);
 		for (int i = 0; i < ROUNDS; i++) {
-			pass(ROUNDS - 1);
-			note(OTHER);
+			passRounds(ROUNDS - 1);
+			note(PEER);
 		}
-		assertThat(this.register.known()).contains(2);
+		assertThat(this.registry.knownCount()).contains(2);
 	}
 
-	/** Guards against nodes that each take all as the store hides the others. */
+	/**
+	 * Guards against nodes that each take the whole limit while the store is unavailable.
+	 */
 	@Test
-	void nobodyIsForgottenWhileTheStoreIsAway() {
+	void noNodeIsRemovedWhileTheStoreIsUnavailable() {
 		note(SELF);
-		note(OTHER);
-		this.storeAway = true;
-		pass(10 * ROUNDS);
-		assertThat(this.register.known()).contains(2);
+		note(PEER);
+		this.storeUnavailable = true;
+		passRounds(10 * ROUNDS);
+		assertThat(this.registry.knownCount()).contains(2);
 	}
 
 	@Test
-	void thisNodeIsNeverForgotten() {
+	void thisNodeIsNeverRemoved() {
 		note(SELF);
 		for (int i = 0; i < 2 * ROUNDS; i++) {
-			this.register.refresh();
+			this.registry.refresh();
 		}
-		assertThat(this.register.known()).contains(1);
+		assertThat(this.registry.knownCount()).contains(1);
 	}
 
-	/** Guards against shares that are too large, as a node's note cannot be read. */
+	/**
+	 * Guards against shares that are too large because a node's note cannot be parsed.
+	 */
 	@Test
 	void nodeWhoseNoteCannotBeReadIsCounted() {
 		note(SELF);
-		note(OTHER, "no JSON");
+		note(PEER, "no JSON");
 		note("older", "{}");
 		note("", "{}");
-		assertThat(this.register.known()).contains(3);
+		assertThat(this.registry.knownCount()).contains(3);
 	}
 
 	@Test
-	void noteTellsWhereTheNodeIs() {
+	void noteContainsTheDataCenter() {
 		note(SELF);
-		this.register.refresh();
+		this.registry.refresh();
 		assertThat(this.store.written).containsExactly("{\"dataCenter\":\"a\"}");
 	}
 
 	/**
-	 * Notes what is written, and does not answer.
+	 * Store that records writes and never answers.
 	 */
-	private static final class NotingStore implements Store {
+	private static final class RecordingStore implements Store {
 
 		private final List<String> written = new ArrayList<>();
 
