--- a/core/src/main/java/org/gullsaddle/serve/DeadlineCheck.java
+++ b/core/src/main/java/org/gullsaddle/serve/DeadlineCheck.java
@@ -63,11 +63,11 @@
 	}
 
 	/**
-	 * Returns whether a request would start too late on a replica. It never would on an
-	 * idle one, which is always tried.
+	 * Returns whether a request would probably start too late on a replica. An idle
+	 * replica is always tried.
 	 * @param choice the replica
 	 * @param remainingMillis the time to its deadline, in milliseconds
-	 * @return true if it would probably not start in time
+	 * @return true if the replica is not idle and a start in time is improbable
 	 */
 	public static boolean isTooLate(Choice choice, long remainingMillis) {
 		return choice.load().requests() >= 1 && choice.delay().chanceWithin(remainingMillis) < MIN_START_PROBABILITY;
--- a/core/src/main/java/org/gullsaddle/serve/LimitNoteExchange.java
+++ b/core/src/main/java/org/gullsaddle/serve/LimitNoteExchange.java
@@ -78,7 +78,7 @@
 	 * empty if there is nothing to write
 	 */
 	public OptionalLong onAnswer(long now, Replica replica, Backpressure asked) {
-		int rank = this.backpressure.findNodePosition(now, replica).orElse(ORDERED_WRITERS);
+		int position = this.backpressure.findNodePosition(now, replica).orElse(ORDERED_WRITERS);
 		this.backpressure.onAnswer(now, replica, asked);
 		OptionalDouble limit = this.backpressure.limit(replica);
 		if (asked.limit() instanceof RateLimit.Invalid) {
@@ -94,12 +94,12 @@
 			return OptionalLong.empty();
 		}
 		return OptionalLong.of(writeDelayMillis(
-				Math.min(rank, this.backpressure.findNodePosition(now, replica).orElse(ORDERED_WRITERS))));
+				Math.min(position, this.backpressure.findNodePosition(now, replica).orElse(ORDERED_WRITERS))));
 	}
 
-	private long writeDelayMillis(int rank) {
-		long earliest = GATHER_MILLIS + Math.min(rank, ORDERED_WRITERS) * WRITER_STEP_MILLIS;
-		return (rank < ORDERED_WRITERS) ? earliest : earliest + this.random.nextLong(WRITE_SPREAD_MILLIS);
+	private long writeDelayMillis(int position) {
+		long earliest = GATHER_MILLIS + Math.min(position, ORDERED_WRITERS) * WRITER_STEP_MILLIS;
+		return (position < ORDERED_WRITERS) ? earliest : earliest + this.random.nextLong(WRITE_SPREAD_MILLIS);
 	}
 
 	/**
--- a/core/src/main/java/org/gullsaddle/serve/ServiceRetrySchedule.java
+++ b/core/src/main/java/org/gullsaddle/serve/ServiceRetrySchedule.java
@@ -148,7 +148,7 @@
 		}
 		double own = ofRank.getOrDefault(refused.team(), 0.0);
 		ofRank.remove(refused.team());
-		return ahead + own + ofRank.values().stream().mapToDouble((taken) -> Math.min(taken, own + 1)).sum();
+		return ahead + own + ofRank.values().stream().mapToDouble((reserved) -> Math.min(reserved, own + 1)).sum();
 	}
 
 	/**
--- a/core/src/test/java/org/gullsaddle/serve/BackpressureTableTests.java
+++ b/core/src/test/java/org/gullsaddle/serve/BackpressureTableTests.java
@@ -82,31 +82,31 @@
 
 		@Test
 		void newLimitReplacesTheOldOne() {
-			BackpressureTable book = BackpressureTableTests.this.table;
-			assertThat(book.onAnswer(0, BackpressureTableTests.this.replica, limit(5))).isTrue();
-			assertThat(book.onAnswer(0, BackpressureTableTests.this.replica, limit(5))).isFalse();
-			assertThat(book.onAnswer(0, BackpressureTableTests.this.replica, limit(0.5))).isTrue();
-			assertThat(book.limit(BackpressureTableTests.this.replica)).isEqualTo(OptionalDouble.of(0.5));
+			BackpressureTable table = BackpressureTableTests.this.table;
+			assertThat(table.onAnswer(0, BackpressureTableTests.this.replica, limit(5))).isTrue();
+			assertThat(table.onAnswer(0, BackpressureTableTests.this.replica, limit(5))).isFalse();
+			assertThat(table.onAnswer(0, BackpressureTableTests.this.replica, limit(0.5))).isTrue();
+			assertThat(table.limit(BackpressureTableTests.this.replica)).isEqualTo(OptionalDouble.of(0.5));
 		}
 
 		/** Guards against an invalid value that removes a limit. */
 		@Test
 		void invalidLimitChangesNothing() {
-			BackpressureTable book = BackpressureTableTests.this.table;
-			book.onAnswer(0, BackpressureTableTests.this.replica, limit(5));
-			assertThat(book.onAnswer(0, BackpressureTableTests.this.replica,
+			BackpressureTable table = BackpressureTableTests.this.table;
+			table.onAnswer(0, BackpressureTableTests.this.replica, limit(5));
+			assertThat(table.onAnswer(0, BackpressureTableTests.this.replica,
 					Backpressure.ofLimit(new RateLimit.Invalid())))
 				.isFalse();
-			assertThat(book.limit(BackpressureTableTests.this.replica)).isEqualTo(OptionalDouble.of(5));
+			assertThat(table.limit(BackpressureTableTests.this.replica)).isEqualTo(OptionalDouble.of(5));
 		}
 
 		@Test
 		void answerWithoutALimitRemovesIt() {
-			BackpressureTable book = BackpressureTableTests.this.table;
-			book.onAnswer(0, BackpressureTableTests.this.replica, limit(0));
-			assertThat(book.onAnswer(0, BackpressureTableTests.this.replica, Backpressure.NONE)).isTrue();
-			assertThat(book.admit(0, BackpressureTableTests.this.replica)).isEqualTo(SendPermission.UNLIMITED);
-			assertThat(book.canAskForLoad(0, BackpressureTableTests.this.replica)).isTrue();
+			BackpressureTable table = BackpressureTableTests.this.table;
+			table.onAnswer(0, BackpressureTableTests.this.replica, limit(0));
+			assertThat(table.onAnswer(0, BackpressureTableTests.this.replica, Backpressure.NONE)).isTrue();
+			assertThat(table.admit(0, BackpressureTableTests.this.replica)).isEqualTo(SendPermission.UNLIMITED);
+			assertThat(table.canAskForLoad(0, BackpressureTableTests.this.replica)).isTrue();
 		}
 
 		/**
@@ -140,21 +140,21 @@
 		/** Guards against requests that wait for a connection and bypass a new limit. */
 		@Test
 		void limitReceivedMeanwhileAppliesToIt() {
-			BackpressureTable book = BackpressureTableTests.this.table;
-			SendPermission before = book.admit(0, BackpressureTableTests.this.replica);
-			book.onAnswer(0, BackpressureTableTests.this.replica, limit(0));
-			long turn = book.nextRetryAfterMillis(0, ENGINES, List.of(BackpressureTableTests.this.replica));
-			assertThat(book.canStillSend(turn + 1000, BackpressureTableTests.this.replica, before)).isFalse();
+			BackpressureTable table = BackpressureTableTests.this.table;
+			SendPermission before = table.admit(0, BackpressureTableTests.this.replica);
+			table.onAnswer(0, BackpressureTableTests.this.replica, limit(0));
+			long retryAfter = table.nextRetryAfterMillis(0, ENGINES, List.of(BackpressureTableTests.this.replica));
+			assertThat(table.canStillSend(retryAfter + 1000, BackpressureTableTests.this.replica, before)).isFalse();
 		}
 
 		@Test
 		void requestIsCountedAgainstTheLimitOnce() {
-			BackpressureTable book = BackpressureTableTests.this.table;
-			book.onAnswer(0, BackpressureTableTests.this.replica, limit(0.5));
-			long next = book.nextRetryAfterMillis(0, ENGINES, List.of(BackpressureTableTests.this.replica));
-			SendPermission admission = book.admit(next, BackpressureTableTests.this.replica);
+			BackpressureTable table = BackpressureTableTests.this.table;
+			table.onAnswer(0, BackpressureTableTests.this.replica, limit(0.5));
+			long next = table.nextRetryAfterMillis(0, ENGINES, List.of(BackpressureTableTests.this.replica));
+			SendPermission admission = table.admit(next, BackpressureTableTests.this.replica);
 			assertThat(admission).isEqualTo(SendPermission.COUNTED);
-			assertThat(book.canStillSend(next, BackpressureTableTests.this.replica, admission)).isTrue();
+			assertThat(table.canStillSend(next, BackpressureTableTests.this.replica, admission)).isTrue();
 		}
 
 	}
@@ -165,21 +165,21 @@
 		/** Guards against callers that all get the same retry-after time. */
 		@Test
 		void retryAfterTimesAreSpacedByTheLimit() {
-			BackpressureTable book = BackpressureTableTests.this.table;
-			book.onAnswer(0, BackpressureTableTests.this.replica, limit(2));
-			long first = book.nextRetryAfterMillis(0, ENGINES, List.of(BackpressureTableTests.this.replica));
-			assertThat(book.nextRetryAfterMillis(0, ENGINES, List.of(BackpressureTableTests.this.replica)))
+			BackpressureTable table = BackpressureTableTests.this.table;
+			table.onAnswer(0, BackpressureTableTests.this.replica, limit(2));
+			long first = table.nextRetryAfterMillis(0, ENGINES, List.of(BackpressureTableTests.this.replica));
+			assertThat(table.nextRetryAfterMillis(0, ENGINES, List.of(BackpressureTableTests.this.replica)))
 				.isEqualTo(first + 500);
-			assertThat(book.nextRetryAfterMillis(0, ENGINES, List.of(BackpressureTableTests.this.replica)))
+			assertThat(table.nextRetryAfterMillis(0, ENGINES, List.of(BackpressureTableTests.this.replica)))
 				.isEqualTo(first + 1000);
 		}
 
 		@Test
 		void retryAfterTimeIsTenSecondsAtMost() {
-			BackpressureTable book = BackpressureTableTests.this.table;
-			book.onAnswer(0, BackpressureTableTests.this.replica, limit(0.01));
+			BackpressureTable table = BackpressureTableTests.this.table;
+			table.onAnswer(0, BackpressureTableTests.this.replica, limit(0.01));
 			for (int i = 0; i < 100; i++) {
-				assertThat(book.nextRetryAfterMillis(0, ENGINES, List.of(BackpressureTableTests.this.replica)))
+				assertThat(table.nextRetryAfterMillis(0, ENGINES, List.of(BackpressureTableTests.this.replica)))
 					.isLessThanOrEqualTo(10_000);
 			}
 		}
@@ -234,14 +234,14 @@
 		/** Guards against requests that wait for a connection and ignore the back-off. */
 		@Test
 		void requestThatWaitsForAConnectionIsNotSent() {
-			BackpressureTable book = BackpressureTableTests.this.table;
-			SendPermission free = book.admit(0, BackpressureTableTests.this.replica);
+			BackpressureTable table = BackpressureTableTests.this.table;
+			SendPermission free = table.admit(0, BackpressureTableTests.this.replica);
 			onAnswer(10, new Backpressure(new RateLimit.Limited(50), 0));
-			SendPermission counted = book.admit(1000, BackpressureTableTests.this.replica);
+			SendPermission counted = table.admit(1000, BackpressureTableTests.this.replica);
 			onAnswer(1010, new Backpressure(new RateLimit.Limited(50), 3000));
 			assertThat(counted).isEqualTo(SendPermission.COUNTED);
-			assertThat(book.canStillSend(1020, BackpressureTableTests.this.replica, free)).isFalse();
-			assertThat(book.canStillSend(1020, BackpressureTableTests.this.replica, counted)).isFalse();
+			assertThat(table.canStillSend(1020, BackpressureTableTests.this.replica, free)).isFalse();
+			assertThat(table.canStillSend(1020, BackpressureTableTests.this.replica, counted)).isFalse();
 		}
 
 		@Test
