--- a/core/src/test/java/org/gullsaddle/serve/RolloutTests.java
+++ b/core/src/test/java/org/gullsaddle/serve/RolloutTests.java
@@ -49,7 +49,7 @@
 		this.sentAt += firstMillis;
 	}
 
-	private boolean isOnTarget(long now, String key, boolean session) {
+	private boolean onTarget(long now, String key, boolean session) {
 		return choose(now, BOTH, new ReleaseKey(key, session)).get(0).release().equals("v2");
 	}
 
@@ -78,16 +78,16 @@
 		}
 	}
 
-	private long isOnTarget(long now, boolean session) {
+	private long onTarget(long now, boolean session) {
 		long onTarget = 0;
 		for (int i = 0; i < 1000; i++) {
-			onTarget += isOnTarget(now, "key-" + i, session) ? 1 : 0;
+			onTarget += onTarget(now, "key-" + i, session) ? 1 : 0;
 		}
 		return onTarget;
 	}
 
 	private long sessionsOnTarget(long now) {
-		return isOnTarget(now, true);
+		return onTarget(now, true);
 	}
 
 	private void answerMany(int good, int bad) {
@@ -155,10 +155,10 @@
 
 		@Test
 		void smallShareOfRequestsWithoutASessionGoesToItInTheFirstHalfAndAllInTheEnd() {
-			assertThat(isOnTarget(DURATION / 4, false)).isBetween(50L, 110L);
+			assertThat(onTarget(DURATION / 4, false)).isBetween(50L, 110L);
 			prove(DURATION * 6 / 10);
 			updateUntil(DURATION * 6 / 10, DURATION * 4 / 5);
-			assertThat(isOnTarget(DURATION * 4 / 5, false)).isEqualTo(1000);
+			assertThat(onTarget(DURATION * 4 / 5, false)).isEqualTo(1000);
 		}
 
 		/** Guards against a share that rises with time alone, without a proof. */
@@ -256,7 +256,7 @@
 				String session = "key-" + i;
 				boolean before = false;
 				for (long now = 0; now < DURATION; now += 500) {
-					boolean onTarget = isOnTarget(now, session, true);
+					boolean onTarget = onTarget(now, session, true);
 					assertThat(onTarget || !before).isTrue();
 					before = onTarget;
 				}
