--- a/core/src/main/java/org/gullsaddle/suspect/BlockedTrait.java
+++ b/core/src/main/java/org/gullsaddle/suspect/BlockedTrait.java
@@ -1,21 +1,22 @@
 package org.gullsaddle.suspect;
 
 /**
- * A trait whose requests are refused. It lasts while such requests come; now and then one
- * of them is let through, ever more rarely, which clears the trait if it is sound.
+ * A trait whose requests are refused. The block lasts while such requests arrive. At
+ * growing intervals one of them is let through as a trial; its success unblocks the
+ * trait.
  */
 final class BlockedTrait {
 
-	/** When the first request is let through, in milliseconds. */
+	/** How long after the block the first trial is due. */
 	private static final long FIRST_TRIAL_DELAY_MILLIS = 30_000;
 
-	/** How many times longer than before the wait is after each of them. */
+	/** The factor by which the delay grows after each trial. */
 	private static final int TRIAL_DELAY_FACTOR = 4;
 
-	/** The longest wait, in milliseconds. */
+	/** The longest delay between two trials. */
 	private static final long MAX_TRIAL_DELAY_MILLIS = 7_200_000;
 
-	/** How long it lasts after the last request with the trait, in milliseconds. */
+	/** How long the block lasts after the last request with the trait. */
 	static final long EXPIRY_MILLIS = 600_000;
 
 	private final Trait trait;
@@ -30,10 +31,10 @@
 
 	private long nextTrialAt;
 
-	/** When any node told last that such requests come. */
+	/** When any node last reported the block to its peers, in milliseconds. */
 	private long reportedAt;
 
-	/** Whether any node told of it at all. */
+	/** Whether any node has reported the block to its peers. */
 	private boolean reported;
 
 	BlockedTrait(Trait trait, long now, long crashAt) {
@@ -46,15 +47,15 @@
 	}
 
 	/**
-	 * Takes in what another node told.
+	 * Merges the state that a peer reported.
 	 */
-	void merge(long now, CrashNote.NotedBlock told, long lagMillis) {
+	void merge(long now, CrashNote.NotedBlock noted, long lagMillis) {
 		this.reported = true;
-		this.lastCrashAt = Math.max(this.lastCrashAt, now - lagMillis - told.crashAgeMillis());
-		this.lastRequestAt = Math.max(this.lastRequestAt, now - lagMillis - told.seenAgeMillis());
+		this.lastCrashAt = Math.max(this.lastCrashAt, now - lagMillis - noted.crashAgeMillis());
+		this.lastRequestAt = Math.max(this.lastRequestAt, now - lagMillis - noted.seenAgeMillis());
 		this.reportedAt = Math.max(this.reportedAt, now - lagMillis);
-		this.nextTrialAt = Math.max(this.nextTrialAt, now - lagMillis + told.trialInMillis());
-		this.trialCount = Math.max(this.trialCount, told.trials());
+		this.nextTrialAt = Math.max(this.nextTrialAt, now - lagMillis + noted.trialInMillis());
+		this.trialCount = Math.max(this.trialCount, noted.trials());
 	}
 
 	CrashNote.NotedBlock toNotedBlock(long now) {
@@ -65,8 +66,9 @@
 	}
 
 	/**
-	 * Notes that a request with the trait came.
-	 * @return whether others are to be told, as they may not have seen any for long
+	 * Handles the arrival of a request with the trait.
+	 * @return whether to report it to peers, which may not have seen such a request for
+	 * long and would let the block expire
 	 */
 	boolean onRequest(long now) {
 		this.lastRequestAt = now;
@@ -78,12 +80,12 @@
 	}
 
 	/**
-	 * Notes that a request is let through.
+	 * Counts a trial and schedules the next one.
 	 */
 	void onTrial(long now) {
 		this.trialCount++;
-		double wait = FIRST_TRIAL_DELAY_MILLIS * Math.pow(TRIAL_DELAY_FACTOR, this.trialCount);
-		this.nextTrialAt = now + Math.round(Math.min(MAX_TRIAL_DELAY_MILLIS, wait));
+		double delay = FIRST_TRIAL_DELAY_MILLIS * Math.pow(TRIAL_DELAY_FACTOR, this.trialCount);
+		this.nextTrialAt = now + Math.round(Math.min(MAX_TRIAL_DELAY_MILLIS, delay));
 	}
 
 	boolean isReported() {
@@ -107,7 +109,7 @@
 	}
 
 	/**
-	 * Returns since when it is refused.
+	 * Returns when the trait was blocked, in milliseconds.
 	 */
 	long blockedAt() {
 		return this.blockedAt;
--- a/core/src/main/java/org/gullsaddle/suspect/Crash.java
+++ b/core/src/main/java/org/gullsaddle/suspect/Crash.java
@@ -11,10 +11,10 @@
 /**
  * The end of a replica's process while requests ran there.
  *
- * @param processName the process
- * @param at when it was, in milliseconds
- * @param runMillis for each trait of those requests how long the last of them that has it
- * had been there, in milliseconds
+ * @param processName the process, see {@link #processName(Replica)}
+ * @param at when it ended, in milliseconds
+ * @param runMillis for each trait of those requests, how long the most recent one with
+ * that trait had been on the replica, in milliseconds
  */
 public record Crash(String processName, long at, Map<Trait, Long> runMillis) {
 
@@ -23,16 +23,17 @@
 	}
 
 	/**
-	 * Names a replica's process. Another one under the same id has another name.
+	 * Returns the name of a replica's process. A later process under the same replica id
+	 * has another name.
 	 * @param replica the replica
-	 * @return the name
+	 * @return its id and start time
 	 */
 	public static String processName(Replica replica) {
 		return replica.id().value() + '@' + replica.startedAt();
 	}
 
 	/**
-	 * Returns the parts of prompts among its traits.
+	 * Returns the prompt parts among its traits.
 	 * @return their text forms, sorted
 	 */
 	public List<String> parts() {
@@ -40,7 +41,7 @@
 	}
 
 	/**
-	 * Returns the contents of requests among its traits.
+	 * Returns the request contents among its traits.
 	 * @return their text forms, sorted
 	 */
 	public List<String> contents() {
@@ -65,28 +66,29 @@
 	}
 
 	/**
-	 * Returns when the last request with a trait came there.
+	 * Returns when the most recent request with a trait reached the replica, in
+	 * milliseconds.
 	 */
 	long lastRequestAt(Trait trait) {
 		return this.at - this.runMillis.get(trait);
 	}
 
 	/**
-	 * Joins what two nodes saw of the same end.
+	 * Combines two nodes' observations of the same crash.
 	 */
 	Crash merge(Crash other) {
-		Map<Trait, Long> both = new LinkedHashMap<>(this.runMillis);
-		other.runMillis.forEach((trait, millis) -> both.merge(trait, millis, Math::min));
-		return new Crash(this.processName, Math.min(this.at, other.at), both);
+		Map<Trait, Long> merged = new LinkedHashMap<>(this.runMillis);
+		other.runMillis.forEach((trait, millis) -> merged.merge(trait, millis, Math::min));
+		return new Crash(this.processName, Math.min(this.at, other.at), merged);
 	}
 
 	/**
-	 * Returns the same end with some of its traits only.
+	 * Returns a copy restricted to some traits.
 	 */
 	Crash retainTraits(Set<Trait> traits) {
-		Map<Trait, Long> some = new HashMap<>(this.runMillis);
-		some.keySet().retainAll(traits);
-		return new Crash(this.processName, this.at, some);
+		Map<Trait, Long> retained = new HashMap<>(this.runMillis);
+		retained.keySet().retainAll(traits);
+		return new Crash(this.processName, this.at, retained);
 	}
 
 }
--- a/core/src/main/java/org/gullsaddle/suspect/CrashDetector.java
+++ b/core/src/main/java/org/gullsaddle/suspect/CrashDetector.java
@@ -15,28 +15,29 @@
 import org.gullsaddle.fleet.ReplicaId;
 
 /**
- * Finds the ends of replicas' processes under work, and what ran there then, from what
- * one node sees. Confined to one thread.
+ * Detects replicas' processes that end while requests run there, from what one node
+ * observes, and which requests those were. Confined to one thread.
  * <p>
- * A broken connection alone says little. If the replica is found dead soon after, what
- * broke off there, or was given up in the same moment, may have been the cause. An answer
- * that ends with its connection, without a length, may be whole or not: that shows when
- * the replica answers a later request, or is found dead.
+ * A broken connection alone is no crash. If the replica is found dead soon after, the
+ * attempts whose connections broke, or that were cancelled at the same moment, may have
+ * caused it. A close-delimited answer, which has no length and ends with its connection,
+ * may be complete or not: it is if the replica answers a later request, and it is not if
+ * the replica is found dead.
  */
 public final class CrashDetector {
 
 	/**
-	 * How long after a broken connection a replica's death explains it, in milliseconds:
-	 * an entry lapses after three heartbeats of 1.2 s, and that takes a second to tell.
+	 * How long after a broken connection a replica's death explains it: a replica's entry
+	 * lapses after three heartbeats of 1.2 s, and nodes learn of that a second later.
 	 */
 	private static final long MAX_DETECTION_MILLIS = 6000;
 
-	/** How far the ends of attempts at one crash are apart at most, in milliseconds. */
+	/** How far apart the ends of attempts at one crash may be. */
 	private static final long MAX_CRASH_SPREAD_MILLIS = 1000;
 
 	/**
-	 * How long after it was heard that a replica leaves its end may be a planned one, in
-	 * milliseconds: it goes on for seconds, but the news take a while.
+	 * How long after a replica is known to leave its end may be a planned one. It keeps
+	 * running for seconds, but the notice takes a while to arrive.
 	 */
 	private static final long MIN_PLANNED_STOP_MILLIS = 1000;
 
@@ -48,7 +49,7 @@
 
 	private final Map<ReplicaId, List<EndedAttempt>> endedAttempts = new HashMap<>();
 
-	/** The processes that were found dead lately. */
+	/** The crashes found lately, by process name. */
 	private final Map<String, Crash> recentCrashes = new LinkedHashMap<>() {
 		@Override
 		protected boolean removeEldestEntry(Map.Entry<String, Crash> eldest) {
@@ -56,7 +57,7 @@
 		}
 	};
 
-	/** Since when replicas are known to leave. */
+	/** Since when replicas are known to be leaving, in milliseconds. */
 	private final Map<ReplicaId, Long> leavingSince = new LinkedHashMap<>() {
 		@Override
 		protected boolean removeEldestEntry(Map.Entry<ReplicaId, Long> eldest) {
@@ -64,7 +65,7 @@
 		}
 	};
 
-	/** The contents of requests whose answers ended with their connections lately. */
+	/** The contents of requests with recent close-delimited answers. */
 	private final Map<Trait, Boolean> closeDelimitedContents = new LinkedHashMap<>() {
 		@Override
 		protected boolean removeEldestEntry(Map.Entry<Trait, Boolean> eldest) {
@@ -73,24 +74,25 @@
 	};
 
 	/**
-	 * Notes that an attempt ended without a whole answer that could be told as such.
+	 * Handles the end of an attempt whose answer is not known to be complete.
 	 * @param now the time in milliseconds
 	 * @param replica the replica
 	 * @param startedAt when the request was sent, in milliseconds
-	 * @param manner how it ended
+	 * @param kind how it ended
 	 * @param traits the request's traits
-	 * @return a crash that was found before, if this is a part of it
+	 * @return the crash that was found before, with this attempt's traits, if the attempt
+	 * belongs to it
 	 */
-	public Optional<Crash> onAttemptEnd(long now, Replica replica, long startedAt, EndKind manner,
+	public Optional<Crash> onAttemptEnd(long now, Replica replica, long startedAt, EndKind kind,
 			Collection<Trait> traits) {
 		if (now - this.leavingSince.getOrDefault(replica.id(), now) >= MIN_PLANNED_STOP_MILLIS) {
 			return Optional.empty();
 		}
-		EndedAttempt one = new EndedAttempt(replica, startedAt, now, manner, List.copyOf(traits));
-		Crash known = this.recentCrashes.get(Crash.processName(replica));
-		if (known != null) {
-			boolean same = Math.abs(now - known.at()) <= MAX_CRASH_SPREAD_MILLIS;
-			return same ? Optional.of(crash(known.processName(), known.at(), List.of(one))) : Optional.empty();
+		EndedAttempt one = new EndedAttempt(replica, startedAt, now, kind, List.copyOf(traits));
+		Crash recent = this.recentCrashes.get(Crash.processName(replica));
+		if (recent != null) {
+			boolean belongs = Math.abs(now - recent.at()) <= MAX_CRASH_SPREAD_MILLIS;
+			return belongs ? Optional.of(crash(recent.processName(), recent.at(), List.of(one))) : Optional.empty();
 		}
 		List<EndedAttempt> list = this.endedAttempts.computeIfAbsent(replica.id(), (id) -> new ArrayList<>());
 		list.removeIf((each) -> now - each.at > MAX_DETECTION_MILLIS);
@@ -99,19 +101,19 @@
 	}
 
 	/**
-	 * Notes that an answer without a length ended with its connection.
+	 * Records a close-delimited answer to a content.
 	 * @param content the request's content
-	 * @return whether another one to this content did so before
+	 * @return whether this content had a close-delimited answer before
 	 */
 	public boolean isRepeatedCloseDelimited(Trait content) {
 		return this.closeDelimitedContents.put(content, true) != null;
 	}
 
 	/**
-	 * Says whether answers without a length ended at a replica of which it is not known
-	 * whether they are whole.
+	 * Returns whether a replica sent close-delimited answers that are not known to be
+	 * complete.
 	 * @param replica the replica
-	 * @return true if so
+	 * @return true if there are such answers
 	 */
 	public boolean hasUnconfirmedAnswers(Replica replica) {
 		return this.endedAttempts.getOrDefault(replica.id(), List.of())
@@ -120,7 +122,7 @@
 	}
 
 	/**
-	 * Notes that a replica is about to stop, or is not listed any more.
+	 * Handles the notice that a replica is about to stop, or is no longer listed.
 	 * @param now the time in milliseconds
 	 * @param replica the replica
 	 */
@@ -129,21 +131,24 @@
 	}
 
 	/**
-	 * Notes that a replica answered, so that it lives.
+	 * Handles an answer of a replica, which proves that it is alive.
 	 * @param replica the replica
-	 * @param sentAt when the request was sent that it answers, in milliseconds
-	 * @return traits of earlier answers that are known to be whole by that
+	 * @param sentAt when the request that it answers was sent, in milliseconds
+	 * @return the traits of earlier close-delimited answers that are now known to be
+	 * complete
 	 */
 	public Set<Trait> onAnswer(Replica replica, long sentAt) {
 		return confirmAlive(replica, sentAt, EnumSet.allOf(EndKind.class));
 	}
 
 	/**
-	 * Notes that a replica accepts connections, so that answers without a length that
-	 * ended before are whole. Why others broke off is still open.
+	 * Handles a connection that a replica accepted, which proves that earlier
+	 * close-delimited answers are complete. It does not explain why other connections
+	 * broke.
 	 * @param replica the replica
-	 * @param askedAt when it was asked, in milliseconds
-	 * @return traits of earlier answers that are known to be whole by that
+	 * @param askedAt when the connection was requested, in milliseconds
+	 * @return the traits of earlier close-delimited answers that are now known to be
+	 * complete
 	 */
 	public Set<Trait> onConnectionAccepted(Replica replica, long askedAt) {
 		return confirmAlive(replica, askedAt, EnumSet.of(EndKind.CLOSE_DELIMITED));
@@ -154,26 +159,27 @@
 		if (list == null) {
 			return Set.of();
 		}
-		Set<Trait> whole = new LinkedHashSet<>();
+		Set<Trait> complete = new LinkedHashSet<>();
 		list.removeIf((each) -> {
-			boolean over = each.replica.isSameProcess(replica) && each.at < since && settled.contains(each.manner);
-			if (over && each.manner == EndKind.CLOSE_DELIMITED) {
-				whole.addAll(each.traits);
+			boolean settledNow = each.replica.isSameProcess(replica) && each.at < since
+					&& settled.contains(each.manner);
+			if (settledNow && each.manner == EndKind.CLOSE_DELIMITED) {
+				complete.addAll(each.traits);
 			}
-			return over;
+			return settledNow;
 		});
 		if (list.isEmpty()) {
 			this.endedAttempts.remove(replica.id());
 		}
-		return whole;
+		return complete;
 	}
 
 	/**
-	 * Notes that a replica is dead: nothing listens there, its entry is gone, or another
-	 * process has its id or its address.
+	 * Handles the finding that a replica is dead: nothing listens there, its entry is
+	 * gone, or another process has its id or its address.
 	 * @param now the time in milliseconds
 	 * @param replica the replica
-	 * @return the crash, if anything ran there when it died
+	 * @return the crash, if requests ran there when it died
 	 */
 	public Optional<Crash> onDead(long now, ReplicaId replica) {
 		List<EndedAttempt> list = this.endedAttempts.remove(replica);
@@ -181,7 +187,8 @@
 			return Optional.empty();
 		}
 		list.removeIf((each) -> now - each.at > MAX_DETECTION_MILLIS);
-		// One that lived on after an answer without a length did not end under it.
+		// A replica that lived on after a close-delimited answer did not crash on that
+		// request.
 		Optional<EndedAttempt> last = findLast(list, EndKind.BROKEN)
 			.or(() -> findLast(list, EndKind.CLOSE_DELIMITED).filter((end) -> now - end.at <= MAX_CRASH_SPREAD_MILLIS));
 		return last.map((end) -> {
@@ -192,8 +199,8 @@
 		});
 	}
 
-	private static Optional<EndedAttempt> findLast(List<EndedAttempt> list, EndKind manner) {
-		return list.stream().filter((each) -> each.manner == manner).reduce((one, later) -> later);
+	private static Optional<EndedAttempt> findLast(List<EndedAttempt> list, EndKind kind) {
+		return list.stream().filter((each) -> each.manner == kind).reduce((one, later) -> later);
 	}
 
 	private static Crash crash(String process, long at, List<EndedAttempt> list) {
@@ -205,10 +212,10 @@
 	}
 
 	/**
-	 * Notes a replica's entry, which may tell that another process has its id.
+	 * Handles a replica's entry, which may show that a new process has its id.
 	 * @param now the time in milliseconds
-	 * @param replica the entry
-	 * @return the crash, if anything ran there when the process before died
+	 * @param replica the replica as listed
+	 * @return the crash, if requests ran on the previous process when it died
 	 */
 	public Optional<Crash> onListed(long now, Replica replica) {
 		if (replica.draining()) {
@@ -218,8 +225,8 @@
 			this.leavingSince.remove(replica.id());
 		}
 		List<EndedAttempt> list = this.endedAttempts.get(replica.id());
-		boolean another = list != null && !list.get(0).replica.isSameProcess(replica);
-		return another ? onDead(now, replica.id()) : Optional.empty();
+		boolean replaced = list != null && !list.get(0).replica.isSameProcess(replica);
+		return replaced ? onDead(now, replica.id()) : Optional.empty();
 	}
 
 	/**
@@ -230,10 +237,10 @@
 		/** Its connection broke. */
 		BROKEN,
 
-		/** Its answer ended with the connection and had no length. */
+		/** Its answer had no length and ended with the connection. */
 		CLOSE_DELIMITED,
 
-		/** It was given up, or its caller left, before it ended. */
+		/** It was cancelled, or its caller left, before it ended. */
 		CANCELLED
 
 	}
--- a/core/src/main/java/org/gullsaddle/suspect/CrashEvidence.java
+++ b/core/src/main/java/org/gullsaddle/suspect/CrashEvidence.java
@@ -12,46 +12,47 @@
 import java.util.function.Function;
 
 /**
- * The crashes that any node saw, weighed against the requests that went well.
+ * The crashes that any node observed, weighed against the requests that succeeded.
  * <p>
- * Crashes in one moment are one piece of evidence, as a rack may have failed; a request
- * that came to a replica only after the crash before is one of its own. Where all that
- * ended in a moment ran copies of one content, they are two. What was sound before needs
- * more, and others that went well meanwhile. Of several traits the one that was never
- * sound is worst. A part that was only at crashes of one content is not to blame for
- * them, and what is refused explains its crashes: they are evidence against a content
- * only together with one that it had when what explains them was refused already. Where
- * several are nearly as bad, others' news are awaited for a moment.
+ * Crashes at the same moment count as one, as a rack may have failed; but a request that
+ * reached its replica only after the previous crash counts separately. If all replicas
+ * that crashed at one moment ran copies of the same content, those crashes count as two.
+ * A trait with earlier successes needs more crashes, and successes of other requests
+ * meanwhile. Among several candidates, traits that never succeeded are blocked first. A
+ * part that was only at crashes of one content is not blamed for them. A blocked trait
+ * explains its crashes: they count against a content only if it was also at an
+ * unexplained crash of a replica that it reached after the explaining trait had been
+ * blocked. If other parts have nearly as many crashes, peers' notes are awaited briefly.
  */
 final class CrashEvidence {
 
 	/**
-	 * At how many crashes a part must have been. A rare part that has nothing to do with
-	 * them is at one crash in ten at most, and ever so rarely at all of four.
+	 * The number of crashes that blocks a part. A rare, unrelated part is at one crash in
+	 * ten at most, and very rarely at all of four.
 	 */
 	private static final int PART_CRASH_THRESHOLD = 4;
 
 	/**
-	 * The same for a content. With two, a stream that is moved from one replica of a
-	 * failing rack to another one would be refused.
+	 * The number of crashes that blocks a content. With two, a stream that is retried on
+	 * a second replica of a failing rack would be blocked.
 	 */
 	private static final int CONTENT_CRASH_THRESHOLD = 3;
 
 	/**
-	 * The same for a part that was sound before, and for a part under one model, which
-	 * other models may have borne.
+	 * The number of crashes that blocks a part with earlier successes, or a part under
+	 * one model, which may succeed under other models.
 	 */
 	private static final int PRIOR_SUCCESS_CRASH_THRESHOLD = 6;
 
-	/** How far apart crashes are that do not have one cause, in milliseconds. */
+	/** Crashes at least this far apart count as independent. */
 	private static final long MIN_CRASH_GAP_MILLIS = 300;
 
-	/** How long a crash is remembered, in milliseconds. */
+	/** How long a crash is remembered. */
 	static final long RETENTION_MILLIS = 300_000;
 
 	/**
-	 * How long others' news are awaited while another part is at nearly as many crashes,
-	 * in milliseconds: what one node saw of a crash may come before what another did.
+	 * How long peers' notes are awaited while another part is at nearly as many crashes,
+	 * as nodes' observations of the same crash may arrive one after another.
 	 */
 	private static final long RIVAL_WAIT_MILLIS = 1000;
 
@@ -63,16 +64,19 @@
 
 	private final SuccessTracker successes = new SuccessTracker();
 
-	/** Since when there is enough evidence against a trait, in milliseconds. */
+	/** Since when the evidence against a trait has been sufficient, in milliseconds. */
 	private final Map<Trait, Long> sufficientSince = new HashMap<>();
 
-	/** Since when each trait is refused that is. */
+	/** Returns when a trait was blocked, in milliseconds, or empty if it is not. */
 	private final Function<Trait, OptionalLong> blockedSince;
 
-	/** When this node began to see what goes well, in milliseconds. */
+	/** When this node began to observe successes, in milliseconds. */
 	private long observingSince = Long.MAX_VALUE;
 
-	/** When processes that had been taken for dead were last known to live. */
+	/**
+	 * When processes that had been taken for dead were last known to be alive, in
+	 * milliseconds.
+	 */
 	private final Map<String, Long> revivedAt = new LinkedHashMap<>() {
 		@Override
 		protected boolean removeEldestEntry(Map.Entry<String, Long> eldest) {
@@ -85,7 +89,7 @@
 	}
 
 	/**
-	 * Notes that this node sees what goes well from some time on, if not before.
+	 * Records that this node observes successes from this time on, if not earlier.
 	 */
 	void observeFrom(long now) {
 		this.observingSince = Math.min(this.observingSince, now);
@@ -96,8 +100,8 @@
 	}
 
 	/**
-	 * Takes a crash in.
-	 * @return whether it was not known of before
+	 * Adds a crash, or merges it with what is known of the same process.
+	 * @return whether the crash was new
 	 */
 	boolean addCrash(Crash crash) {
 		if (this.revivedAt.getOrDefault(crash.processName(), Long.MIN_VALUE) > crash.at()) {
@@ -112,8 +116,8 @@
 	}
 
 	/**
-	 * Takes a crash back, as its process lives.
-	 * @param sentAt when it was sent the request that it answers, in milliseconds
+	 * Removes a process's crash, as the process is alive.
+	 * @param sentAt when the request that it answers was sent, in milliseconds
 	 * @return whether there was one
 	 */
 	boolean retractCrash(String process, long sentAt) {
@@ -143,7 +147,7 @@
 	}
 
 	/**
-	 * Returns the crashes that no refused part explains, in their order.
+	 * Returns the crashes that no blocked part explains, in order of time.
 	 */
 	List<Crash> unexplainedCrashes() {
 		return this.crashes.values()
@@ -158,8 +162,8 @@
 	}
 
 	/**
-	 * Says whether a content was at a crash which something else that is refused
-	 * explains, and is not to blame for enough of the others.
+	 * Returns whether another blocked trait explains a crash of a content and the
+	 * content's remaining crashes are not sufficient to block it.
 	 */
 	boolean isExplained(Trait trait) {
 		if (trait.isPart()) {
@@ -179,9 +183,9 @@
 	}
 
 	/**
-	 * Returns since when something else is refused that explains a crash at which a trait
-	 * was. A refused content explains it for other contents only: requests without it may
-	 * have the part, too.
+	 * Returns when another trait that explains a crash for this trait was first blocked.
+	 * A blocked content explains a crash for other contents only, as requests with other
+	 * contents may have the same part.
 	 */
 	private OptionalLong explainedSince(Crash crash, Trait trait) {
 		return crash.traits()
@@ -193,56 +197,57 @@
 	}
 
 	/**
-	 * Returns the traits that were at several open crashes.
+	 * Returns the traits that were at more than one unexplained crash.
 	 */
 	List<Trait> repeatedSuspects(Collection<Trait> traits) {
-		List<Crash> open = unexplainedCrashes();
+		List<Crash> unexplained = unexplainedCrashes();
 		return traits.stream()
-			.filter((trait) -> open.stream().filter((crash) -> crash.hasTrait(trait)).count() > 1)
+			.filter((trait) -> unexplained.stream().filter((crash) -> crash.hasTrait(trait)).count() > 1)
 			.toList();
 	}
 
 	/**
-	 * Returns what is to be refused next, if anything is.
+	 * Returns the evidence against the trait to block next, if any is sufficient.
 	 */
 	Optional<TraitEvidence> findNextToBlock(long now) {
-		List<TraitEvidence> accused = crashesByTrait().entrySet()
+		List<TraitEvidence> evidence = crashesByTrait().entrySet()
 			.stream()
 			.filter((suspect) -> suspect.getValue().size() > 1 && !isBlocked(suspect.getKey()))
 			.map((suspect) -> weigh(suspect.getKey(), suspect.getValue()))
 			.toList();
-		List<TraitEvidence> enough = accused.stream().filter(this::isSufficient).toList();
-		this.sufficientSince.keySet().retainAll(enough.stream().map(TraitEvidence::trait).toList());
-		enough.forEach((one) -> this.sufficientSince.putIfAbsent(one.trait(), now));
-		return enough.stream()
+		List<TraitEvidence> sufficient = evidence.stream().filter(this::isSufficient).toList();
+		this.sufficientSince.keySet().retainAll(sufficient.stream().map(TraitEvidence::trait).toList());
+		sufficient.forEach((one) -> this.sufficientSince.putIfAbsent(one.trait(), now));
+		return sufficient.stream()
 			.min(Comparator.comparing(TraitEvidence::hadSuccess)
 				.thenComparing((one) -> one.trait().kind())
 				.thenComparing((one) -> -one.crashCount())
 				.thenComparing(TraitEvidence::totalRunMillis)
 				.thenComparing(TraitEvidence::trait))
-			.filter((worst) -> now - this.sufficientSince.get(worst.trait()) >= RIVAL_WAIT_MILLIS
-					|| accused.stream().noneMatch((other) -> isRival(other, worst)));
+			.filter((strongest) -> now - this.sufficientSince.get(strongest.trait()) >= RIVAL_WAIT_MILLIS
+					|| evidence.stream().noneMatch((other) -> isRival(other, strongest)));
 	}
 
 	/**
-	 * Returns the crashes of each trait, in their order.
+	 * Returns the crashes of each trait, in order of time.
 	 */
 	private Map<Trait, List<Crash>> crashesByTrait() {
-		Map<Trait, List<Crash>> suspects = new LinkedHashMap<>();
+		Map<Trait, List<Crash>> byTrait = new LinkedHashMap<>();
 		this.crashes.values()
 			.stream()
 			.sorted(Comparator.comparingLong(Crash::at))
 			.forEach((crash) -> crash.traits()
-				.forEach((trait) -> suspects.computeIfAbsent(trait, (missing) -> new ArrayList<>()).add(crash)));
-		return suspects;
+				.forEach((trait) -> byTrait.computeIfAbsent(trait, (missing) -> new ArrayList<>()).add(crash)));
+		return byTrait;
 	}
 
 	/**
-	 * Says whether a part may turn out to be at more crashes than the worst trait.
+	 * Returns whether another part may turn out to be at more crashes than the strongest
+	 * suspect.
 	 */
-	private static boolean isRival(TraitEvidence other, TraitEvidence worst) {
-		return !other.trait().equals(worst.trait()) && other.trait().kind() == Trait.Kind.PART && !other.hadSuccess()
-				&& other.crashCount() >= worst.crashCount() - 1;
+	private static boolean isRival(TraitEvidence other, TraitEvidence strongest) {
+		return !other.trait().equals(strongest.trait()) && other.trait().kind() == Trait.Kind.PART
+				&& !other.hadSuccess() && other.crashCount() >= strongest.crashCount() - 1;
 	}
 
 	private boolean isSufficient(TraitEvidence one) {
@@ -251,8 +256,8 @@
 	}
 
 	/**
-	 * Weighs what speaks against a trait.
-	 * @param with the crashes at which it was, in their order
+	 * Weighs the evidence against a trait.
+	 * @param with the crashes at which it was, in order of time
 	 */
 	private TraitEvidence weigh(Trait trait, List<Crash> with) {
 		long soundAt = this.successes.lastSuccessAt(trait);
@@ -264,7 +269,7 @@
 		int count = 0;
 		long first = Long.MAX_VALUE;
 		long last = Long.MIN_VALUE / 2;
-		long ran = 0;
+		long totalRunMillis = 0;
 		boolean copies = false;
 		for (Crash crash : counted) {
 			if (crash.at() - last >= MIN_CRASH_GAP_MILLIS || crash.lastRequestAt(trait) >= last) {
@@ -277,31 +282,34 @@
 				count++;
 				copies = true;
 			}
-			ran += crash.at() - crash.lastRequestAt(trait);
+			totalRunMillis += crash.at() - crash.lastRequestAt(trait);
 		}
-		return new TraitEvidence(trait, soundBefore, count, first, last, ran,
+		return new TraitEvidence(trait, soundBefore, count, first, last, totalRunMillis,
 				trait.isPart() && shareOneContent(counted));
 	}
 
 	/**
-	 * Returns the crashes that count against a trait. Explained ones count too once it
-	 * crashed a replica to which it came when what explains them was refused already.
+	 * Returns the crashes that count against a trait. A content's explained crashes count
+	 * too once it was at an unexplained crash of a replica that it reached after the
+	 * explaining trait had been blocked.
 	 */
 	private List<Crash> countedCrashes(Trait trait, List<Crash> against) {
-		List<Crash> open = against.stream().filter((crash) -> explainedSince(crash, trait).isEmpty()).toList();
-		if (open.isEmpty() || trait.isPart()) {
-			return open;
+		List<Crash> unexplained = against.stream().filter((crash) -> explainedSince(crash, trait).isEmpty()).toList();
+		if (unexplained.isEmpty() || trait.isPart()) {
+			return unexplained;
 		}
-		long refusedAt = against.stream()
+		long explainedAt = against.stream()
 			.map((crash) -> explainedSince(crash, trait))
 			.flatMapToLong(OptionalLong::stream)
 			.max()
 			.orElse(Long.MAX_VALUE);
-		return open.stream().anyMatch((crash) -> crash.lastRequestAt(trait) >= refusedAt) ? against : open;
+		return unexplained.stream().anyMatch((crash) -> crash.lastRequestAt(trait) >= explainedAt) ? against
+				: unexplained;
 	}
 
 	/**
-	 * Says whether all that ended in a moment ran a content, while others go well.
+	 * Returns whether all replicas that crashed at one moment ran a content, while other
+	 * requests succeed.
 	 */
 	private boolean allCrashesHave(Trait trait, long from, long to) {
 		return !trait.isPart() && this.successes.hasSuccessWithoutSince(trait, from) && this.crashes.values()
@@ -311,7 +319,7 @@
 	}
 
 	/**
-	 * Says whether one content was at several crashes, and at all of them.
+	 * Returns whether there are several crashes and one content was at all of them.
 	 */
 	private static boolean shareOneContent(List<Crash> crashes) {
 		return crashes.size() > 1 && crashes.get(0)
@@ -328,15 +336,17 @@
 	}
 
 	/**
-	 * What speaks against a trait.
+	 * The crash evidence against a trait.
 	 *
 	 * @param trait the trait
-	 * @param soundBefore whether requests with it went well, or may have, before
-	 * @param crashes how many crashes speak against it
-	 * @param firstAt when the first of them was, in milliseconds
-	 * @param lastAt when the last of them was, in milliseconds
-	 * @param ranMillis how long its requests had run when replicas ended, in all
-	 * @param ofOneContent whether it is a part, and one content was at all of the crashes
+	 * @param hadSuccess whether requests with it succeeded before, or may have
+	 * @param crashCount how many independent crashes count against it
+	 * @param firstCrashAt when the first of them was, in milliseconds
+	 * @param lastCrashAt when the last of them was, in milliseconds
+	 * @param totalRunMillis the total time its requests had run when the replicas
+	 * crashed, in milliseconds
+	 * @param sharesOneContent whether it is a part and one content was at all of its
+	 * crashes
 	 */
 	record TraitEvidence(Trait trait, boolean hadSuccess, int crashCount, long firstCrashAt, long lastCrashAt,
 			long totalRunMillis, boolean sharesOneContent) {
--- a/core/src/main/java/org/gullsaddle/suspect/CrashNote.java
+++ b/core/src/main/java/org/gullsaddle/suspect/CrashNote.java
@@ -4,14 +4,14 @@
 import java.util.Map;
 
 /**
- * What a node tells others of crashes and of what it refuses for them. All ages are as of
- * the writing, in milliseconds.
+ * The crash evidence and blocked traits that a node reports to its peers through the
+ * store. All ages are relative to the time of writing, in milliseconds.
  *
- * @param writtenAt the Unix millisecond of the writing
- * @param crashes the ends of replicas
- * @param sound traits that speak for themselves: for each how long ago a request with it
- * was answered
- * @param refused what is refused
+ * @param writtenAt when it was written, in milliseconds since the epoch
+ * @param crashes the crashes that the node observed
+ * @param sound suspect or blocked traits with successes: for each, how long ago a request
+ * with it last succeeded
+ * @param refused the traits that the node blocks
  */
 public record CrashNote(long writtenAt, List<NotedCrash> crashes, Map<Trait, Long> sound, List<NotedBlock> refused) {
 
@@ -26,11 +26,11 @@
 	}
 
 	/**
-	 * The end of a replica's process.
+	 * A crash that the node observed.
 	 *
-	 * @param process the process
-	 * @param ageMillis how long ago it was
-	 * @param ran see {@link Crash}
+	 * @param process the process, see {@link Crash#processName()}
+	 * @param ageMillis how long ago the process ended
+	 * @param ran how long requests had run by trait, see {@link Crash#runMillis()}
 	 */
 	public record NotedCrash(String process, long ageMillis, Map<Trait, Long> ran) {
 
@@ -41,13 +41,13 @@
 	}
 
 	/**
-	 * A trait whose requests are refused.
+	 * A trait that the node blocks.
 	 *
 	 * @param trait the trait
-	 * @param crashAgeMillis how long ago the last crash was that speaks against it
-	 * @param seenAgeMillis how long ago the last request with it came
-	 * @param trials how many requests were let through to try it again
-	 * @param trialInMillis how soon the next one may be
+	 * @param crashAgeMillis how long ago the last crash with it was
+	 * @param seenAgeMillis how long ago the last request with it arrived
+	 * @param trials how many requests were let through as trials
+	 * @param trialInMillis how long until the next trial is due
 	 */
 	public record NotedBlock(Trait trait, long crashAgeMillis, long seenAgeMillis, int trials, long trialInMillis) {
 	}
--- a/core/src/main/java/org/gullsaddle/suspect/CrashTracker.java
+++ b/core/src/main/java/org/gullsaddle/suspect/CrashTracker.java
@@ -14,22 +14,21 @@
 import java.util.Set;
 
 /**
- * Finds out what requests that crash replicas have in common, from what all nodes saw,
- * and refuses it. Confined to one thread.
+ * Finds the traits shared by requests that crash replicas, from the crash evidence of all
+ * nodes, and blocks them. Confined to one thread.
  * <p>
- * Many requests run on a replica, so that one crash convicts nothing. A trait is refused
- * once requests with it were at several crashes one after the other, and none with it
- * went well since the first; see {@link CrashEvidence}. It is refused as long as such
- * requests come, but for a trial now and then.
+ * Many requests run on a replica, so one crash blocks nothing. A trait is blocked once
+ * requests with it were running at several crashes in succession and none with it
+ * succeeded since the first; see {@link CrashEvidence}. It stays blocked while such
+ * requests arrive, except for occasional trials.
  */
 public final class CrashTracker {
 
-	/** How long after a crash others' news of it are awaited, in milliseconds. */
+	/** How long after a crash peers' notes about it are awaited. */
 	private static final long NOTE_WAIT_MILLIS = 10_000;
 
 	/**
-	 * How long ago a note was written at least for its age to count, in milliseconds:
-	 * clocks differ.
+	 * Notes younger than this are treated as just written, as clocks differ.
 	 */
 	private static final long MIN_NOTE_AGE_MILLIS = 10_000;
 
@@ -41,7 +40,7 @@
 
 	private static final int MAX_TRAITS_PER_CRASH = 24;
 
-	/** The crashes that this node saw, as it saw them, which it tells the others. */
+	/** The crashes that this node observed itself, which it reports to its peers. */
 	private final Map<String, Crash> ownCrashes = new LinkedHashMap<>() {
 		@Override
 		protected boolean removeEldestEntry(Map.Entry<String, Crash> eldest) {
@@ -57,13 +56,13 @@
 
 	private long lastCrashAt = Long.MIN_VALUE / 2;
 
-	/** The traits of which it was told that they are sound since their last crash. */
+	/** The traits whose success since their last crash this node has reported. */
 	private final Set<Trait> reportedSuccesses = new HashSet<>();
 
-	/** The traits that this node's last note says are refused. */
+	/** The traits that this node's last note lists as blocked. */
 	private final Set<Trait> reportedBlocked = new HashSet<>();
 
-	/** The traits that were refused, and went well then. */
+	/** When a request with each unblocked trait last succeeded, in milliseconds. */
 	private final Map<Trait, Long> unblockedAt = new LinkedHashMap<>() {
 		@Override
 		protected boolean removeEldestEntry(Map.Entry<Trait, Long> eldest) {
@@ -72,10 +71,10 @@
 	};
 
 	/**
-	 * Notes a crash that this node found.
+	 * Handles a crash that this node detected.
 	 * @param now the time in milliseconds
 	 * @param crash the crash
-	 * @return the traits that are refused from now on
+	 * @return the newly blocked traits
 	 */
 	public List<Trait> onCrash(long now, Crash crash) {
 		this.evidence.observeFrom(crash.at());
@@ -85,8 +84,8 @@
 	}
 
 	private OptionalLong blockedSince(Trait trait) {
-		BlockedTrait conviction = this.blockedTraits.get(trait);
-		return (conviction != null) ? OptionalLong.of(conviction.blockedAt()) : OptionalLong.empty();
+		BlockedTrait blockedTrait = this.blockedTraits.get(trait);
+		return (blockedTrait != null) ? OptionalLong.of(blockedTrait.blockedAt()) : OptionalLong.empty();
 	}
 
 	private void addCrash(long now, Crash crash) {
@@ -95,18 +94,18 @@
 			this.lastCrashAt = Math.max(this.lastCrashAt, now);
 		}
 		crash.traits().forEach((trait) -> {
-			BlockedTrait conviction = this.blockedTraits.get(trait);
-			if (conviction != null) {
-				conviction.onCrash(crash.at());
+			BlockedTrait blockedTrait = this.blockedTraits.get(trait);
+			if (blockedTrait != null) {
+				blockedTrait.onCrash(crash.at());
 			}
 		});
 	}
 
 	/**
-	 * Notes that a replica lives, which may have been taken for dead: a node that is cut
-	 * off from it sees it refuse connections.
+	 * Handles proof that a replica's process is alive, which retracts its crash. A node
+	 * that is cut off from a replica may have taken it for dead.
 	 * @param process the process
-	 * @param sentAt when the request was sent that it answers, in milliseconds
+	 * @param sentAt when the request that it answers was sent, in milliseconds
 	 */
 	public void onAlive(String process, long sentAt) {
 		if (this.evidence.retractCrash(process, sentAt)) {
@@ -115,11 +114,11 @@
 	}
 
 	/**
-	 * Notes that a request went well: its answer came whole, or went on for a while after
-	 * it had begun.
+	 * Handles the success of a request: its answer was complete, or kept streaming for a
+	 * while.
 	 * @param now the time in milliseconds
 	 * @param traits the request's traits
-	 * @return the traits among them that are not refused any more
+	 * @return the traits among them that this unblocks
 	 */
 	public List<Trait> onSuccess(long now, Collection<Trait> traits) {
 		this.evidence.observeFrom(now);
@@ -135,81 +134,84 @@
 	}
 
 	private boolean unblockIfSucceeded(Trait trait) {
-		BlockedTrait conviction = this.blockedTraits.get(trait);
-		boolean clears = conviction != null && this.successes.lastSuccessAt(trait) > conviction.lastCrashAt();
-		if (clears) {
+		BlockedTrait blockedTrait = this.blockedTraits.get(trait);
+		boolean succeeded = blockedTrait != null && this.successes.lastSuccessAt(trait) > blockedTrait.lastCrashAt();
+		if (succeeded) {
 			this.blockedTraits.remove(trait);
 			this.unblockedAt.put(trait, this.successes.lastSuccessAt(trait));
 		}
-		return clears;
+		return succeeded;
 	}
 
 	/**
-	 * Says whether requests with each of some traits have gone well.
+	 * Returns whether a request has succeeded with each of some traits.
 	 * @param traits the traits
-	 * @return true if one went well with each, as far as is remembered
+	 * @return true if a success with each of them is remembered
 	 */
 	public boolean hasSuccessWithEach(Collection<Trait> traits) {
 		return traits.stream().allMatch(this.successes::hasSuccess);
 	}
 
 	/**
-	 * Says whether a request may not be sent to any replica.
+	 * Returns whether a request must not be sent to any replica.
 	 * @param traits the request's traits
-	 * @return true if one of them is refused
+	 * @return true if one of them is blocked
 	 */
 	public boolean isBlocked(Collection<Trait> traits) {
 		return !this.blockedTraits.isEmpty() && traits.stream().anyMatch(this.blockedTraits::containsKey);
 	}
 
 	/**
-	 * Returns when a refused request may come back: when the next one is let through.
+	 * Returns when a refused request may be retried: when the next trial is due.
 	 * @param now the time in milliseconds
 	 * @param traits the request's traits
 	 * @return the time from now in milliseconds
 	 */
 	public long retryAfterMillis(long now, Collection<Trait> traits) {
-		return findBlocked(traits).stream().mapToLong((conviction) -> conviction.trialInMillis(now)).max().orElse(0);
+		return findBlocked(traits).stream()
+			.mapToLong((blockedTrait) -> blockedTrait.trialInMillis(now))
+			.max()
+			.orElse(0);
 	}
 
 	/**
-	 * Notes that a request came, which lets the refusal of its traits last.
+	 * Handles the arrival of a request, which prolongs the blocks of its traits.
 	 * @param now the time in milliseconds
 	 * @param traits the request's traits
-	 * @return whether others are to be told
+	 * @return whether to report the blocks to peers again
 	 */
 	public boolean onRequest(long now, Collection<Trait> traits) {
 		boolean due = false;
-		for (BlockedTrait conviction : findBlocked(traits)) {
-			due |= conviction.onRequest(now);
+		for (BlockedTrait blockedTrait : findBlocked(traits)) {
+			due |= blockedTrait.onRequest(now);
 		}
 		return due;
 	}
 
 	/**
-	 * Returns the trait for which a request is to be let through, to find out whether it
-	 * is sound by now.
+	 * Returns the trial for which a request is to be let through, to find out whether its
+	 * trait can be unblocked.
 	 * @param now the time in milliseconds
 	 * @param traits the request's traits
-	 * @return the trait, if a trial is due and nothing else speaks against the request
+	 * @return the trial, if one is due and no other trait of the request is blocked
 	 */
 	public Optional<Trial> findTrial(long now, Collection<Trait> traits) {
-		List<BlockedTrait> against = findBlocked(traits);
-		if (against.size() != 1 || !against.get(0).isTrialDue(now)) {
+		List<BlockedTrait> blocked = findBlocked(traits);
+		if (blocked.size() != 1 || !blocked.get(0).isTrialDue(now)) {
 			return Optional.empty();
 		}
-		return Optional.of(new Trial(against.get(0).trait(), against.get(0).trialCount() + 1));
+		return Optional.of(new Trial(blocked.get(0).trait(), blocked.get(0).trialCount() + 1));
 	}
 
 	/**
-	 * Notes that a trial was decided on, here or at another node.
+	 * Handles the decision on a trial, whether this node or a peer runs it.
 	 * @param now the time in milliseconds
 	 * @param trial the trial
 	 */
 	public void onTrialDecided(long now, Trial trial) {
-		BlockedTrait conviction = this.blockedTraits.get(trial.trait());
-		if (conviction != null && conviction.trialCount() < trial.number()) {
-			conviction.onTrial(now);
+		BlockedTrait blockedTrait = this.blockedTraits.get(trial.trait());
+		if (blockedTrait != null && blockedTrait.trialCount() < trial.number()) {
+			blockedTrait.onTrial(now);
 		}
 	}
 
@@ -218,84 +220,86 @@
 	}
 
 	/**
-	 * Takes in what another node told.
+	 * Handles a peer's note.
 	 * @param now the time in milliseconds
-	 * @param clock the Unix millisecond
-	 * @param note what it told
+	 * @param clock the wall-clock time in milliseconds since the epoch
+	 * @param note the note
 	 * @return what changed
 	 */
 	public NoteEffect onNote(long now, long clock, CrashNote note) {
 		this.evidence.observeFrom(now);
-		long told = clock - note.writtenAt();
-		long lag = (told >= MIN_NOTE_AGE_MILLIS) ? told : 0;
+		long ageMillis = clock - note.writtenAt();
+		long lag = (ageMillis >= MIN_NOTE_AGE_MILLIS) ? ageMillis : 0;
 		if (lag > BlockedTrait.EXPIRY_MILLIS) {
 			return new NoteEffect(List.of(), List.of());
 		}
 		note.sound().forEach((trait, age) -> this.successes.recordTrait(now - lag - age, trait));
-		List<Trait> cleared = unblockSucceeded(note.sound().keySet());
+		List<Trait> unblocked = unblockSucceeded(note.sound().keySet());
 		for (CrashNote.NotedCrash each : note.crashes()) {
 			if (lag + each.ageMillis() < CrashEvidence.RETENTION_MILLIS) {
 				addCrash(now, new Crash(each.process(), now - lag - each.ageMillis(), each.ran()));
 			}
 		}
-		List<Trait> refused = new ArrayList<>();
+		List<Trait> blocked = new ArrayList<>();
 		for (CrashNote.NotedBlock each : note.refused()) {
 			if (mergeBlocked(now, lag, each)) {
-				refused.add(each.trait());
+				blocked.add(each.trait());
 			}
 		}
-		refused.addAll(blockSuspects(now));
-		return new NoteEffect(refused, cleared);
+		blocked.addAll(blockSuspects(now));
+		return new NoteEffect(blocked, unblocked);
 	}
 
 	/**
-	 * Takes in what this node told before it started anew, and tells it again.
+	 * Handles the note that this node wrote before it restarted, and reports its crashes
+	 * again.
 	 * @param now the time in milliseconds
-	 * @param clock the Unix millisecond
-	 * @param note what it told
+	 * @param clock the wall-clock time in milliseconds since the epoch
+	 * @param note the note
 	 * @return what changed
 	 */
 	public NoteEffect onOwnNote(long now, long clock, CrashNote note) {
-		NoteEffect learned = onNote(now, clock, note);
+		NoteEffect effect = onNote(now, clock, note);
 		for (CrashNote.NotedCrash each : note.crashes()) {
 			this.evidence.findCrash(each.process())
 				.ifPresent((crash) -> this.ownCrashes.putIfAbsent(each.process(), crash));
 		}
-		return learned;
+		return effect;
 	}
 
-	private boolean mergeBlocked(long now, long lag, CrashNote.NotedBlock told) {
-		boolean soundSince = this.successes.lastSuccessAt(told.trait()) > now - lag - told.crashAgeMillis();
-		if (soundSince || this.evidence.isExplained(told.trait())) {
+	private boolean mergeBlocked(long now, long lag, CrashNote.NotedBlock noted) {
+		boolean succeededSince = this.successes.lastSuccessAt(noted.trait()) > now - lag - noted.crashAgeMillis();
+		if (succeededSince || this.evidence.isExplained(noted.trait())) {
 			return false;
 		}
-		boolean known = this.blockedTraits.containsKey(told.trait());
+		boolean known = this.blockedTraits.containsKey(noted.trait());
 		if (!known) {
-			block(new BlockedTrait(told.trait(), now - lag - told.seenAgeMillis(), now - lag - told.crashAgeMillis()));
+			block(new BlockedTrait(noted.trait(), now - lag - noted.seenAgeMillis(),
+					now - lag - noted.crashAgeMillis()));
 		}
-		this.blockedTraits.get(told.trait()).merge(now, told, lag);
+		this.blockedTraits.get(noted.trait()).merge(now, noted, lag);
 		return !known;
 	}
 
 	/**
-	 * Says whether others are to be told that a trait is sound: it was at crashes that
-	 * they know, or they refuse it.
-	 * @param traits the traits of a request that went well
+	 * Returns whether to report successes with some traits to peers, as those traits were
+	 * at several crashes that peers know of. Remembers them as reported.
+	 * @param traits the traits of a request that succeeded
 	 * @return true once after each crash
 	 */
 	public boolean shouldReportSuccess(Collection<Trait> traits) {
 		if (!this.evidence.hasCrashes()) {
 			return false;
 		}
-		List<Trait> accused = this.evidence.repeatedSuspects(traits);
-		return this.reportedSuccesses.addAll(accused);
+		List<Trait> suspects = this.evidence.repeatedSuspects(traits);
+		return this.reportedSuccesses.addAll(suspects);
 	}
 
 	/**
-	 * Returns what is known, to tell other nodes.
+	 * Builds the note that reports crashes, successes and blocked traits to peers.
 	 * @param now the time in milliseconds
-	 * @param clock the Unix millisecond
-	 * @return the note, empty if nothing is known
+	 * @param clock the wall-clock time in milliseconds since the epoch
+	 * @return the note, empty if there is nothing to report
 	 */
 	public Optional<CrashNote> buildNote(long now, long clock) {
 		expire(now);
@@ -304,39 +308,39 @@
 			.map((crash) -> crash.retainTraits(chooseMostSuspect(crash)))
 			.map((crash) -> new CrashNote.NotedCrash(crash.processName(), now - crash.at(), crash.runMillis()))
 			.toList();
-		Set<Trait> accused = new LinkedHashSet<>(this.blockedTraits.keySet());
-		accused.addAll(this.unblockedAt.keySet());
-		this.evidence.unexplainedCrashes().forEach((crash) -> accused.addAll(crash.traits()));
-		Map<Trait, Long> marks = new HashMap<>();
-		accused.stream()
+		Set<Trait> suspects = new LinkedHashSet<>(this.blockedTraits.keySet());
+		suspects.addAll(this.unblockedAt.keySet());
+		this.evidence.unexplainedCrashes().forEach((crash) -> suspects.addAll(crash.traits()));
+		Map<Trait, Long> successAges = new HashMap<>();
+		suspects.stream()
 			.filter(this.successes::hasSuccess)
 			.sorted(Comparator.comparingLong(this.successes::lastSuccessAt).reversed())
 			.limit(MAX_REPORTED_TRAITS)
-			.forEach((trait) -> marks.put(trait, Math.max(0, now - this.successes.lastSuccessAt(trait))));
-		List<CrashNote.NotedBlock> refused = this.blockedTraits.values()
+			.forEach((trait) -> successAges.put(trait, Math.max(0, now - this.successes.lastSuccessAt(trait))));
+		List<CrashNote.NotedBlock> blocked = this.blockedTraits.values()
 			.stream()
 			.sorted(Comparator.comparingLong(BlockedTrait::lastRequestAt).reversed())
 			.limit(MAX_REPORTED_TRAITS)
-			.map((conviction) -> conviction.toNotedBlock(now))
+			.map((blockedTrait) -> blockedTrait.toNotedBlock(now))
 			.toList();
 		this.reportedBlocked.clear();
-		refused.forEach((each) -> this.reportedBlocked.add(each.trait()));
-		CrashNote note = new CrashNote(clock, ended, marks, refused);
+		blocked.forEach((each) -> this.reportedBlocked.add(each.trait()));
+		CrashNote note = new CrashNote(clock, ended, successAges, blocked);
 		return note.empty() ? Optional.empty() : Optional.of(note);
 	}
 
 	/**
-	 * Says whether this node told that traits are refused which are not any more.
-	 * @param cleared the traits
-	 * @return true if its note is to be written again
+	 * Returns whether this node's last note lists any unblocked trait as blocked.
+	 * @param unblocked the unblocked traits
+	 * @return true if the note is to be written again
 	 */
-	public boolean hasReportedAnyBlocked(Collection<Trait> cleared) {
-		return cleared.stream().anyMatch(this.reportedBlocked::contains);
+	public boolean hasReportedAnyBlocked(Collection<Trait> unblocked) {
+		return unblocked.stream().anyMatch(this.reportedBlocked::contains);
 	}
 
 	/**
-	 * Returns the traits of a crash that were sound longest ago, or never, and of those
-	 * the ones that were at most crashes.
+	 * Returns the most suspect traits of a crash: those whose last success is longest ago
+	 * or unknown, and among these the ones at the most crashes.
 	 */
 	private Set<Trait> chooseMostSuspect(Crash crash) {
 		return new HashSet<>(crash.traits()
@@ -349,7 +353,8 @@
 	}
 
 	/**
-	 * Returns how many remembered crashes a trait was at, whatever explains them.
+	 * Returns at how many remembered crashes a trait was, whether or not a blocked trait
+	 * explains them.
 	 * @param trait the trait
 	 * @return the number
 	 */
@@ -358,7 +363,7 @@
 	}
 
 	/**
-	 * Returns how many traits are refused.
+	 * Returns how many traits are blocked.
 	 * @return the number
 	 */
 	public int blockedCount() {
@@ -366,34 +371,35 @@
 	}
 
 	/**
-	 * Says whether any crash is remembered, or anything refused.
-	 * @return true if so
+	 * Returns whether any crash is remembered or any trait is blocked.
+	 * @return true if there is such evidence
 	 */
 	public boolean hasCrashEvidence() {
 		return this.evidence.hasCrashes() || !this.blockedTraits.isEmpty();
 	}
 
 	/**
-	 * Says whether crashes are so recent that others' news of them are awaited.
+	 * Returns whether a crash is so recent that peers' notes about it are still awaited.
 	 * @param now the time in milliseconds
-	 * @return true if so
+	 * @return true while notes are awaited
 	 */
 	public boolean isAwaitingNotes(long now) {
 		return now - this.lastCrashAt < NOTE_WAIT_MILLIS;
 	}
 
 	/**
-	 * Says whether this node refuses anything of which no node has told the others yet.
-	 * @return true if so
+	 * Returns whether this node blocks a trait that no node has reported yet.
+	 * @return true if a report is due
 	 */
 	public boolean hasUnreportedBlocks() {
-		return this.blockedTraits.values().stream().anyMatch((conviction) -> !conviction.isReported());
+		return this.blockedTraits.values().stream().anyMatch((blockedTrait) -> !blockedTrait.isReported());
 	}
 
 	/**
-	 * Finds out what is to be refused by now. Is to be called some times a second.
+	 * Blocks the traits whose crash evidence is sufficient by now. To be called a few
+	 * times a second.
 	 * @param now the time in milliseconds
-	 * @return the traits that are refused from now on
+	 * @return the newly blocked traits
 	 */
 	public List<Trait> reevaluate(long now) {
 		this.evidence.observeFrom(now);
@@ -402,28 +408,28 @@
 
 	private List<Trait> blockSuspects(long now) {
 		expire(now);
-		List<Trait> convicted = new ArrayList<>();
-		Optional<CrashEvidence.TraitEvidence> worst = this.evidence.findNextToBlock(now);
-		while (worst.isPresent()) {
-			Trait trait = worst.get().trait();
-			block(new BlockedTrait(trait, now, worst.get().lastCrashAt()));
-			convicted.add(trait);
-			worst = this.evidence.findNextToBlock(now);
+		List<Trait> blocked = new ArrayList<>();
+		Optional<CrashEvidence.TraitEvidence> strongest = this.evidence.findNextToBlock(now);
+		while (strongest.isPresent()) {
+			Trait trait = strongest.get().trait();
+			block(new BlockedTrait(trait, now, strongest.get().lastCrashAt()));
+			blocked.add(trait);
+			strongest = this.evidence.findNextToBlock(now);
 		}
-		return convicted;
+		return blocked;
 	}
 
-	private void block(BlockedTrait conviction) {
+	private void block(BlockedTrait blockedTrait) {
 		if (this.blockedTraits.size() >= MAX_BLOCKED_TRAITS) {
 			this.blockedTraits.values()
 				.stream()
 				.min(Comparator.comparingLong(BlockedTrait::lastRequestAt))
 				.ifPresent((oldest) -> this.blockedTraits.remove(oldest.trait()));
 		}
-		this.blockedTraits.put(conviction.trait(), conviction);
+		this.blockedTraits.put(blockedTrait.trait(), blockedTrait);
 		List<Trait> others = this.blockedTraits.keySet()
 			.stream()
-			.filter((trait) -> !trait.equals(conviction.trait()))
+			.filter((trait) -> !trait.equals(blockedTrait.trait()))
 			.filter(this.evidence::isExplained)
 			.toList();
 		this.blockedTraits.keySet().removeAll(others);
@@ -432,7 +438,7 @@
 	private void expire(long now) {
 		this.evidence.expire(now);
 		this.ownCrashes.values().removeIf((crash) -> now - crash.at() >= CrashEvidence.RETENTION_MILLIS);
-		this.blockedTraits.values().removeIf((conviction) -> conviction.isExpired(now));
+		this.blockedTraits.values().removeIf((blockedTrait) -> blockedTrait.isExpired(now));
 		this.unblockedAt.values().removeIf((at) -> now - at > BlockedTrait.EXPIRY_MILLIS);
 		if (!this.evidence.hasCrashes()) {
 			this.reportedSuccesses.clear();
@@ -440,19 +446,19 @@
 	}
 
 	/**
-	 * A request that is let through although its trait is refused.
+	 * A request that is let through although its trait is blocked.
 	 *
 	 * @param trait the trait
-	 * @param number which of its trials it is, 1 for the first
+	 * @param number the trait's trial count including this one, from 1
 	 */
 	public record Trial(Trait trait, int number) {
 	}
 
 	/**
-	 * What another node's note changed.
+	 * What a note changed.
 	 *
-	 * @param refused the traits that are refused from now on
-	 * @param cleared those that are not any more
+	 * @param blocked the newly blocked traits
+	 * @param unblocked the traits that are no longer blocked
 	 */
 	public record NoteEffect(List<Trait> blocked, List<Trait> unblocked) {
 	}
--- a/core/src/main/java/org/gullsaddle/suspect/SuccessTracker.java
+++ b/core/src/main/java/org/gullsaddle/suspect/SuccessTracker.java
@@ -8,7 +8,7 @@
 import java.util.Set;
 
 /**
- * When requests with each trait were last seen to go well.
+ * Tracks when a request with each trait last succeeded. Times are in milliseconds.
  */
 final class SuccessTracker {
 
@@ -23,11 +23,11 @@
 		}
 	};
 
-	/** The last requests that this node saw go well. */
+	/** The most recent requests that succeeded at this node. */
 	private final Deque<Request> recentSuccesses = new ArrayDeque<>();
 
 	/**
-	 * Notes that a request went well here.
+	 * Records a request's success at this node.
 	 */
 	void recordRequest(long now, Collection<Trait> traits) {
 		traits.forEach((trait) -> recordTrait(now, trait));
@@ -38,7 +38,7 @@
 	}
 
 	/**
-	 * Notes that a request with a trait went well somewhere.
+	 * Records the success of a request with a trait at any node.
 	 */
 	void recordTrait(long at, Trait trait) {
 		this.lastSuccesses.merge(trait, at, Math::max);
@@ -49,15 +49,15 @@
 	}
 
 	/**
-	 * Returns when a request with a trait last went well.
+	 * Returns when a request with a trait last succeeded, or {@link Long#MIN_VALUE}.
 	 */
 	long lastSuccessAt(Trait trait) {
 		return this.lastSuccesses.getOrDefault(trait, Long.MIN_VALUE);
 	}
 
 	/**
-	 * Says whether a request without a trait went well here after some time. Requests
-	 * without a prompt say nothing of parts: other replicas serve them.
+	 * Returns whether a request without a trait succeeded at this node after some time.
+	 * For a part, requests without a prompt do not count, as other replicas serve them.
 	 */
 	boolean hasSuccessWithoutSince(Trait trait, long time) {
 		return this.recentSuccesses.stream()
--- a/core/src/main/java/org/gullsaddle/suspect/SuspectContent.java
+++ b/core/src/main/java/org/gullsaddle/suspect/SuspectContent.java
@@ -7,11 +7,11 @@
 import org.gullsaddle.base.Fingerprint;
 
 /**
- * What is known against a request's content.
+ * The crash evidence against a request's content.
  *
  * @param fingerprint the team and content
- * @param crashes attempts that ran when a backend server crashed
- * @param alone whether nothing else ran in one of them
+ * @param crashes the attempts with it that ran when a backend server crashed
+ * @param alone whether one of them ran alone on its backend server
  */
 public record SuspectContent(Fingerprint fingerprint, Set<AttemptId> crashes, boolean alone) {
 
@@ -24,8 +24,8 @@
 	}
 
 	/**
-	 * Says whether the content must not run at all.
-	 * @return true after a crash alone, or two crashes
+	 * Returns whether the content must not run at all.
+	 * @return true after a crash while it ran alone, or two crashes
 	 */
 	public boolean shouldBlock() {
 		return this.alone || this.crashes.size() >= BLOCKING_CRASHES;
--- a/core/src/main/java/org/gullsaddle/suspect/SuspectTracker.java
+++ b/core/src/main/java/org/gullsaddle/suspect/SuspectTracker.java
@@ -10,15 +10,16 @@
 import org.gullsaddle.base.Fingerprint;
 
 /**
- * Remembers which requests ran when a backend server crashed. Not thread-safe.
+ * Tracks the contents of requests that ran when a backend server crashed. Not
+ * thread-safe.
  * <p>
- * A request that crashes each backend server that runs it would, sent again and again,
- * take down one after another. After a first crash a request runs alone, so that a second
- * crash can only be its own and bystanders are cleared; after a crash alone, or two
- * crashes, it is refused, however often it is sent. So one content costs at most two
- * backend servers, plus one for each further copy that was sent before the first crash
- * was heard of. Entries and agents both remember, and tell each other, so that the loss
- * of either does not start the count anew.
+ * A request that crashes every backend server that runs it would, if retried, take down
+ * one after another. After its first crash a content is suspect and runs alone, so that a
+ * second crash can only be its own and unrelated contents are cleared. After a crash
+ * while running alone, or two crashes, it is blocked, however often it is sent. So one
+ * content costs at most two backend servers, plus one for each further copy that was sent
+ * before the first crash was known. Entries and agents both keep this evidence and report
+ * it to each other, so that losing either does not reset the count.
  */
 public final class SuspectTracker {
 
@@ -32,7 +33,7 @@
 	};
 
 	/**
-	 * Says whether a request must run alone.
+	 * Returns whether a request must run alone.
 	 * @param fingerprint its team and content
 	 * @return true if a backend server crashed while it ran
 	 */
@@ -41,21 +42,21 @@
 	}
 
 	/**
-	 * Says whether a request must not run at all.
+	 * Returns whether a request must not run at all.
 	 * @param fingerprint its team and content
 	 * @return true if a backend server crashed while it ran alone, or two crashed
 	 */
 	public boolean isBlocked(Fingerprint fingerprint) {
-		SuspectContent suspicion = this.contents.get(fingerprint);
-		return suspicion != null && suspicion.shouldBlock();
+		SuspectContent content = this.contents.get(fingerprint);
+		return content != null && content.shouldBlock();
 	}
 
 	/**
-	 * Notes a crash.
+	 * Handles a crash.
 	 * @param fingerprint the team and content that ran
 	 * @param attempt the attempt
 	 * @param alone whether nothing else ran
-	 * @return what is known now, to tell others
+	 * @return the evidence so far, to report to other nodes
 	 */
 	public SuspectContent onCrash(Fingerprint fingerprint, AttemptId attempt, boolean alone) {
 		merge(new SuspectContent(fingerprint, Set.of(attempt), alone));
@@ -63,18 +64,18 @@
 	}
 
 	/**
-	 * Takes in what another node knows. The same crash, heard of twice, counts once.
-	 * @param suspicion what it knows
+	 * Merges another node's evidence. A crash that is reported twice counts once.
+	 * @param content the evidence
 	 * @return true if any of it was new
 	 */
-	public boolean merge(SuspectContent suspicion) {
-		SuspectContent before = this.contents.get(suspicion.fingerprint());
-		SuspectContent after = this.contents.merge(suspicion.fingerprint(), suspicion, SuspectTracker::join);
+	public boolean merge(SuspectContent content) {
+		SuspectContent before = this.contents.get(content.fingerprint());
+		SuspectContent after = this.contents.merge(content.fingerprint(), content, SuspectTracker::join);
 		return !after.equals(before);
 	}
 
 	/**
-	 * Clears a request that ran alone to its end; it did not cause the crash.
+	 * Clears a content that ran alone to its end, so it did not cause the crash.
 	 * @param fingerprint its team and content
 	 */
 	public void clear(Fingerprint fingerprint) {
@@ -82,8 +83,8 @@
 	}
 
 	/**
-	 * Returns all that is remembered, to tell a node that starts.
-	 * @return the suspicions
+	 * Returns all evidence, to report to a node that starts.
+	 * @return the suspect and blocked contents
 	 */
 	public List<SuspectContent> suspects() {
 		return List.copyOf(this.contents.values());
--- a/core/src/main/java/org/gullsaddle/suspect/Trait.java
+++ b/core/src/main/java/org/gullsaddle/suspect/Trait.java
@@ -7,10 +7,10 @@
 import org.gullsaddle.base.Fingerprint;
 
 /**
- * What requests may have in common: a part of their prompts, under any model or one, or
- * all of their content.
+ * A property that requests may share: a part of their prompts, under any model or under
+ * one, or their whole content.
  *
- * @param value the text form, never {@code null}
+ * @param value the text form, not {@code null}
  */
 public record Trait(@JsonValue String value) implements Comparable<Trait> {
 
@@ -45,8 +45,8 @@
 	}
 
 	/**
-	 * Returns the trait of a request and all that repeat it.
-	 * @param content the hash of its team and content
+	 * Returns the trait of all requests with the same content.
+	 * @param content the hash of team and content
 	 * @return the trait
 	 */
 	public static Trait content(Fingerprint content) {
@@ -54,8 +54,8 @@
 	}
 
 	/**
-	 * Says whether requests of different content have it.
-	 * @return true for a part of prompts
+	 * Returns whether requests of different content may have it.
+	 * @return true for a prompt part
 	 */
 	public boolean isPart() {
 		return kind() != Kind.CONTENT;
@@ -69,17 +69,18 @@
 	}
 
 	/**
-	 * What a trait is, that which most requests may have first.
+	 * The kinds of traits, from the one that most requests may share to the most
+	 * specific.
 	 */
 	enum Kind {
 
-		/** A part of prompts. */
+		/** A prompt part. */
 		PART,
 
-		/** A part of prompts, if one model runs them. */
+		/** A prompt part under one model. */
 		PART_UNDER_MODEL,
 
-		/** All of a request's content. */
+		/** A request's whole content. */
 		CONTENT
 
 	}
--- a/core/src/main/java/org/gullsaddle/suspect/package-info.java
+++ b/core/src/main/java/org/gullsaddle/suspect/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Requests that were running when a backend server crashed, as entries and agents
- * remember them.
+ * Finds the requests that crash replicas and blocks them: crash evidence, suspect
+ * contents and blocked traits.
  */
 package org.gullsaddle.suspect;
--- a/core/src/test/java/org/gullsaddle/suspect/CrashDetectorTests.java
+++ b/core/src/test/java/org/gullsaddle/suspect/CrashDetectorTests.java
@@ -31,8 +31,8 @@
 				false, born);
 	}
 
-	private Optional<Crash> onAttemptEnd(long now, long startedAt, EndKind manner, Trait trait) {
-		return this.detector.onAttemptEnd(now, replica("r1"), startedAt, manner, List.of(trait));
+	private Optional<Crash> onAttemptEnd(long now, long startedAt, EndKind kind, Trait trait) {
+		return this.detector.onAttemptEnd(now, replica("r1"), startedAt, kind, List.of(trait));
 	}
 
 	private Optional<Crash> onDead(long now) {
@@ -50,7 +50,7 @@
 	}
 
 	/**
-	 * Guards against crashes of replicas that are about to stop, which are not counted.
+	 * Guards against missing crashes of replicas that are about to stop.
 	 */
 	@Test
 	void deathSoonAfterALeavingNoticeIsACrash() {
@@ -59,7 +59,7 @@
 		assertThat(onDead(760)).isPresent();
 	}
 
-	/** Guards against requests blamed for the planned ends of their replicas. */
+	/** Guards against blaming requests for the planned stop of their replica. */
 	@Test
 	void laterDeathOfALeavingReplicaIsNoCrash() {
 		this.detector.onLeaving(0, new ReplicaId("r1"));
@@ -70,7 +70,7 @@
 		assertThat(onDead(4060)).isPresent();
 	}
 
-	/** Guards against answers without a length that are never asked after. */
+	/** Guards against close-delimited answers that are never confirmed. */
 	@Test
 	void repeatedCloseDelimitedContentIsDetected() {
 		assertThat(this.detector.isRepeatedCloseDelimited(OTHER)).isFalse();
@@ -85,8 +85,8 @@
 	}
 
 	/**
-	 * Guards against a crash that is not noticed as the replica starts again under its id
-	 * before its entry lapses.
+	 * Guards against missing a crash when the replica restarts under its id before its
+	 * entry lapses.
 	 */
 	@Test
 	void newProcessUnderTheSameIdRevealsACrash() {
@@ -95,7 +95,7 @@
 		assertThat(this.detector.onListed(2000, replica("r1", 2))).isPresent();
 	}
 
-	/** Guards against a request that is cleared as its engine dies within its answer. */
+	/** Guards against recording a success when the engine dies within its answer. */
 	@Test
 	void closeDelimitedAnswerThatEndsAsItsReplicaDiesIsPartOfTheCrash() {
 		onAttemptEnd(500, 400, EndKind.CLOSE_DELIMITED, DEADLY);
@@ -118,14 +118,14 @@
 		assertThat(onDead(900).orElseThrow().traits()).containsExactly(DEADLY);
 	}
 
-	/** Guards against sound requests blamed for a replica that is taken away later. */
+	/** Guards against blaming harmless requests for a replica that is removed later. */
 	@Test
 	void closeDelimitedAnswerIsNoPartOfALaterCrash() {
 		onAttemptEnd(500, 400, EndKind.CLOSE_DELIMITED, OTHER);
 		assertThat(onDead(3000)).isEmpty();
 	}
 
-	/** Guards against evidence that is lost as a caller leaves while a replica dies. */
+	/** Guards against losing evidence when a caller leaves while a replica dies. */
 	@Test
 	void attemptCancelledWhileAReplicaDiesIsPartOfTheCrash() {
 		onAttemptEnd(100, 0, EndKind.CANCELLED, DEADLY);
--- a/core/src/test/java/org/gullsaddle/suspect/CrashModel.java
+++ b/core/src/test/java/org/gullsaddle/suspect/CrashModel.java
@@ -14,14 +14,15 @@
 import org.gullsaddle.base.Fingerprint;
 
 /**
- * Nodes with a {@link CrashTracker} each before replicas that end on a part, or for no
- * reason of their requests, on a virtual clock. Notes take a while from node to node.
+ * Simulates nodes, each with a {@link CrashTracker}, and replicas that crash on a deadly
+ * part or content, or for reasons unrelated to requests. Uses a virtual clock; notes
+ * between nodes are delayed.
  */
 final class CrashModel {
 
 	static final Trait DEADLY = Trait.part("deadly");
 
-	/** The content that comes again. */
+	/** The repeated content. */
 	static final Trait POISON = Trait.content(new Fingerprint("poison"));
 
 	private static final long CLOCK = 1_700_000_000_000L;
@@ -32,14 +33,17 @@
 
 	private static final long NOTE_DELAY_MILLIS = 200;
 
-	/** The most that a note takes from its writing until another node has read it. */
+	/** The longest time from writing a note until a peer has read it. */
 	private static final int MAX_READ_MILLIS = 900;
 
 	private static final long SUCCESS_MILLIS = 500;
 
 	private static final long REEVALUATE_MILLIS = 200;
 
-	/** In what time nodes that find the same out tell it, in milliseconds. */
+	/**
+	 * The longest random delay before a node reports a block that its peers may report
+	 * too.
+	 */
 	private static final int MAX_SPREAD_MILLIS = 200;
 
 	private static final int MAX_ATTEMPTS = 3;
@@ -95,9 +99,9 @@
 	}
 
 	/**
-	 * Has requests come for a time.
-	 * @param everyMillis how far they are apart
-	 * @param deadlyShare the share of them that has the part
+	 * Schedules requests for a period.
+	 * @param everyMillis the interval between them
+	 * @param deadlyShare the share of them that has the deadly part
 	 */
 	void traffic(long from, long to, long everyMillis, double deadlyShare) {
 		for (long time = from; time < to; time += everyMillis) {
@@ -115,9 +119,9 @@
 	}
 
 	/**
-	 * Has one content come again and again, on which replicas end, with parts that others
-	 * have too. It is not tried again elsewhere.
-	 * @param copies how many of it come together
+	 * Schedules one content again and again that crashes replicas and whose parts other
+	 * requests have too. It is not retried elsewhere.
+	 * @param copies how many copies are sent together
 	 */
 	void repeat(long from, long to, long everyMillis, int copies) {
 		List<Trait> traits = List.of(Trait.part("first"), Trait.part("subject-0"), POISON);
@@ -128,7 +132,7 @@
 		}
 	}
 
-	/** Has a share of the replicas end in one moment. */
+	/** Crashes a share of the replicas at one moment. */
 	void rackFails(long time, double share) {
 		at(time, () -> {
 			int last = (int) Math.round(share * this.replicas.size());
@@ -138,7 +142,7 @@
 		});
 	}
 
-	/** Has one replica end by itself again and again. */
+	/** Crashes one replica at an interval. */
 	void replicaFails(int replica, long from, long to, long everyMillis) {
 		for (long time = from; time < to; time += everyMillis) {
 			at(time, () -> crash(replica));
@@ -264,8 +268,9 @@
 	}
 
 	/**
-	 * Counts the requests with the part that were sent later than a time after one of the
-	 * crashes.
+	 * Counts the requests with the deadly part that were sent later than some time after
+	 * one of the crashes.
+	 * @param crash the number of the crash, from 1
 	 */
 	long sentAfter(int crash, long millis) {
 		if (this.crashes.size() < crash) {
@@ -275,7 +280,7 @@
 	}
 
 	/**
-	 * The same of the content that comes again, by the crashes on it.
+	 * Counts the same for the repeated content, by the crashes it caused.
 	 */
 	long poisonSentAfter(int crash, long millis) {
 		if (this.poisonCrashes.size() < crash) {
--- a/core/src/test/java/org/gullsaddle/suspect/CrashModelTests.java
+++ b/core/src/test/java/org/gullsaddle/suspect/CrashModelTests.java
@@ -10,14 +10,14 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-/** Many nodes find out together what crashes replicas, and blame nothing else. */
+/** Tests that many nodes together find what crashes replicas and block nothing else. */
 class CrashModelTests {
 
 	private static final long SECOND = 1000;
 
 	private static final long CONTACT_MILLIS = 4 * SECOND;
 
-	/** More of them are played by hand, with {@code -Dcrash.seeds=50}. */
+	/** More seeds are run by hand with {@code -Dcrash.seeds=50}. */
 	private static final int SEEDS = Integer.getInteger("crash.seeds", 4);
 
 	static Stream<Arguments> deployments() {
@@ -26,7 +26,9 @@
 				.mapToObj((seed) -> Arguments.of(size.get()[0], size.get()[1], seed)));
 	}
 
-	/** Guards against replicas lost one by one, however many nodes share the evidence. */
+	/**
+	 * Guards against losing replicas one by one, however many nodes share the evidence.
+	 */
 	@ParameterizedTest
 	@MethodSource("deployments")
 	void deadlyPartIsBlockedByAllNodesInTimeAndNoOther(int nodes, int replicas, int seed) {
@@ -39,7 +41,7 @@
 		assertThat(model.blocked).filteredOn(Trait::isPart).containsExactly(CrashModel.DEADLY);
 	}
 
-	/** Guards against a rare part whose few requests end each replica they come to. */
+	/** Guards against a rare part whose few requests each crash a replica. */
 	@ParameterizedTest
 	@MethodSource("deployments")
 	void rareDeadlyPartIsBlockedAfterAFewCrashes(int nodes, int replicas, int seed) {
@@ -50,7 +52,7 @@
 		assertThat(model.blocked).filteredOn(Trait::isPart).isSubsetOf(CrashModel.DEADLY);
 	}
 
-	/** Guards against sound requests refused as their replicas fail by themselves. */
+	/** Guards against blocking harmless requests when replicas fail on their own. */
 	@ParameterizedTest
 	@MethodSource("deployments")
 	void failingRacksAndReplicasBlockNoPart(int nodes, int replicas, int seed) {
@@ -66,7 +68,7 @@
 		assertThat(model.blocked).filteredOn(Trait::isPart).isEmpty();
 	}
 
-	/** Guards against a content lost among the ends of racks and faulty replicas. */
+	/** Guards against missing a content among crashes of racks and faulty replicas. */
 	@ParameterizedTest
 	@MethodSource("deployments")
 	void repeatedContentIsBlockedDespiteUnrelatedCrashes(int nodes, int replicas, int seed) {
@@ -82,7 +84,7 @@
 		assertThat(model.blocked).containsExactly(CrashModel.POISON);
 	}
 
-	/** Guards against a content lost beside a part that crashes replicas, too. */
+	/** Guards against missing a content beside a part that also crashes replicas. */
 	@ParameterizedTest
 	@MethodSource("deployments")
 	void repeatedContentIsBlockedBesideADeadlyPart(int nodes, int replicas, int seed) {
@@ -93,7 +95,7 @@
 		assertThat(model.isBlockedByAll(CrashModel.DEADLY)).isTrue();
 	}
 
-	/** Guards against a sound part refused as it was at crashes of both. */
+	/** Guards against blocking a harmless part because it was at crashes of both. */
 	@ParameterizedTest
 	@MethodSource("deployments")
 	@Tag("known-red")
@@ -112,7 +114,7 @@
 	}
 
 	/**
-	 * Guards against the part that all requests share, blamed while all replicas fail.
+	 * Guards against blocking the part that all requests share while all replicas fail.
 	 */
 	@ParameterizedTest
 	@MethodSource("deployments")
--- a/core/src/test/java/org/gullsaddle/suspect/CrashTrackerTests.java
+++ b/core/src/test/java/org/gullsaddle/suspect/CrashTrackerTests.java
@@ -56,7 +56,7 @@
 		assertThat(isBlocked(DEADLY)).isTrue();
 	}
 
-	/** Guards against engines lost one by one to requests of which no two are alike. */
+	/** Guards against losing engines one by one to requests that share only a part. */
 	@Test
 	void partAtFourCrashesIsBlockedWhateverElseRequestsContain() {
 		this.tracker.onSuccess(0, List.of(FIRST));
@@ -68,7 +68,7 @@
 		assertThat(isBlocked(FIRST, SUBJECT)).isFalse();
 	}
 
-	/** Guards against one request that is sent again and again. */
+	/** Guards against a single request that is retried again and again. */
 	@Test
 	void contentAtThreeCrashesIsBlocked() {
 		Trait content = content("poison");
@@ -79,8 +79,8 @@
 	}
 
 	/**
-	 * Guards against copies of a request that come to different nodes, of which each sees
-	 * one crash.
+	 * Guards against copies of a request that reach different nodes, each of which
+	 * observes one crash.
 	 */
 	@Test
 	void crashesReportedByPeersCount() {
@@ -105,8 +105,8 @@
 	}
 
 	/**
-	 * Guards against a request that is let go as the evidence against it is of one
-	 * moment.
+	 * Guards against a request that is not blocked because its crashes are close
+	 * together.
 	 */
 	@Test
 	void requestRetriedOnSeveralReplicasCountsAtEach() {
@@ -116,7 +116,7 @@
 		assertThat(isBlocked(DEADLY)).isTrue();
 	}
 
-	/** Guards against what one node found out from others' notes and keeps to itself. */
+	/** Guards against a block derived from peers' notes that the node never reports. */
 	@Test
 	void blockIsReportedByOneNode() {
 		blockDeadlyPart();
@@ -127,7 +127,7 @@
 		assertThat(other.hasUnreportedBlocks()).isFalse();
 	}
 
-	/** Guards against nodes that answer each other's notes for ever. */
+	/** Guards against nodes that reply to each other's notes forever. */
 	@Test
 	void noteWithoutNewsTriggersNoReply() {
 		this.tracker.onSuccess(0, List.of(FIRST));
@@ -181,7 +181,8 @@
 		}
 
 		/**
-		 * Guards against the part that all requests have, blamed for one that some have.
+		 * Guards against blocking a part of all requests for the crashes of a part of
+		 * some.
 		 */
 		@Test
 		void succeededTraitBesideOneThatNeverSucceeded() {
@@ -194,7 +195,7 @@
 		}
 
 		/**
-		 * Guards against all of a service refused when its replicas fail by themselves.
+		 * Guards against blocking a whole service when its replicas fail on their own.
 		 */
 		@Test
 		void traitOfAllRequestsWhileNoneSucceeds() {
@@ -220,8 +221,8 @@
 		}
 
 		/**
-		 * Guards against a part that is blamed as what another node saw of the same
-		 * crashes has not come yet.
+		 * Guards against blocking the wrong part before a peer's observation of the same
+		 * crashes arrives.
 		 */
 		@Test
 		void partAtFourCrashesBeforePeersReport() {
@@ -252,7 +253,9 @@
 			assertThat(isBlocked(unlucky)).isFalse();
 		}
 
-		/** Guards against crashes that a node sees as it is cut off from replicas. */
+		/**
+		 * Guards against crashes that a node reports because it is cut off from replicas.
+		 */
 		@Test
 		void requestsOnReplicasThatAreAlive() {
 			for (int i = 0; i < 3; i++) {
@@ -270,7 +273,7 @@
 
 		private static final Trait UNDER_LARGE = Trait.part("subject", "large");
 
-		/** Guards against engines lost to a part that other models bear. */
+		/** Guards against losing engines to a part that succeeds under other models. */
 		@Test
 		void partIsBlockedForTheModelThatCrashes() {
 			for (int i = 0; i < 6; i++) {
@@ -296,7 +299,7 @@
 	class TraitWithEarlierSuccess {
 
 		/**
-		 * Guards against a part that begins to crash engines late, and is never refused.
+		 * Guards against a part that starts to crash engines late and is never blocked.
 		 */
 		@Test
 		void isBlockedAfterSixCrashesWhileOthersSucceed() {
@@ -314,7 +317,7 @@
 	@Nested
 	class ABlock {
 
-		/** Guards against a refusal that ends while such requests still come. */
+		/** Guards against a block that ends while such requests still arrive. */
 		@Test
 		void lastsWhileSuchRequestsArrive() {
 			blockDeadlyPart();
@@ -336,7 +339,7 @@
 			assertThat(other.isBlocked(List.of(DEADLY))).isTrue();
 		}
 
-		/** Guards against what was refused long ago and never again asked for. */
+		/** Guards against reviving a block whose requests stopped long ago. */
 		@Test
 		void isNotTakenFromAnOldNote() {
 			blockDeadlyPart();
@@ -368,10 +371,10 @@
 			blockDeadlyPart();
 			long now = 3 * SECOND;
 			for (int number = 1; number <= 3; number++) {
-				long pause = FIRST_TRIAL << (2 * (number - 1));
-				assertThat(CrashTrackerTests.this.tracker.retryAfterMillis(now, List.of(DEADLY))).isEqualTo(pause);
-				assertThat(CrashTrackerTests.this.tracker.findTrial(now + pause - 1, List.of(DEADLY))).isEmpty();
-				now += pause;
+				long delay = FIRST_TRIAL << (2 * (number - 1));
+				assertThat(CrashTrackerTests.this.tracker.retryAfterMillis(now, List.of(DEADLY))).isEqualTo(delay);
+				assertThat(CrashTrackerTests.this.tracker.findTrial(now + delay - 1, List.of(DEADLY))).isEmpty();
+				now += delay;
 				CrashTracker.Trial trial = CrashTrackerTests.this.tracker.findTrial(now, List.of(DEADLY)).orElseThrow();
 				assertThat(trial).isEqualTo(new CrashTracker.Trial(DEADLY, number));
 				CrashTrackerTests.this.tracker.onTrialDecided(now, trial);
@@ -384,7 +387,7 @@
 	@Nested
 	class Limits {
 
-		/** Guards against a caller who pushes a refusal out by naming many parts. */
+		/** Guards against a caller that evicts a block by sending many parts. */
 		@Test
 		void manyPartsAtCrashesEvictNoBlock() {
 			blockDeadlyPart();
--- a/core/src/test/java/org/gullsaddle/suspect/RepeatedContentTests.java
+++ b/core/src/test/java/org/gullsaddle/suspect/RepeatedContentTests.java
@@ -15,7 +15,9 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-/** One request that comes again and crashes each replica that runs it. */
+/**
+ * Tests blocking of one request that is repeated and crashes each replica that runs it.
+ */
 class RepeatedContentTests {
 
 	private static final Trait SYSTEM = Trait.part("system");
@@ -30,10 +32,10 @@
 
 	private static final long CLOCK = 1_700_000_000_000L;
 
-	/** How long nodes may take to hear of each other, in milliseconds. */
+	/** How long nodes may take to receive each other's notes. */
 	private static final long CONTACT_MILLIS = 4000;
 
-	/** How many requests may come after contact since the third crash. */
+	/** How many requests may run later than that after the third crash. */
 	private static final int MAX_LATE_REQUESTS = 3;
 
 	private final CrashTracker tracker = new CrashTracker();
@@ -52,10 +54,10 @@
 		crash(this.tracker, now, ranMillis, traits);
 	}
 
-	private void crash(CrashTracker at, long now, long ranMillis, Trait... traits) {
+	private void crash(CrashTracker target, long now, long ranMillis, Trait... traits) {
 		Map<Trait, Long> ran = new LinkedHashMap<>();
 		List.of(traits).forEach((trait) -> ran.put(trait, ranMillis));
-		at.onCrash(now, new Crash("process-" + this.processes++, now, ran));
+		target.onCrash(now, new Crash("process-" + this.processes++, now, ran));
 	}
 
 	private void onSuccess(long now, Trait... traits) {
@@ -66,7 +68,9 @@
 		return this.tracker.isBlocked(List.of(traits));
 	}
 
-	/** Guards against twice the crashes for a content that went well before. */
+	/**
+	 * Guards against needing twice as many crashes for a content that succeeded before.
+	 */
 	@Test
 	void contentWithEarlierSuccessIsBlockedAfterThreeCrashesWhileOthersSucceed() {
 		crash(0, SYSTEM, content("first"));
@@ -80,7 +84,9 @@
 		assertThat(isBlocked(POISON)).isTrue();
 	}
 
-	/** Guards against common parts refused as only requests of another kind go well. */
+	/**
+	 * Guards against blocking common parts because only requests without prompts succeed.
+	 */
 	@Test
 	void successOfRequestsWithoutPromptsDoesNotCountAgainstAPart() {
 		onSuccess(0, SYSTEM, content("sound"));
@@ -93,7 +99,7 @@
 	}
 
 	/**
-	 * Guards against a content that is left out of a note as many parts ran beside it.
+	 * Guards against omitting a content from a note because many parts ran beside it.
 	 */
 	@Test
 	void noteListsContentAtSeveralCrashesBeforePartsAtOne() {
@@ -113,8 +119,8 @@
 	class InCopies {
 
 		/**
-		 * Guards against copies that come together and crash a replica each, which are
-		 * taken for the failure of one rack.
+		 * Guards against mistaking simultaneous copies that each crash a replica for the
+		 * failure of one rack.
 		 */
 		@ParameterizedTest
 		@CsvSource({ "1, 2000", "2, 2000", "2, 3500", "3, 1500", "3, 5000", "5, 1500", "5, 3500" })
@@ -136,7 +142,8 @@
 		}
 
 		/**
-		 * Guards against a sound request refused as copies of it ran at a failing rack.
+		 * Guards against blocking a harmless request because copies of it ran on a
+		 * failing rack.
 		 */
 		@Test
 		void isNotBlockedForCrashesOfOneRack() {
@@ -149,7 +156,7 @@
 			assertThat(isBlocked(POISON)).isFalse();
 		}
 
-		/** Guards against the same where nothing else ran on that rack. */
+		/** Guards against the same when nothing else ran on that rack. */
 		@Test
 		void isNotBlockedForOneMomentAlone() {
 			for (int i = 0; i < 5; i++) {
@@ -165,7 +172,7 @@
 	@Nested
 	class BesideADeadlyPart {
 
-		/** Guards against a content that starts anew once a part is found out. */
+		/** Guards against resetting a content's crash count once a part is blocked. */
 		@Test
 		void isBlockedAtItsNextCrash() {
 			for (int i = 0; i < 3; i++) {
@@ -179,7 +186,9 @@
 			assertThat(isBlocked(POISON)).isTrue();
 		}
 
-		/** Guards against a content that is let go for one crash that a part was at. */
+		/**
+		 * Guards against unblocking a content because a part explains one of its crashes.
+		 */
 		@Test
 		void staysBlockedIfItsOtherCrashesAreEnough() {
 			for (int i = 0; i < 4; i++) {
@@ -196,7 +205,7 @@
 			assertThat(isBlocked(POISON)).isTrue();
 		}
 
-		/** Guards against a refusal for crashes that a part explains. */
+		/** Guards against a block for crashes that a part explains. */
 		@Test
 		void bystanderIsUnblocked() {
 			Trait bystander = content("bystander");
@@ -213,7 +222,7 @@
 	@Nested
 	class DoesNotBlock {
 
-		/** Guards against a rare part refused for the one request that has it. */
+		/** Guards against blocking a rare part for the one request that has it. */
 		@Test
 		void partsThatSucceedInOtherRequests() {
 			for (int i = 0; i < 6; i++) {
@@ -224,7 +233,7 @@
 			assertThat(isBlocked(SYSTEM, SUBJECT)).isFalse();
 		}
 
-		/** Guards against requests refused that were moved along from crash to crash. */
+		/** Guards against blocking requests that were retried from crash to crash. */
 		@Test
 		void bystandersRetriedAlongside() {
 			Trait bystander = content("a-bystander");
@@ -238,7 +247,7 @@
 		}
 
 		/**
-		 * Guards against a part under one model refused for the one request that has it.
+		 * Guards against blocking a part under one model for the one request that has it.
 		 */
 		@Test
 		void partsUnderOneModel() {
@@ -264,8 +273,8 @@
 		}
 
 		/**
-		 * Guards against sound parts refused by a node that knows of crashes from before
-		 * its start, and not of what went well then.
+		 * Guards against blocking harmless parts at a node that knows crashes from before
+		 * its start but not the successes of that time.
 		 */
 		@Test
 		void partsAtEarlierCrashesAreNotBlocked() {
@@ -298,7 +307,8 @@
 		}
 
 		/**
-		 * Guards against what a node told before its restart, lost with its next note.
+		 * Guards against losing, with a node's first note after a restart, what it had
+		 * reported before.
 		 */
 		@Test
 		void ownEarlierNoteIsReportedAgain() {
@@ -310,7 +320,7 @@
 			assertThat(this.restarted.buildNote(3 * SECOND, CLOCK + 3 * SECOND).orElseThrow().crashes()).hasSize(2);
 		}
 
-		/** Guards against a refusal that was lifted and comes back by an older note. */
+		/** Guards against restoring a lifted block from an older note. */
 		@Test
 		void liftedBlockDoesNotComeBack() {
 			for (int i = 0; i < 4; i++) {
--- a/core/src/test/java/org/gullsaddle/suspect/package-info.java
+++ b/core/src/test/java/org/gullsaddle/suspect/package-info.java
@@ -1,2 +1,2 @@
-/** Tests of what is found out about requests that crash replicas. */
+/** Tests for finding and blocking requests that crash replicas. */
 package org.gullsaddle.suspect;
