--- a/core/src/main/java/org/gullsaddle/rollout/ChangeDetector.java
+++ b/core/src/main/java/org/gullsaddle/rollout/ChangeDetector.java
@@ -1,9 +1,9 @@
 package org.gullsaddle.rollout;
 
 /**
- * A cumulative sum test: sums the evidence for "bad" against "good" and starts anew
- * whenever it falls below nothing, so that a long good time does not hide a turn for the
- * worse.
+ * A cumulative sum (CUSUM) test: sums the evidence for "bad" against "good" and never
+ * lets the sum fall below 0, so that a long good period does not hide a later change for
+ * the worse.
  */
 public final class ChangeDetector {
 
@@ -12,8 +12,8 @@
 	private double sum;
 
 	/**
-	 * Makes a test.
-	 * @param threshold how much evidence is enough
+	 * Creates a test.
+	 * @param threshold the sum at which the test detects a change
 	 */
 	public ChangeDetector(double threshold) {
 		this.threshold = threshold;
@@ -21,8 +21,8 @@
 
 	/**
 	 * Adds evidence.
-	 * @param evidence the evidence, positive for bad
-	 * @return true once it is enough
+	 * @param evidence a log-likelihood ratio, positive for bad
+	 * @return true once the threshold is reached
 	 */
 	public boolean add(double evidence) {
 		this.sum = Math.max(0, this.sum + evidence);
@@ -30,7 +30,7 @@
 	}
 
 	/**
-	 * Returns the evidence so far.
+	 * Returns the accumulated evidence.
 	 * @return the sum, 0 or more
 	 */
 	public double sum() {
--- a/core/src/main/java/org/gullsaddle/rollout/VersionGuard.java
+++ b/core/src/main/java/org/gullsaddle/rollout/VersionGuard.java
@@ -10,13 +10,13 @@
 import org.gullsaddle.base.TemplateName;
 
 /**
- * Halts a version on evidence: failures, and ratings below what its operator expects. Not
+ * Halts a version that fails too often or is rated below what its operator expects. Not
  * thread-safe.
  * <p>
- * A version can turn bad while it serves, in the middle of a roll-out that nobody
- * watches. A sequential test needs only a few bad answers in close order, and next to
- * never trips on a good version. A halt lasts until the operator changes the template, so
- * that the version does not flap; sessions that have the version keep it.
+ * A version can degrade while it serves, in the middle of an unattended roll-out. A
+ * sequential test needs only a few bad answers close together and almost never halts a
+ * good version. A halt lasts until the operator changes the template, so that the version
+ * does not flap; sessions pinned to the version keep it.
  */
 public final class VersionGuard {
 
@@ -30,16 +30,16 @@
 
 	private static final double SUCCESS_EVIDENCE = Math.log((1 - BAD_FAILURE_RATE) / (1 - GOOD_FAILURE_RATE));
 
-	/** How far below the expected mean a rating counts as a bad answer. */
+	/** How far below the expected mean a rating counts as poor. */
 	private static final double POOR_RATING_MARGIN = 0.25;
 
-	/** How much more often a version that turned bad answers badly. */
+	/** How much higher the rate of poor answers of a degraded version is. */
 	private static final double POOR_RATE_INCREASE = 0.4;
 
-	/** A good version trips in about one of a million ratings. */
+	/** A good version reaches it in about one of a million ratings. */
 	private static final double RATING_THRESHOLD = 14;
 
-	/** From here on every answer is rated, to know soon. */
+	/** From this evidence on every answer is rated, to decide soon. */
 	private static final double CLOSE_RATING_THRESHOLD = 2;
 
 	private static final double MIN_POOR_RATE = 0.05;
@@ -47,14 +47,17 @@
 	private static final double MAX_POOR_RATE = 0.95;
 
 	/**
-	 * How many of a version's answers are rated from its start or its operator's change.
+	 * How many answers of a new version, or after an operator's change, are all rated.
 	 */
 	private static final int INITIAL_RATINGS = 60;
 
-	/** After how many ratings it is known how a version does. */
+	/**
+	 * After how many ratings a version's own rate of poor answers is used as its
+	 * baseline.
+	 */
 	private static final int MIN_BASELINE_RATINGS = 30;
 
-	/** Over how many ratings. */
+	/** The number of ratings over which the baseline is averaged. */
 	private static final int MAX_BASELINE_RATINGS = 400;
 
 	private final Map<Key, VersionStats> stats = new HashMap<>();
@@ -64,7 +67,8 @@
 	private final Map<TemplateName, Set<ModelVersion>> haltedVersions = new HashMap<>();
 
 	/**
-	 * Starts anew for a template, as its operator has changed it.
+	 * Handles an operator's change of a template, which ends its halts and resets its
+	 * evidence.
 	 * @param template the template
 	 * @param revision its new revision
 	 */
@@ -75,50 +79,51 @@
 	}
 
 	/**
-	 * Notes the end of an attempt.
+	 * Handles the end of an attempt.
 	 * @param template its template
 	 * @param version its version
-	 * @param failed whether the backend server failed it
-	 * @return the halt that this led to, or empty
+	 * @param failed whether it failed on the backend server
+	 * @return the halt that this triggers, or empty
 	 */
 	public Optional<Halt> onAttemptEnd(TemplateName template, ModelVersion version, boolean failed) {
-		VersionStats watch = statsOf(template, version);
-		boolean bad = watch.failures.add(failed ? FAILURE_EVIDENCE : SUCCESS_EVIDENCE);
+		VersionStats stats = statsOf(template, version);
+		boolean bad = stats.failures.add(failed ? FAILURE_EVIDENCE : SUCCESS_EVIDENCE);
 		return bad ? halt(template, version, "failures") : Optional.empty();
 	}
 
 	/**
-	 * Notes a rating.
+	 * Handles a rating.
 	 * @param template the template
 	 * @param version the version that wrote the answer
 	 * @param expected the mean rating that the operator expects
 	 * @param score the rating
-	 * @return the halt that this led to, or empty
+	 * @return the halt that this triggers, or empty
 	 */
 	public Optional<Halt> onRating(TemplateName template, ModelVersion version, double expected, double score) {
-		VersionStats watch = statsOf(template, version);
+		VersionStats stats = statsOf(template, version);
 		boolean poor = score < expected - POOR_RATING_MARGIN;
-		double good = watch.baselinePoorRate(expected);
-		double risen = Math.min(MAX_POOR_RATE, good + POOR_RATE_INCREASE);
-		boolean bad = watch.ratings.add(poor ? Math.log(risen / good) : Math.log((1 - risen) / (1 - good)));
-		watch.recordRating(poor);
+		double baseline = stats.baselinePoorRate(expected);
+		double degraded = Math.min(MAX_POOR_RATE, baseline + POOR_RATE_INCREASE);
+		boolean bad = stats.ratings
+			.add(poor ? Math.log(degraded / baseline) : Math.log((1 - degraded) / (1 - baseline)));
+		stats.recordRating(poor);
 		return bad ? halt(template, version, "ratings") : Optional.empty();
 	}
 
 	/**
-	 * Says whether a version's answers are to be rated closely, as little is known of it
-	 * or it may have turned bad.
+	 * Returns whether all of a version's answers should be rated, as little is known
+	 * about it or it may have degraded.
 	 * @param template the template
 	 * @param version the version
-	 * @return true for its first answers, and while its ratings give cause for doubt
+	 * @return true for its first answers, and while its ratings suggest a change
 	 */
 	public boolean shouldRateClosely(TemplateName template, ModelVersion version) {
-		VersionStats watch = statsOf(template, version);
-		return watch.ratingCount < INITIAL_RATINGS || watch.ratings.sum() > CLOSE_RATING_THRESHOLD;
+		VersionStats stats = statsOf(template, version);
+		return stats.ratingCount < INITIAL_RATINGS || stats.ratings.sum() > CLOSE_RATING_THRESHOLD;
 	}
 
 	/**
-	 * Takes in another node's halt, unless it is of an older revision.
+	 * Handles a peer's halt, unless it is from an older revision.
 	 * @param halt the halt
 	 */
 	public void onHalt(Halt halt) {
@@ -160,14 +165,14 @@
 		private double poorRatio;
 
 		/**
-		 * Returns how often the version answers badly when it is well: what the operator
-		 * expects, or what it has shown if that is more often, as a version that always
-		 * was so has not turned bad.
+		 * Returns the rate of poor answers of the version in its normal state: what the
+		 * operator expects, or the rate it has shown if that is higher, as a version that
+		 * was always weak has not degraded.
 		 */
 		double baselinePoorRate(double expected) {
-			double hoped = Math.clamp(1 - expected, MIN_POOR_RATE, MAX_POOR_RATE - POOR_RATE_INCREASE);
-			return (this.ratingCount < MIN_BASELINE_RATINGS) ? hoped
-					: Math.clamp(this.poorRatio, hoped, MAX_POOR_RATE - POOR_RATE_INCREASE);
+			double expectedPoorRate = Math.clamp(1 - expected, MIN_POOR_RATE, MAX_POOR_RATE - POOR_RATE_INCREASE);
+			return (this.ratingCount < MIN_BASELINE_RATINGS) ? expectedPoorRate
+					: Math.clamp(this.poorRatio, expectedPoorRate, MAX_POOR_RATE - POOR_RATE_INCREASE);
 		}
 
 		void recordRating(boolean poor) {
--- a/core/src/main/java/org/gullsaddle/rollout/package-info.java
+++ b/core/src/main/java/org/gullsaddle/rollout/package-info.java
@@ -1,4 +1,5 @@
 /**
- * Watches versions while they serve, and stops giving new work to one that turns bad.
+ * Monitors versions while they serve and halts one that degrades, so that it gets no new
+ * work.
  */
 package org.gullsaddle.rollout;
--- a/core/src/test/java/org/gullsaddle/rollout/VersionGuardTests.java
+++ b/core/src/test/java/org/gullsaddle/rollout/VersionGuardTests.java
@@ -18,8 +18,8 @@
 	private final VersionGuard guard = new VersionGuard();
 
 	/**
-	 * A version has served well for long; then it answers badly. It is halted within a
-	 * few answers, and stays halted though better ones follow.
+	 * Guards against a version that degrades after a long good period and is halted late,
+	 * or is resumed once better answers follow.
 	 */
 	@Test
 	void versionThatDegradesIsHaltedWithinFewAnswersAndDoesNotFlap() {
@@ -57,8 +57,8 @@
 	}
 
 	/**
-	 * A cheap version in a cascade answers every third prompt badly, and always did. That
-	 * is why it is rated, and no reason to halt it.
+	 * Guards against halting a cheap version of a cascade that has always answered every
+	 * third prompt badly. That is why it is rated, and no reason to halt it.
 	 */
 	@Test
 	void versionThatWasAlwaysWeakIsNotHalted() {
