--- a/core/src/main/java/org/gullsaddle/hold/BufferAccount.java
+++ b/core/src/main/java/org/gullsaddle/hold/BufferAccount.java
@@ -3,8 +3,8 @@
 import org.gullsaddle.base.Check;
 
 /**
- * What is held for one request in one direction. Tells the whole amount each time rather
- * than what came and went, so that a part that is dropped is not counted for ever.
+ * The bytes buffered for one request in one direction. The total is reported each time
+ * rather than the changes, so that dropped data is not counted forever.
  */
 public final class BufferAccount implements AutoCloseable {
 
@@ -22,7 +22,7 @@
 
 	private long waitingSince;
 
-	/** When the window began in which bytes that moved are counted. */
+	/** When the current window for counting transferred bytes began, in milliseconds. */
 	private long windowStart;
 
 	private long transferred;
@@ -31,17 +31,17 @@
 
 	private boolean closed;
 
-	BufferAccount(BufferBudget budget, String id, long paceMillis) {
-		Check.that(paceMillis > 0, "paceMillis must be positive");
+	BufferAccount(BufferBudget budget, String id, long windowMillis) {
+		Check.that(windowMillis > 0, "windowMillis must be positive");
 		this.budget = budget;
 		this.id = id;
-		this.windowMillis = paceMillis;
+		this.windowMillis = windowMillis;
 	}
 
 	/**
-	 * Notes what is held now.
-	 * @param bytes the bytes
-	 * @param forOther whether they wait for the other side to take them, or to send the
+	 * Records how much is buffered now.
+	 * @param bytes the total bytes
+	 * @param forOther whether they wait for the other side to take them or to send the
 	 * rest
 	 * @param now the time in milliseconds
 	 */
@@ -63,8 +63,8 @@
 	}
 
 	/**
-	 * Notes that the other side took or sent bytes.
-	 * @param bytes the bytes
+	 * Records bytes that the other side took or sent.
+	 * @param bytes the bytes transferred
 	 * @param now the time in milliseconds
 	 */
 	public void recordTransferred(long bytes, long now) {
@@ -73,15 +73,15 @@
 	}
 
 	/**
-	 * Says whether more may be read that would be held here.
-	 * @return true if it may
+	 * Returns whether more data may be read into this buffer.
+	 * @return true if reading may go on
 	 */
 	public boolean canRead() {
 		return this.budget.canRead(this);
 	}
 
 	/**
-	 * Returns the request that it holds for.
+	 * Returns the request whose data is buffered.
 	 * @return the request's id
 	 */
 	public String id() {
@@ -89,7 +89,7 @@
 	}
 
 	/**
-	 * Returns what is held.
+	 * Returns how much is buffered.
 	 * @return the bytes
 	 */
 	public long bufferedBytes() {
@@ -97,15 +97,15 @@
 	}
 
 	/**
-	 * Returns how long what is held would take at the pace of the last moments.
+	 * Returns how long the buffered bytes would take at the recent transfer rate.
 	 * @param now the time in milliseconds
-	 * @return the time in seconds, infinite if nothing moved
+	 * @return the time in seconds, infinite if nothing was transferred
 	 */
 	public double secondsToEmpty(long now) {
 		advanceWindow(now);
 		double elapsed = now - this.windowStart;
-		double before = this.transferredBefore * Math.max(0, 1 - elapsed / this.windowMillis);
-		return this.bufferedBytes / (this.transferred + before) * this.windowMillis / MILLIS_PER_SECOND;
+		double weightedBefore = this.transferredBefore * Math.max(0, 1 - elapsed / this.windowMillis);
+		return this.bufferedBytes / (this.transferred + weightedBefore) * this.windowMillis / MILLIS_PER_SECOND;
 	}
 
 	boolean isWaiting() {
@@ -126,7 +126,7 @@
 	}
 
 	/**
-	 * Gives back all that is held.
+	 * Releases all buffered bytes from the budget.
 	 */
 	@Override
 	public void close() {
--- a/core/src/main/java/org/gullsaddle/hold/BufferBudget.java
+++ b/core/src/main/java/org/gullsaddle/hold/BufferBudget.java
@@ -9,22 +9,25 @@
 import org.gullsaddle.base.Check;
 
 /**
- * The memory in which a node holds what callers or replicas have yet to take, or to send
- * the rest of. Once it is spent, only who holds little is read on, until there is room
- * again. Confined to one thread.
+ * The memory in which a node buffers data that callers or replicas have yet to take, or
+ * to send the rest of. Once it is exhausted, only connections with small buffers are
+ * read, until there is capacity again. Confined to one thread.
  */
 public final class BufferBudget {
 
 	/**
-	 * The part of the memory that is for what is held: the rest is what the process needs
-	 * to run, and room for the collector.
+	 * The share of the process memory for buffers is one part in this many; the rest is
+	 * for the process itself and the garbage collector.
 	 */
 	private static final int MEMORY_DIVISOR = 4;
 
-	/** The part of the budget that one connection may take while others hold too. */
+	/** One connection may use one part in this many of the budget. */
 	private static final int CONNECTION_DIVISOR = 4;
 
-	/** The part of the budget that must be free again after it was spent. */
+	/**
+	 * One part in this many of the budget must be free before an exhausted budget is
+	 * usable again.
+	 */
 	private static final int RESUME_DIVISOR = 8;
 
 	private final long limitBytes;
@@ -36,38 +39,38 @@
 	private boolean exhausted;
 
 	/**
-	 * Makes a budget.
-	 * @param limit how many bytes may be held
+	 * Creates a budget.
+	 * @param limitBytes how many bytes may be buffered
 	 */
-	public BufferBudget(long limit) {
-		Check.that(limit > 0, "limit must be positive");
-		this.limitBytes = limit;
+	public BufferBudget(long limitBytes) {
+		Check.that(limitBytes > 0, "limitBytes must be positive");
+		this.limitBytes = limitBytes;
 	}
 
 	/**
-	 * Makes a budget for a process.
-	 * @param memoryBytes what the process may use in all, in bytes
-	 * @return the budget, of a part of it
+	 * Creates the budget of a process.
+	 * @param memoryBytes the memory that the process may use in all, in bytes
+	 * @return the budget, a quarter of it
 	 */
 	public static BufferBudget ofMemory(long memoryBytes) {
 		return new BufferBudget(memoryBytes / MEMORY_DIVISOR);
 	}
 
 	/**
-	 * Adds a holder.
-	 * @param id the request that it holds for
-	 * @param paceMillis how long its other side may pause and still be on time, in
-	 * milliseconds
-	 * @return the holder, which holds nothing
+	 * Opens an account.
+	 * @param id the request whose data is buffered
+	 * @param windowMillis how long the other side may pause and still be on time, over
+	 * which its transfer rate is measured, in milliseconds
+	 * @return the account, with nothing buffered
 	 */
-	public BufferAccount openAccount(String id, long paceMillis) {
-		BufferAccount holder = new BufferAccount(this, id, paceMillis);
-		this.accounts.add(holder);
-		return holder;
+	public BufferAccount openAccount(String id, long windowMillis) {
+		BufferAccount account = new BufferAccount(this, id, windowMillis);
+		this.accounts.add(account);
+		return account;
 	}
 
 	/**
-	 * Returns how much may be held.
+	 * Returns how much may be buffered.
 	 * @return the bytes
 	 */
 	public long limitBytes() {
@@ -75,7 +78,7 @@
 	}
 
 	/**
-	 * Returns how much is held.
+	 * Returns how much is buffered.
 	 * @return the bytes
 	 */
 	public long bufferedBytes() {
@@ -83,21 +86,20 @@
 	}
 
 	/**
-	 * Says whether too much was held, and there is no room again since.
-	 * @return true if a holder is to be given up
+	 * Returns whether the limit was reached and not enough is free again since.
+	 * @return true if an account is to be aborted
 	 */
 	public boolean isExhausted() {
 		return this.exhausted;
 	}
 
 	/**
-	 * Returns the holder to give up: of those that do not hold little, the one that would
-	 * keep its bytes longest at the pace of its other side. One whose other side had no
-	 * time yet to show its pace is not judged by it, unless the budget is overdrawn and
-	 * there is no other.
+	 * Returns the account to abort: of those that are not small, the one that would take
+	 * longest to empty at the transfer rate of its other side. An account whose rate is
+	 * not known yet is chosen only if the budget is overdrawn and there is no other.
 	 * @param now the time in milliseconds
-	 * @return the holder, empty while the budget is not spent, or nothing that is held
-	 * waits for another side
+	 * @return the account, empty while the budget is not exhausted or no buffered data
+	 * waits for the other side
 	 */
 	public Optional<BufferAccount> findToAbort(long now) {
 		if (!this.exhausted) {
@@ -119,17 +121,17 @@
 	}
 
 	/**
-	 * Says whether a holder has less than half of its part of the budget, if all that
-	 * wait for another side had equal ones. The mean of what is held would not do: one
-	 * large arrival raises it above all others.
+	 * Returns whether an account has less than half of an equal share of the budget among
+	 * all accounts that wait for their other side. Comparing with the mean would not do,
+	 * as one large arrival raises it above all others.
 	 */
-	private boolean isSmall(BufferAccount holder) {
+	private boolean isSmall(BufferAccount account) {
 		long waiting = this.accounts.stream().filter(BufferAccount::isWaiting).count();
-		return 2 * waiting * holder.bufferedBytes() < this.limitBytes;
+		return 2 * waiting * account.bufferedBytes() < this.limitBytes;
 	}
 
-	boolean canRead(BufferAccount holder) {
-		return this.exhausted ? isSmall(holder) : holder.bufferedBytes() < this.limitBytes / CONNECTION_DIVISOR;
+	boolean canRead(BufferAccount account) {
+		return this.exhausted ? isSmall(account) : account.bufferedBytes() < this.limitBytes / CONNECTION_DIVISOR;
 	}
 
 	void addBytes(long bytes) {
@@ -138,9 +140,9 @@
 				: this.limitBytes);
 	}
 
-	void removeAccount(BufferAccount holder) {
-		if (this.accounts.remove(holder)) {
-			addBytes(-holder.bufferedBytes());
+	void removeAccount(BufferAccount account) {
+		if (this.accounts.remove(account)) {
+			addBytes(-account.bufferedBytes());
 		}
 	}
 
--- a/core/src/test/java/org/gullsaddle/hold/BufferBudgetTests.java
+++ b/core/src/test/java/org/gullsaddle/hold/BufferBudgetTests.java
@@ -59,8 +59,8 @@
 		}
 
 		/**
-		 * Guards against a node that ends for its memory, or gives up quick callers for
-		 * slow ones.
+		 * Guards against a node that runs out of memory, or aborts fast callers instead
+		 * of slow ones.
 		 */
 		@Test
 		void onlySlowReadersAreAbortedAndMemoryStaysBounded() {
@@ -84,8 +84,8 @@
 	class WithAnEndlessBody {
 
 		/**
-		 * Guards against a caller that sends on for ever, a little at a time, and in the
-		 * end takes the place of bodies that are sent as fast as their callers can.
+		 * Guards against a caller that trickles an endless body and in the end displaces
+		 * bodies that are sent at full speed.
 		 */
 		@Test
 		void isAbortedBeforeFastBodies() {
@@ -140,8 +140,8 @@
 		}
 
 		/**
-		 * Guards against many quick callers that pay for one slow one: what came last is
-		 * what makes the budget run out, and has shown no pace yet.
+		 * Guards against aborting fast callers for a slow one: the last arrival is what
+		 * exhausts the budget, and its transfer rate is not known yet.
 		 */
 		@Test
 		void newestArrivalIsNotAborted() {
