--- a/core/src/main/java/org/gullsaddle/allowance/Allowance.java
+++ b/core/src/main/java/org/gullsaddle/allowance/Allowance.java
@@ -3,11 +3,12 @@
 import org.gullsaddle.template.TeamRule;
 
 /**
- * What this entry uses of one allowance.
+ * This entry's share of one allowance, and its use. Times are in milliseconds on the
+ * monotonic clock.
  */
 final class Allowance {
 
-	/** How much of a second's requests may come at once. */
+	/** The burst size, in seconds of the granted rate. */
 	private static final double BURST_SECONDS = 1;
 
 	private static final double DEMAND_SMOOTHING_RATIO = 0.3;
@@ -68,20 +69,20 @@
 	}
 
 	/**
-	 * Takes a request's part, or says what is short.
+	 * Reserves rate, concurrency and budget for a request, or returns what is short.
 	 */
 	Shortage acquire(long now, long today, long costMicros) {
 		refill(now);
 		this.requestCount++;
-		double held = share(now);
-		if (held == 0) {
+		double granted = share(now);
+		if (granted == 0) {
 			return Shortage.NO_GRANT;
 		}
 		if (today != this.day || this.budgetLeftMicros < costMicros) {
 			this.budgetShort = true;
 			return Shortage.BUDGET;
 		}
-		if (this.running >= concurrencyLimit(held)) {
+		if (this.running >= concurrencyLimit(granted)) {
 			return Shortage.CONCURRENCY;
 		}
 		if (this.tokens < 1) {
@@ -101,8 +102,8 @@
 		}
 	}
 
-	private int concurrencyLimit(double held) {
-		return (int) Math.floor(this.rule.concurrent() * held + 1e-9);
+	private int concurrencyLimit(double granted) {
+		return (int) Math.floor(this.rule.concurrent() * granted + 1e-9);
 	}
 
 	private double burst() {
@@ -116,17 +117,17 @@
 	}
 
 	/**
-	 * Returns the part of the allowance that this entry could use, from what was asked of
-	 * it since the last call.
+	 * Returns the share of the allowance that this entry could use, from its requests
+	 * since the last call, and starts a new measurement.
 	 */
 	double measureWantedShare(long elapsedMillis) {
 		double perSecond = this.requestCount * 1000.0 / Math.max(1, elapsedMillis);
-		double part = Math.max(perSecond / this.rule.requestsPerSecond(),
+		double used = Math.max(perSecond / this.rule.requestsPerSecond(),
 				(double) this.peakRunning / this.rule.concurrent());
 		this.requestCount = 0;
 		this.peakRunning = this.running;
-		// Demand is followed up at once and forgotten slowly.
-		this.demand = (part > this.demand) ? part : this.demand + DEMAND_SMOOTHING_RATIO * (part - this.demand);
+		// Demand rises at once and decays slowly.
+		this.demand = (used > this.demand) ? used : this.demand + DEMAND_SMOOTHING_RATIO * (used - this.demand);
 		return Math.min(1, this.demand * 1.25);
 	}
 
@@ -144,7 +145,7 @@
 	}
 
 	/**
-	 * What kept a request from being taken.
+	 * Which limit a request exceeds.
 	 */
 	enum Shortage {
 
--- a/core/src/main/java/org/gullsaddle/allowance/AllowanceKey.java
+++ b/core/src/main/java/org/gullsaddle/allowance/AllowanceKey.java
@@ -4,7 +4,7 @@
 import org.gullsaddle.base.TemplateName;
 
 /**
- * Names an allowance: a team's part of a template.
+ * Identifies an allowance: that of a team for a template.
  *
  * @param template the template
  * @param team the team
--- a/core/src/main/java/org/gullsaddle/allowance/AllowanceTable.java
+++ b/core/src/main/java/org/gullsaddle/allowance/AllowanceTable.java
@@ -12,7 +12,8 @@
 import org.gullsaddle.template.Template;
 
 /**
- * Holds requests to the part of each allowance that this entry was granted. Thread-safe.
+ * Limits requests to the share of each allowance that this entry was granted.
+ * Thread-safe.
  */
 public final class AllowanceTable {
 
@@ -25,8 +26,8 @@
 	private final Map<AllowanceKey, Allowance> allowances = new LinkedHashMap<>();
 
 	/**
-	 * Returns the day that money is counted for.
-	 * @param wallMillis milliseconds since the epoch
+	 * Returns the day to which a budget belongs.
+	 * @param wallMillis the time in milliseconds since the epoch
 	 * @return days since the epoch, in UTC
 	 */
 	public static long day(long wallMillis) {
@@ -34,8 +35,8 @@
 	}
 
 	/**
-	 * Takes in the allowances of a template; those of teams it no longer names stay for
-	 * requests under way.
+	 * Adds or updates the allowances of a template. Allowances of teams that it no longer
+	 * lists stay for open requests.
 	 * @param template the template
 	 * @param now the time in milliseconds on the monotonic clock
 	 */
@@ -47,7 +48,7 @@
 	}
 
 	/**
-	 * Takes a request's part of its allowance.
+	 * Reserves a request's part of its allowance.
 	 * @param template its template
 	 * @param team its team
 	 * @param costMicros the most it can cost, in micro-dollars
@@ -70,8 +71,8 @@
 	}
 
 	/**
-	 * Gives a request's part back.
-	 * @param permit what was taken
+	 * Releases a request's permit.
+	 * @param permit the permit
 	 * @param costMicros what the request cost, in micro-dollars
 	 */
 	public synchronized void release(Permit permit, long costMicros) {
@@ -79,7 +80,7 @@
 	}
 
 	/**
-	 * Returns the part of an allowance that this entry may use now.
+	 * Returns the share of an allowance that this entry may use now.
 	 * @param key the allowance
 	 * @param now the time in milliseconds on the monotonic clock
 	 * @return the share, 0 to 1
--- a/core/src/main/java/org/gullsaddle/allowance/GrantCoordinator.java
+++ b/core/src/main/java/org/gullsaddle/allowance/GrantCoordinator.java
@@ -11,20 +11,22 @@
 import org.gullsaddle.template.TeamRule;
 
 /**
- * Shares each allowance out among the entries: every entry reads the one document, takes
- * what is free or gives up what others need more, and writes by compare-and-swap.
+ * Divides each allowance among the entries: every entry reads the shared document, takes
+ * what is free or gives up what peers need more, and writes by compare-and-swap.
  * <p>
- * The sum of the shares in use never exceeds the allowance, with no clock agreed: a
- * holder counts its grant's end from before it asked, and shrinks its own use before it
- * writes; the others count a silent holder's end from when they first saw its last
- * renewal, which is later. Single-threaded.
+ * The sum of the shares in use never exceeds the allowance, without synchronized clocks:
+ * an entry counts its grant's expiry from before its read, and reduces its own use before
+ * it writes; its peers count the expiry from when they first saw its last renewal, which
+ * is later. Single-threaded.
  */
 public final class GrantCoordinator {
 
-	/** Kept by each entry even without demand, so that its first requests pass. */
+	/**
+	 * The share that each entry keeps without demand, so that its first requests pass.
+	 */
 	private static final double MIN_SHARE = 0.02;
 
-	/** The part of a day's money that is handed out at once. */
+	/** A day's budget is reserved in this many chunks. */
 	private static final int BUDGET_CHUNKS_PER_DAY = 50;
 
 	private static final long RENEWALS_PER_TTL = 3;
@@ -46,20 +48,20 @@
 	private Proposal proposal;
 
 	/**
-	 * Makes a keeper.
+	 * Creates a coordinator.
 	 * @param self this entry, under a name that no earlier run of it had
 	 * @param ttlMillis how long a grant lasts without renewal, in milliseconds
-	 * @param book where grants take effect
+	 * @param allowances the table in which grants take effect
 	 */
-	public GrantCoordinator(NodeId self, long ttlMillis, AllowanceTable book) {
+	public GrantCoordinator(NodeId self, long ttlMillis, AllowanceTable allowances) {
 		this.self = Check.notNull(self, "self");
-		this.allowances = Check.notNull(book, "book");
+		this.allowances = Check.notNull(allowances, "book");
 		Check.that(ttlMillis > 0, "ttlMillis must be positive");
 		this.ttlMillis = ttlMillis;
 	}
 
 	/**
-	 * Works out the document to write.
+	 * Decides on the document to write.
 	 * @param document the document as read
 	 * @param askedAt when the read was sent, in milliseconds on the monotonic clock
 	 * @param now the time in milliseconds on the monotonic clock
@@ -83,7 +85,7 @@
 	}
 
 	/**
-	 * Lets the proposed document take effect here, as the store has taken it.
+	 * Applies the proposed document here once the store has accepted it.
 	 * @param now the time in milliseconds on the monotonic clock
 	 */
 	public void onAccepted(long now) {
@@ -97,10 +99,11 @@
 	}
 
 	/**
-	 * Forgets the proposed document, as the store did not take it or did not say.
+	 * Discards the proposed document, as the store rejected it or gave no definite
+	 * answer.
 	 * <p>
-	 * If it was taken after all, the store counts more for this entry than it uses, which
-	 * is safe; the next round sees it.
+	 * If it was accepted after all, the store counts more for this entry than it uses,
+	 * which is safe; the next proposal corrects that.
 	 */
 	public void onNotAccepted() {
 		this.proposal = null;
@@ -121,62 +124,63 @@
 
 	private boolean updateShare(AllowanceKey key, Map<String, List<Grant>> grants, Proposal next, long elapsed,
 			long now) {
-		List<Grant> present = grants.getOrDefault(key.toString(), List.of());
-		Grant mine = present.stream().filter((grant) -> grant.entry().equals(this.self)).findFirst().orElse(null);
-		List<Grant> others = liveGrants(key, withoutOwn(present), now);
+		List<Grant> current = grants.getOrDefault(key.toString(), List.of());
+		Grant own = current.stream().filter((grant) -> grant.entry().equals(this.self)).findFirst().orElse(null);
+		List<Grant> peers = liveGrants(key, withoutOwn(current), now);
 		double wanted = this.allowances.measureWantedShare(key, elapsed);
-		double target = targetShare(wanted, others);
-		double free = Math.max(0, 1 - others.stream().mapToDouble(Grant::share).sum());
+		double target = targetShare(wanted, peers);
+		double free = Math.max(0, 1 - peers.stream().mapToDouble(Grant::share).sum());
 		double share = Math.min(target, free);
-		double held = this.allowances.share(key, now);
-		boolean due = mine == null || !(held > 0) || isRenewalDue(key, mine, now);
-		if (!due && Math.abs(share - mine.share()) < MIN_SHARE_CHANGE
-				&& Math.abs(wanted - mine.wanted()) < MIN_SHARE_CHANGE) {
+		double usableShare = this.allowances.share(key, now);
+		boolean due = own == null || !(usableShare > 0) || isRenewalDue(key, own, now);
+		if (!due && Math.abs(share - own.share()) < MIN_SHARE_CHANGE
+				&& Math.abs(wanted - own.wanted()) < MIN_SHARE_CHANGE) {
 			return false;
 		}
-		// Use less before telling: once the others read it, they take what is given up.
+		// Reduce the use before writing: once peers read the document, they take what is
+		// given up.
 		this.allowances.reduceShare(key, share, now);
 		this.renewal++;
-		List<Grant> list = new ArrayList<>(others);
+		List<Grant> list = new ArrayList<>(peers);
 		list.add(new Grant(this.self, share, wanted, this.renewal));
 		grants.put(key.toString(), List.copyOf(list));
 		next.shares.put(key, share);
 		return true;
 	}
 
-	private double targetShare(double wanted, List<Grant> others) {
-		double othersWanted = others.stream().mapToDouble(Grant::wanted).sum();
-		int entries = others.size() + 1;
+	private double targetShare(double wanted, List<Grant> peers) {
+		double peersWanted = peers.stream().mapToDouble(Grant::wanted).sum();
+		int entries = peers.size() + 1;
 		double spare = 1 - MIN_SHARE * entries;
-		double all = wanted + othersWanted;
+		double all = wanted + peersWanted;
 		if (all <= 1) {
 			return Math.min(1, MIN_SHARE + spare * (wanted + (1 - all) / entries));
 		}
 		return MIN_SHARE + spare * wanted / all;
 	}
 
-	private boolean isRenewalDue(AllowanceKey key, Grant mine, long now) {
-		ObservedRenewal seen = this.lastRenewals.get(new GrantKey(key, mine.entry()));
-		if (seen == null || seen.renewal() != mine.renewal()) {
-			this.lastRenewals.put(new GrantKey(key, mine.entry()), new ObservedRenewal(mine.renewal(), now));
+	private boolean isRenewalDue(AllowanceKey key, Grant own, long now) {
+		ObservedRenewal observed = this.lastRenewals.get(new GrantKey(key, own.entry()));
+		if (observed == null || observed.renewal() != own.renewal()) {
+			this.lastRenewals.put(new GrantKey(key, own.entry()), new ObservedRenewal(own.renewal(), now));
 			return false;
 		}
-		return now - seen.observedAt() > this.ttlMillis / RENEWALS_PER_TTL;
+		return now - observed.observedAt() > this.ttlMillis / RENEWALS_PER_TTL;
 	}
 
 	/**
-	 * Leaves out the grants of entries that stopped renewing.
+	 * Returns the grants of entries that still renew them.
 	 */
-	private List<Grant> liveGrants(AllowanceKey key, List<Grant> others, long now) {
+	private List<Grant> liveGrants(AllowanceKey key, List<Grant> peers, long now) {
 		List<Grant> alive = new ArrayList<>();
-		for (Grant grant : others) {
+		for (Grant grant : peers) {
 			GrantKey name = new GrantKey(key, grant.entry());
-			ObservedRenewal seen = this.lastRenewals.get(name);
-			if (seen == null || seen.renewal() != grant.renewal()) {
-				seen = new ObservedRenewal(grant.renewal(), now);
-				this.lastRenewals.put(name, seen);
+			ObservedRenewal observed = this.lastRenewals.get(name);
+			if (observed == null || observed.renewal() != grant.renewal()) {
+				observed = new ObservedRenewal(grant.renewal(), now);
+				this.lastRenewals.put(name, observed);
 			}
-			if (now - seen.observedAt() <= this.ttlMillis) {
+			if (now - observed.observedAt() <= this.ttlMillis) {
 				alive.add(grant);
 			}
 		}
@@ -186,8 +190,8 @@
 	private boolean reserveBudget(AllowanceKey key, TeamRule rule, Map<String, GrantDocument.Spending> spending,
 			Proposal next) {
 		long chunk = Math.max(1, rule.microDollarsPerDay() / BUDGET_CHUNKS_PER_DAY);
-		GrantDocument.Spending present = spending.get(key.toString());
-		long reserved = (present != null && present.day() == next.day) ? present.reservedMicros() : 0;
+		GrantDocument.Spending current = spending.get(key.toString());
+		long reserved = (current != null && current.day() == next.day) ? current.reservedMicros() : 0;
 		long micros = Math.min(chunk, rule.microDollarsPerDay() - reserved);
 		if (micros <= 0 || !this.allowances.needsBudget(key, next.day, chunk)) {
 			return false;
--- a/core/src/main/java/org/gullsaddle/allowance/GrantDocument.java
+++ b/core/src/main/java/org/gullsaddle/allowance/GrantDocument.java
@@ -4,10 +4,10 @@
 import java.util.Map;
 
 /**
- * The value in the store that shares the allowances out.
+ * The value in the store that divides the allowances among the entries.
  *
  * @param grants the grants on each allowance, by {@code template/team}
- * @param spending the money handed out of each allowance, by {@code template/team}
+ * @param spending the budget reserved from each allowance, by {@code template/team}
  */
 public record GrantDocument(Map<String, List<Grant>> grants, Map<String, Spending> spending) {
 
@@ -20,10 +20,10 @@
 	}
 
 	/**
-	 * Money handed out to entries on one day.
+	 * The budget that entries reserved on one day.
 	 *
 	 * @param day days since the epoch, in UTC
-	 * @param reservedMicros micro-dollars handed out, spent or not
+	 * @param reservedMicros micro-dollars reserved, spent or not
 	 */
 	public record Spending(long day, long reservedMicros) {
 	}
--- a/core/src/test/java/org/gullsaddle/allowance/GrantCoordinatorTests.java
+++ b/core/src/test/java/org/gullsaddle/allowance/GrantCoordinatorTests.java
@@ -34,9 +34,9 @@
 	}
 
 	/**
-	 * Entries read and write the one document at any time, are paused between reading and
-	 * writing, lose their writes' answers, and die; the shares in use never exceed the
-	 * whole.
+	 * Guards against shares in use that exceed the allowance when entries read and write
+	 * the document at any time, pause between read and write, lose the answers to their
+	 * writes, or die.
 	 */
 	@Property(tries = 300, seed = "3")
 	void sharesInUseNeverExceedTheWhole(@ForAll @LongRange(min = 1, max = 1_000_000) long seed) {
@@ -65,7 +65,7 @@
 
 	private void write(Node node, Random random, long now) {
 		GrantDocument next = node.coordinator.propose(node.read, node.askedAt, now, now);
-		// Compare-and-swap: only what was made from the present document is taken.
+		// Compare-and-swap: only a proposal made from the current document is accepted.
 		boolean taken = next != null && node.read == this.document;
 		if (taken) {
 			this.document = next;
