--- a/core/src/main/java/org/gullsaddle/register/Entry.java
+++ b/core/src/main/java/org/gullsaddle/register/Entry.java
@@ -3,11 +3,11 @@
 import org.gullsaddle.base.Check;
 
 /**
- * A fact in a register.
+ * A key and its value in a register.
  *
- * @param key what it is about
- * @param nonce chosen by whoever put it, to recognise its own write
- * @param value what is said of the key
+ * @param key the key
+ * @param nonce chosen by the node that put it, to recognise its own write
+ * @param value the value
  * @param time when it was put or changed, in milliseconds since the epoch
  */
 public record Entry(String key, String nonce, String value, long time) {
--- a/core/src/main/java/org/gullsaddle/register/Operation.java
+++ b/core/src/main/java/org/gullsaddle/register/Operation.java
@@ -6,13 +6,13 @@
 public sealed interface Operation {
 
 	/**
-	 * Returns the key that the operation is about.
+	 * Returns the key that the operation changes.
 	 * @return the key
 	 */
 	String key();
 
 	/**
-	 * Puts a value unless the key has one; the answer is the entry that the key has then.
+	 * Puts a value unless the key has one; the answer is the key's entry afterwards.
 	 *
 	 * @param key the key
 	 * @param nonce a new random text
@@ -22,8 +22,8 @@
 	}
 
 	/**
-	 * Puts a value if the key has none or the one expected; the answer is the entry that
-	 * the key has then.
+	 * Puts a value if the key has none or the expected one; the answer is the key's entry
+	 * afterwards.
 	 *
 	 * @param key the key
 	 * @param nonce a new random text
@@ -44,7 +44,7 @@
 	}
 
 	/**
-	 * Takes out an entry that this node put.
+	 * Removes an entry that this node put.
 	 *
 	 * @param key the key
 	 * @param nonce the nonce it was put with
--- a/core/src/main/java/org/gullsaddle/register/RegisterAction.java
+++ b/core/src/main/java/org/gullsaddle/register/RegisterAction.java
@@ -3,7 +3,7 @@
 import java.util.List;
 
 /**
- * Something that a {@link RegisterShard} wants done.
+ * An action that a {@link RegisterShard} asks its caller to perform.
  */
 public sealed interface RegisterAction {
 
@@ -32,9 +32,9 @@
 	}
 
 	/**
-	 * Answer an operation that could not be settled in time, or has no room. A
-	 * {@link Operation.Put} that may have taken effect is taken back as soon as the store
-	 * allows.
+	 * Answer an operation that could not be completed in time, or for which the shard has
+	 * no capacity. An {@link Operation.Put} that may have taken effect is removed as soon
+	 * as the store allows.
 	 *
 	 * @param id the operation
 	 */
--- a/core/src/main/java/org/gullsaddle/register/RegisterEvent.java
+++ b/core/src/main/java/org/gullsaddle/register/RegisterEvent.java
@@ -3,23 +3,23 @@
 import java.util.List;
 
 /**
- * Something that happened, for a {@link RegisterShard} to decide on.
+ * An event that a {@link RegisterShard} handles.
  */
 public sealed interface RegisterEvent {
 
 	/**
-	 * An operation was asked for.
+	 * An operation was submitted.
 	 *
-	 * @param id names the operation in its answer
+	 * @param id identifies the operation in its answer
 	 * @param operation the operation
 	 * @param deadline when it must be answered, in milliseconds on the monotonic clock;
-	 * {@link Long#MAX_VALUE} for one that is tried until it is done
+	 * {@link Long#MAX_VALUE} for one that is retried until it is done
 	 */
 	record Submitted(long id, Operation operation, long deadline) implements RegisterEvent {
 	}
 
 	/**
-	 * The store gave the shard's value.
+	 * The store returned the shard's value.
 	 *
 	 * @param revision the value's revision, 0 if it does not exist
 	 * @param entries the entries in it
@@ -34,7 +34,7 @@
 	}
 
 	/**
-	 * The store took the write.
+	 * The store accepted the write.
 	 *
 	 * @param revision the new revision
 	 */
@@ -42,14 +42,14 @@
 	}
 
 	/**
-	 * The store refused the write, as the value has another revision.
+	 * The store rejected the write, as the value has another revision.
 	 */
 	record Conflicted() implements RegisterEvent {
 	}
 
 	/**
-	 * The write's answer was lost, or said nothing certain; it may have taken effect, or
-	 * may yet.
+	 * The write's answer was lost or inconclusive; the write may have taken effect, or
+	 * may still do so.
 	 */
 	record WriteUnknown() implements RegisterEvent {
 	}
--- a/core/src/main/java/org/gullsaddle/register/RegisterShard.java
+++ b/core/src/main/java/org/gullsaddle/register/RegisterShard.java
@@ -11,13 +11,13 @@
 import org.gullsaddle.base.Check;
 
 /**
- * One value in the store that holds entries of a register. Every operation that waits
- * when a write starts goes into that one write, so that the store's rate of writes does
- * not bound the rate of operations.
+ * One value in the store that holds entries of a register. All operations that are
+ * pending when a write starts go into that write, so that the store's write rate does not
+ * limit the rate of operations.
  * <p>
- * The value's revision is the fence: of two nodes that write from the same revision, the
- * store takes one, and the other reads again and finds what the first put. No lease is
- * needed, so that a node that was paused past any lease cannot put a key twice.
+ * The value's revision is the fencing token: of two nodes that write from the same
+ * revision, the store accepts one, and the other reads again and finds what the first
+ * put. No lease is needed, so a node that was paused past a lease cannot put a key twice.
  * Single-threaded.
  */
 public final class RegisterShard {
@@ -49,8 +49,9 @@
 	private long retryAt = Long.MIN_VALUE;
 
 	/**
-	 * Makes a shard whose value was not read yet.
-	 * @param maxEntries how many entries it may hold; a put beyond is unavailable
+	 * Creates a shard whose value was not read yet.
+	 * @param maxEntries how many entries it may hold; a further put is answered as
+	 * unavailable
 	 * @param retentionMillis how long an entry is kept after its last change, in
 	 * milliseconds
 	 */
@@ -62,7 +63,7 @@
 	}
 
 	/**
-	 * Decides on an event.
+	 * Handles an event.
 	 * @param now the time in milliseconds on the monotonic clock
 	 * @param wallMillis the time in milliseconds since the epoch
 	 * @param event the event
@@ -106,7 +107,8 @@
 		this.storeCallPending = false;
 		this.entries = null;
 		this.retryAt = now + RETRY_MILLIS;
-		// Whoever waits for an answer gets it now; work that no one waits for is kept.
+		// Callers that wait for an answer get it now; operations without a caller are
+		// kept.
 		abandon((waiting) -> waiting.deadline() != Long.MAX_VALUE);
 	}
 
@@ -121,8 +123,8 @@
 	}
 
 	/**
-	 * Reads before trying the batch again: what it put may be there, or what another node
-	 * put.
+	 * Reads before retrying the batch, as the value may have the batch's entries or
+	 * another node's.
 	 */
 	private void retryBatch() {
 		this.storeCallPending = false;
@@ -138,14 +140,13 @@
 	}
 
 	private void abandon(Predicate<Pending> condition) {
-		List<Pending> over = this.pending.stream().filter(condition).toList();
-		this.pending.removeAll(over);
-		for (Pending waiting : over) {
+		List<Pending> abandoned = this.pending.stream().filter(condition).toList();
+		this.pending.removeAll(abandoned);
+		for (Pending waiting : abandoned) {
 			this.actions.add(new RegisterAction.Unavailable(waiting.id()));
 			if (waiting.tried() && waiting.operation() instanceof Operation.Put put) {
-				// A lost answer may hide a put that took effect; left behind, it would
-				// hold its
-				// key for a request that was told it had not run.
+				// The put of a lost answer may have taken effect. Its entry would keep
+				// the key for a request that was reported as not run.
 				this.pending.add(new Pending(Pending.NO_CALLER, new Operation.Remove(put.key(), put.nonce()),
 						Long.MAX_VALUE, this.readCount, false));
 			}
@@ -163,19 +164,19 @@
 		}
 		Map<String, Entry> next = new LinkedHashMap<>(this.entries);
 		next.values().removeIf((entry) -> entry.time() + this.retentionMillis < wallMillis);
-		List<Pending> taken = new ArrayList<>();
+		List<Pending> batched = new ArrayList<>();
 		boolean changed = false;
 		while (!this.pending.isEmpty()) {
 			Pending each = this.pending.poll();
 			if (applyOperation(next, each, wallMillis)) {
 				changed = true;
-				taken.add(each);
+				batched.add(each);
 			}
 			else if (each.operation() instanceof Operation.Put && !next.containsKey(each.operation().key())) {
 				this.actions.add(new RegisterAction.Unavailable(each.id()));
 			}
 			else if (changed) {
-				taken.add(each);
+				batched.add(each);
 			}
 			else {
 				answer(each);
@@ -183,36 +184,36 @@
 		}
 		if (changed) {
 			this.storeCallPending = true;
-			this.batch = taken;
+			this.batch = batched;
 			this.batchEntries = next;
 			this.actions.add(new RegisterAction.Write(this.revision, List.copyOf(next.values())));
 		}
 	}
 
 	/**
-	 * Says whether an operation would be answered by an entry that was read before the
-	 * operation was asked for. Another node may have changed the entry since, such as by
-	 * settling the claim.
+	 * Returns whether an operation would be answered with an entry that was read before
+	 * the operation was submitted. Another node may have changed the entry since, for
+	 * example by completing the claim.
 	 */
 	private boolean needsRead(Pending each) {
-		boolean answersFromPresent = each.operation() instanceof Operation.Put
+		boolean answersWithEntry = each.operation() instanceof Operation.Put
 				|| each.operation() instanceof Operation.Replace;
-		return answersFromPresent && this.entries.containsKey(each.operation().key())
+		return answersWithEntry && this.entries.containsKey(each.operation().key())
 				&& each.readCountAtSubmission() >= this.readCount;
 	}
 
 	private boolean applyOperation(Map<String, Entry> entries, Pending each, long wallMillis) {
-		Entry present = entries.get(each.operation().key());
+		Entry current = entries.get(each.operation().key());
 		return switch (each.operation()) {
-			case Operation.Put put -> present == null && entries.size() < this.maxEntries
+			case Operation.Put put -> current == null && entries.size() < this.maxEntries
 					&& put(entries, put.key(), put.nonce(), put.value(), wallMillis);
-			case Operation.Replace replace -> (present == null || present.value().equals(replace.expected()))
+			case Operation.Replace replace -> (current == null || current.value().equals(replace.expected()))
 					&& put(entries, replace.key(), replace.nonce(), replace.value(), wallMillis);
 			case Operation.Update update ->
-				present != null && present.nonce().equals(update.nonce()) && !present.value().equals(update.value())
+				current != null && current.nonce().equals(update.nonce()) && !current.value().equals(update.value())
 						&& put(entries, update.key(), update.nonce(), update.value(), wallMillis);
 			case Operation.Remove remove ->
-				present != null && present.nonce().equals(remove.nonce()) && entries.remove(remove.key()) != null;
+				current != null && current.nonce().equals(remove.nonce()) && entries.remove(remove.key()) != null;
 		};
 	}
 
@@ -228,10 +229,10 @@
 	}
 
 	/**
-	 * An operation that waits for its answer.
+	 * An operation whose answer is pending.
 	 *
-	 * @param submittedAfterRead how many reads were done when it was asked for
-	 * @param tried whether a write with it was sent whose end is not known
+	 * @param submittedAfterRead how many reads were done when it was submitted
+	 * @param tried whether it was part of a write whose result is unknown
 	 */
 	private record Pending(long id, Operation operation, long deadline, long readCountAtSubmission, boolean tried) {
 
--- a/core/src/test/java/org/gullsaddle/register/RegisterShardTests.java
+++ b/core/src/test/java/org/gullsaddle/register/RegisterShardTests.java
@@ -44,8 +44,9 @@
 	}
 
 	/**
-	 * The store took the write and its answer was lost. Read again, the entry is there
-	 * with this node's own nonce: the claim is granted, and not taken for another's.
+	 * Guards against taking this node's own claim for another's when the store accepted
+	 * the write and its answer was lost. The nonce of the entry that is read again shows
+	 * whose it is.
 	 */
 	@Test
 	void lostAnswerIsResolvedByReadingAgain() {
@@ -67,9 +68,9 @@
 	}
 
 	/**
-	 * The write's fate is unknown and the store stops answering. The caller is told at
-	 * once that the claim could not be had; the entry that may be there is taken out
-	 * later.
+	 * Guards against an entry that is left behind when a write's result is unknown and
+	 * the store stops answering. The caller gets an unavailable answer at once; the entry
+	 * that may exist is removed later.
 	 */
 	@Test
 	void putWithUnknownResultIsRemoved() {
