--- a/core/src/main/java/org/gullsaddle/ledger/AttemptRecord.java
+++ b/core/src/main/java/org/gullsaddle/ledger/AttemptRecord.java
@@ -7,12 +7,12 @@
 import org.gullsaddle.base.Verdict;
 
 /**
- * One attempt in a request's record.
+ * The record of one attempt of a request.
  *
  * @param attempt the attempt
  * @param version the version it ran on
- * @param agent the agent beside the backend server
- * @param revision the template's revision it was decided under
+ * @param agent the agent of the backend server
+ * @param revision the template's revision under which it was decided
  * @param verdict whether it may have run
  * @param outcome how it ended, such as {@code done}, {@code escalated} or a refusal's
  * reason
--- a/core/src/main/java/org/gullsaddle/ledger/Bills.java
+++ b/core/src/main/java/org/gullsaddle/ledger/Bills.java
@@ -14,11 +14,11 @@
 import org.gullsaddle.base.Verdict;
 
 /**
- * Gathers ledger entries into one bill a request.
+ * Computes one bill per request from ledger entries.
  * <p>
- * An entry that dies may leave its agents to write what they held, and an entry that is
- * only slow may write as well. The request's own record therefore stands whenever there
- * is one, and lines count once by attempt when there is none.
+ * When an entry node is lost, its agents write the attempt records they hold; an entry
+ * node that is only slow may write as well. So the request's own record is used whenever
+ * there is one, and agents' records count once per attempt when there is none.
  */
 public final class Bills {
 
@@ -29,7 +29,7 @@
 	private final Map<RequestId, Map<AttemptId, AgentRecord>> agentRecords = new LinkedHashMap<>();
 
 	/**
-	 * Gathers entries.
+	 * Computes the bills of some entries.
 	 * @param entries the entries, in any order, any of them more than once
 	 * @return the bills
 	 */
@@ -60,7 +60,8 @@
 		Map<RequestId, Bill> bills = new LinkedHashMap<>();
 		this.requestRecords.forEach((id, record) -> bills.put(id, new Bill(id, record.team(), record.template(),
 				record.costMicros(), record.verdict(), record.outcome())));
-		this.agentRecords.forEach((id, lines) -> bills.computeIfAbsent(id, (missing) -> fromAgentRecords(id, lines)));
+		this.agentRecords
+			.forEach((id, records) -> bills.computeIfAbsent(id, (missing) -> fromAgentRecords(id, records)));
 		return bills;
 	}
 
@@ -74,10 +75,10 @@
 		return new TreeMap<>(totals);
 	}
 
-	private static Bill fromAgentRecords(RequestId id, Map<AttemptId, AgentRecord> lines) {
-		AgentRecord first = lines.values().iterator().next();
-		long cost = lines.values().stream().mapToLong((held) -> held.line().costMicros()).sum();
-		Verdict verdict = lines.values()
+	private static Bill fromAgentRecords(RequestId id, Map<AttemptId, AgentRecord> records) {
+		AgentRecord first = records.values().iterator().next();
+		long cost = records.values().stream().mapToLong((held) -> held.line().costMicros()).sum();
+		Verdict verdict = records.values()
 			.stream()
 			.map((held) -> held.line().verdict())
 			.reduce(Verdict.NOT_RUN, Verdict::combine);
--- a/core/src/main/java/org/gullsaddle/ledger/HashChain.java
+++ b/core/src/main/java/org/gullsaddle/ledger/HashChain.java
@@ -5,8 +5,8 @@
 import org.gullsaddle.base.Digests;
 
 /**
- * Chains texts by SHA-256, so that a text changed, dropped or moved breaks the chain from
- * there on.
+ * Chains texts by SHA-256, so that changing, dropping or moving a text breaks the chain
+ * from there on.
  */
 final class HashChain {
 
--- a/core/src/main/java/org/gullsaddle/ledger/LedgerEntry.java
+++ b/core/src/main/java/org/gullsaddle/ledger/LedgerEntry.java
@@ -8,7 +8,7 @@
 import org.gullsaddle.base.RequestId;
 
 /**
- * What a ledger is made of.
+ * An entry of the ledger, kept and hashed as JSON.
  */
 public sealed interface LedgerEntry {
 
@@ -19,13 +19,13 @@
 	RequestId request();
 
 	/**
-	 * Returns the JSON text that is kept and hashed.
+	 * Returns the JSON text that is stored and hashed.
 	 * @return the text
 	 */
 	String text();
 
 	/**
-	 * Reads an entry's text.
+	 * Parses an entry's text.
 	 * @param text the text
 	 * @return the entry
 	 * @throws IOException if the text is of no known kind
@@ -42,7 +42,7 @@
 	}
 
 	/**
-	 * A request's whole record, by its entry.
+	 * A request's record, written by its entry node.
 	 *
 	 * @param record the record
 	 */
@@ -61,9 +61,9 @@
 	}
 
 	/**
-	 * One attempt's line, by its agent.
+	 * One attempt's record, written by its agent.
 	 *
-	 * @param held the line
+	 * @param agentRecord the agent's record
 	 */
 	record AttemptEntry(AgentRecord agentRecord) implements LedgerEntry {
 
--- a/core/src/main/java/org/gullsaddle/ledger/LedgerHead.java
+++ b/core/src/main/java/org/gullsaddle/ledger/LedgerHead.java
@@ -1,7 +1,8 @@
 package org.gullsaddle.ledger;
 
 /**
- * The last segment of a writer, kept apart from its segments so that a missing end shows.
+ * The last segment of a writer, stored apart from its segments so that missing last
+ * segments are detected.
  *
  * @param writer the writer
  * @param sequence the number of its last segment
--- a/core/src/main/java/org/gullsaddle/ledger/LedgerVerifier.java
+++ b/core/src/main/java/org/gullsaddle/ledger/LedgerVerifier.java
@@ -9,8 +9,8 @@
 import java.util.TreeMap;
 
 /**
- * Finds what was changed, dropped, moved or cut off in a ledger, without trusting whoever
- * kept it.
+ * Detects records that were changed, dropped, moved or cut off in a ledger, without
+ * trusting its storage.
  *
  * <pre>
  * List&lt;LedgerFlaw&gt; flaws = LedgerVerifier.verify(segments, heads);
@@ -23,9 +23,9 @@
 
 	/**
 	 * Verifies segments.
-	 * @param segments all segments of a span of time, in any order
+	 * @param segments all segments of a period, in any order
 	 * @param heads all heads
-	 * @return the first flaw of each writer; none if all is as it was written
+	 * @return the first flaw of each writer, empty if nothing was altered
 	 */
 	public static List<LedgerFlaw> verify(Collection<Segment> segments, Collection<LedgerHead> heads) {
 		Map<String, List<Segment>> byWriter = new TreeMap<>();
--- a/core/src/main/java/org/gullsaddle/ledger/LedgerWriter.java
+++ b/core/src/main/java/org/gullsaddle/ledger/LedgerWriter.java
@@ -10,15 +10,15 @@
 import org.gullsaddle.base.RequestId;
 
 /**
- * Batches a node's ledger entries into segments, one under way at a time.
+ * Batches a node's ledger entries into segments, one in flight at a time.
  * <p>
- * A segment keeps its number and content until the store is known to have it, so that a
- * write whose answer was lost is found again under the same key and not written twice.
+ * A segment keeps its number and content until the store is known to have it, so that
+ * after a lost answer it is written again under the same key and not twice.
  * Single-threaded.
  */
 public final class LedgerWriter {
 
-	/** Well under the store's largest value, with room for its encoding. */
+	/** Well below the store's largest value, with a margin for its encoding. */
 	private static final int MAX_SEGMENT_CHARACTERS = 400_000;
 
 	private final String writer;
@@ -36,8 +36,8 @@
 	private String head = "";
 
 	/**
-	 * Makes a writer that has written nothing.
-	 * @param writer its name, which no other run of any node may have
+	 * Creates a writer that has written nothing.
+	 * @param writer its name, unique among all runs of all nodes
 	 * @param maxPending how many entries may wait for the store
 	 */
 	public LedgerWriter(String writer, int maxPending) {
@@ -47,8 +47,8 @@
 	}
 
 	/**
-	 * Adds an entry. It is taken even when {@link #hasCapacity()} is false: what ran is
-	 * never left out; the room bounds what is let in.
+	 * Adds an entry. It is accepted even if {@link #hasCapacity()} is false, as the
+	 * record of work that ran is never dropped; the capacity limits admission only.
 	 * @param entry the entry
 	 */
 	public void append(LedgerEntry entry) {
@@ -56,9 +56,9 @@
 	}
 
 	/**
-	 * Says whether more requests may be let in. While the store is down their records
-	 * would pile up in memory, and be lost with it.
-	 * @return true if fewer entries wait than allowed
+	 * Returns whether more requests may be admitted. While the store is down, their
+	 * records would accumulate in memory and be lost with it.
+	 * @return true if fewer entries are pending than allowed
 	 */
 	public boolean hasCapacity() {
 		return pendingCount() < this.maxPending;
@@ -73,7 +73,7 @@
 	}
 
 	/**
-	 * Returns the segment to write: the one under way again, or the next.
+	 * Returns the segment to write: the one in flight again, or the next.
 	 * @return the segment, or empty if there is nothing to write
 	 */
 	public Optional<Segment> nextSegment() {
@@ -84,11 +84,11 @@
 	}
 
 	/**
-	 * Notes that the store has the segment under way.
+	 * Handles the store's confirmation of the segment in flight.
 	 * @return the requests whose entries it holds
 	 */
 	public List<RequestId> onWritten() {
-		Check.that(this.inFlight != null, "no segment is under way");
+		Check.that(this.inFlight != null, "no segment is in flight");
 		this.sequence = this.inFlight.sequence();
 		this.head = this.inFlight.head();
 		this.inFlight = null;
--- a/core/src/main/java/org/gullsaddle/ledger/RequestRecord.java
+++ b/core/src/main/java/org/gullsaddle/ledger/RequestRecord.java
@@ -8,8 +8,8 @@
 import org.gullsaddle.base.Verdict;
 
 /**
- * All that is kept of a request: who asked, what served it, in what order and why, and
- * what it costs. Prompts and answers are not kept.
+ * The ledger's record of a request: its team, the attempts that served it, in what order
+ * and why, and its cost. Prompts and answers are not stored.
  *
  * @param request the request
  * @param team the team that pays
--- a/core/src/main/java/org/gullsaddle/ledger/Segment.java
+++ b/core/src/main/java/org/gullsaddle/ledger/Segment.java
@@ -5,9 +5,9 @@
 import org.gullsaddle.base.Check;
 
 /**
- * A batch of ledger entries, the unit that is written to the store.
+ * A batch of ledger entries that is written to the store as one value.
  *
- * @param writer who wrote it: a node in one run of it
+ * @param writer the writer: a node in one of its runs
  * @param sequence counts the writer's segments from 1
  * @param previous the hash of the writer's last entry before, or empty in its first
  * segment
@@ -24,7 +24,7 @@
 	}
 
 	/**
-	 * Returns the hash of the last entry, which stands for all before it.
+	 * Returns the hash of the last entry, which covers all entries before it.
 	 * @return the hash
 	 */
 	public String head() {
--- a/core/src/main/java/org/gullsaddle/ledger/ServingOrder.java
+++ b/core/src/main/java/org/gullsaddle/ledger/ServingOrder.java
@@ -13,11 +13,11 @@
 import org.gullsaddle.clock.HybridClock;
 
 /**
- * Who was served first.
+ * The order in which requests were served.
  * <p>
- * Stamps of one writer follow one clock, and their order is the order of what happened.
- * Those of two writers come from two clocks: where they lie closer together than the
- * clocks may differ, the order cannot be told, and is said to be so.
+ * Timestamps of one writer come from one clock and give the true order. Those of two
+ * writers come from two clocks: if they are closer together than the clocks may differ,
+ * the order is marked as uncertain.
  */
 public final class ServingOrder {
 
@@ -29,7 +29,7 @@
 	 * served them.
 	 * @param written the records with their writers
 	 * @param uncertaintyMillis how far two clocks may differ, in milliseconds
-	 * @return the places, first served first
+	 * @return the places, from the first served
 	 */
 	public static List<Place> of(Collection<WriterRecord> written, long uncertaintyMillis) {
 		Check.that(uncertaintyMillis >= 0, "uncertaintyMillis must not be negative");
@@ -58,12 +58,12 @@
 		if (before.written().writer().equals(after.written().writer())) {
 			return true;
 		}
-		long apart = HybridClock.millis(after.line().start()) - HybridClock.millis(before.line().start());
-		return apart > uncertaintyMillis;
+		long differenceMillis = HybridClock.millis(after.line().start()) - HybridClock.millis(before.line().start());
+		return differenceMillis > uncertaintyMillis;
 	}
 
 	/**
-	 * A request's record and who wrote it.
+	 * A request's record and its writer.
 	 *
 	 * @param writer the writer
 	 * @param record the record
@@ -79,8 +79,8 @@
 	 * @param team its team
 	 * @param version the version that served it
 	 * @param start when it was sent there, as a hybrid logical clock stamp
-	 * @param writer whose clock that is
-	 * @param certain whether it surely came after the place before
+	 * @param writer the writer, whose clock that is
+	 * @param certain whether it certainly came after the previous place
 	 */
 	public record Place(int number, RequestId request, TeamId team, ModelVersion version, long start, String writer,
 			boolean certain) {
--- a/core/src/test/java/org/gullsaddle/ledger/LedgerTests.java
+++ b/core/src/test/java/org/gullsaddle/ledger/LedgerTests.java
@@ -208,8 +208,8 @@
 		}
 
 		/**
-		 * The entry died before its record was written; its agents wrote the lines they
-		 * held, one of them twice.
+		 * Guards against billing an attempt twice when the entry node is lost and an
+		 * agent writes its record twice.
 		 */
 		@Test
 		void agentRecordsAloneMakeABill() {
