--- a/core/src/main/java/org/gullsaddle/template/ConfigFreshness.java
+++ b/core/src/main/java/org/gullsaddle/template/ConfigFreshness.java
@@ -3,8 +3,7 @@
 import java.util.Collection;
 
 /**
- * Tells a node that lost the store whether others may be changing the configuration
- * without it.
+ * Decides whether a node that lost the store may have an outdated configuration.
  */
 public final class ConfigFreshness {
 
@@ -12,16 +11,17 @@
 	}
 
 	/**
-	 * Says whether a node must take its configuration for possibly outdated.
+	 * Returns whether a node must treat its configuration as possibly outdated.
 	 * <p>
 	 * A change is accepted only through an entry that reaches the store. While no entry
-	 * reaches it, as in an outage, nobody can change anything and what a node holds is in
-	 * force. An entry that cannot be reached may be accepting changes on the other side
-	 * of a cut; then what a node holds can be outdated, and a version withdrawn over
+	 * reaches it, as in an outage, no change is possible and a node's configuration is in
+	 * force. An unreachable entry may be accepting changes on the other side of a network
+	 * partition; then a node's configuration may be outdated, and a version withdrawn
 	 * there would get new work here.
-	 * @param ownAgeMillis how long ago the node last heard of the store, in milliseconds
-	 * @param limitMillis how long ago still counts as hearing of it, in milliseconds
-	 * @param peers the other entries on the VM list
+	 * @param ownAgeMillis how long ago the node last had contact with the store, in
+	 * milliseconds
+	 * @param limitMillis the largest age that counts as contact, in milliseconds
+	 * @param peers the other entries in the VM list
 	 * @return true if the node is cut off
 	 */
 	public static boolean isCutOff(long ownAgeMillis, long limitMillis, Collection<Peer> peers) {
@@ -35,11 +35,11 @@
 	}
 
 	/**
-	 * Another entry.
+	 * Another entry node.
 	 *
 	 * @param reachable whether there is a link to it
-	 * @param ageMillis how long ago it last heard of the store, as it last told, in
-	 * milliseconds
+	 * @param ageMillis how long ago it last had contact with the store, as it last
+	 * reported, in milliseconds
 	 */
 	public record Peer(boolean reachable, long ageMillis) {
 	}
--- a/core/src/main/java/org/gullsaddle/template/CutOffBehaviour.java
+++ b/core/src/main/java/org/gullsaddle/template/CutOffBehaviour.java
@@ -3,14 +3,17 @@
 import com.fasterxml.jackson.annotation.JsonValue;
 
 /**
- * What a node does for a team once it can no longer tell whether the configuration it
- * holds is the one in force.
+ * What a node does with a team's requests when it is cut off, so that its configuration
+ * may be outdated.
  */
 public enum CutOffBehaviour {
 
-	/** Goes on with the configuration it holds. */
+	/** Serves with the configuration that the node has. */
 	SERVE("serve"),
-	/** Refuses, so that a withdrawn version cannot be used for lack of news. */
+	/**
+	 * Refuses, so that a withdrawn version is not used because the withdrawal did not
+	 * arrive.
+	 */
 	REFUSE("refuse");
 
 	private final String text;
--- a/core/src/main/java/org/gullsaddle/template/TeamRule.java
+++ b/core/src/main/java/org/gullsaddle/template/TeamRule.java
@@ -9,13 +9,14 @@
  * A team's parameters in a template.
  *
  * @param versions the versions the team may use
- * @param qualityTarget the mean rating that its answers are to reach, 0 to 1
- * @param rank its work goes before work of a lower rank
- * @param weight its part among teams of equal rank
- * @param requestsPerSecond how many requests may start a second, over all entries
+ * @param qualityTarget the target for the mean rating of its answers, 0 to 1
+ * @param rank the priority of its work; higher ranks go first
+ * @param weight its weight among teams of equal rank
+ * @param requestsPerSecond how many requests may start per second, over all entries
  * @param concurrent how many requests may run at once, over all entries
- * @param microDollarsPerDay how much it may spend a day, over all entries
- * @param deadlineMillis the time for a request that names none, in milliseconds
+ * @param microDollarsPerDay how much it may spend per day, over all entries
+ * @param deadlineMillis the deadline of requests without one of their own, in
+ * milliseconds
  * @param cutOff what happens when a node is cut off from the configuration
  */
 public record TeamRule(Set<ModelVersion> versions, double qualityTarget, int rank, double weight,
--- a/core/src/main/java/org/gullsaddle/template/Template.java
+++ b/core/src/main/java/org/gullsaddle/template/Template.java
@@ -17,16 +17,16 @@
 import org.gullsaddle.yaml.YamlException;
 
 /**
- * An operator's statement of which versions serve a kind of request, and of what each
- * team is allowed. Immutable; a change makes a new revision.
+ * An operator's definition of which versions serve a kind of request and what each team
+ * may use. Immutable; a change creates a new revision.
  *
  * <pre>
  * Template next = Template.parse(yaml).withState(version, VersionState.WITHDRAWN);
  * </pre>
  *
  * @param name its name
- * @param kind what it routes to
- * @param repeatable whether service calls other than reads may be repeated
+ * @param kind the kind of backend server it routes to
+ * @param repeatable whether service calls other than reads may be retried
  * @param versions the versions in the order written
  * @param teams the parameters of each team
  */
@@ -41,11 +41,11 @@
 	}
 
 	/**
-	 * Reads a template from YAML.
+	 * Parses a template from YAML.
 	 * @param yaml the text
 	 * @return the template
-	 * @throws YamlException if the text is not a whole and valid template; its problems
-	 * name the line
+	 * @throws YamlException if the text is not a complete and valid template; its
+	 * problems give the lines
 	 */
 	public static Template parse(String yaml) throws YamlException {
 		return new TemplateParser().parse(yaml);
@@ -54,7 +54,7 @@
 	/**
 	 * Returns the rule of a version.
 	 * @param version the version
-	 * @return its rule, or empty if the template does not name it
+	 * @return its rule, or empty if the template does not list it
 	 */
 	public Optional<VersionRule> findRule(ModelVersion version) {
 		return this.versions.stream().filter((rule) -> rule.version().equals(version)).findFirst();
@@ -70,7 +70,7 @@
 	}
 
 	/**
-	 * Says whether a team's request may start on a version.
+	 * Returns whether a team's request may start on a version.
 	 * @param team the team
 	 * @param version the version
 	 * @param pinned whether the request's session has this version already
@@ -89,7 +89,7 @@
 	 * @param version the version
 	 * @param state its new state
 	 * @return the changed template
-	 * @throws IllegalArgumentException if the template does not name the version
+	 * @throws IllegalArgumentException if the template does not list the version
 	 */
 	public Template withState(ModelVersion version, VersionState state) {
 		return change(version, (rule) -> rule.withState(state));
@@ -101,28 +101,28 @@
 	 * @param version the version
 	 * @param share its new share, 0 to 1
 	 * @return the changed template
-	 * @throws IllegalArgumentException if the template does not name the version
+	 * @throws IllegalArgumentException if the template does not list the version
 	 */
 	public Template withShare(ModelVersion version, double share) {
-		double others = this.versions.stream()
+		double othersShare = this.versions.stream()
 			.filter((rule) -> rule.version().model().equals(version.model()) && !rule.version().equals(version))
 			.mapToDouble(VersionRule::share)
 			.sum();
 		Template changed = change(version, (rule) -> rule.withShare(share));
-		if (others == 0) {
+		if (othersShare == 0) {
 			return changed;
 		}
 		List<VersionRule> rules = changed.versions.stream()
 			.map((rule) -> (rule.version().model().equals(version.model()) && !rule.version().equals(version))
-					? rule.withShare(rule.share() / others * (1 - share)) : rule)
+					? rule.withShare(rule.share() / othersShare * (1 - share)) : rule)
 			.toList();
 		return new Template(this.name, this.kind, this.repeatable, rules, this.teams);
 	}
 
 	/**
 	 * Returns a copy with the parameters of some teams only.
-	 * @param kept says which teams to keep
-	 * @return the smaller template
+	 * @param kept selects the teams to keep
+	 * @return the reduced template
 	 */
 	public Template onlyTeams(Predicate<TeamId> kept) {
 		Map<TeamId, TeamRule> rules = new HashMap<>();
--- a/core/src/main/java/org/gullsaddle/template/TemplateKind.java
+++ b/core/src/main/java/org/gullsaddle/template/TemplateKind.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.annotation.JsonValue;
 
 /**
- * What kind of backend server a template routes to.
+ * The kind of backend server that a template routes to.
  */
 public enum TemplateKind {
 
--- a/core/src/main/java/org/gullsaddle/template/TemplateParser.java
+++ b/core/src/main/java/org/gullsaddle/template/TemplateParser.java
@@ -15,7 +15,7 @@
 import org.gullsaddle.yaml.YamlNode;
 
 /**
- * Reads a template from YAML, gathering every problem with its line.
+ * Parses a template from YAML and collects every problem with its line.
  */
 final class TemplateParser {
 
@@ -61,11 +61,11 @@
 		double quality = item.number("quality", 0, 1, 0.5);
 		YamlNode price = item.child("price");
 		price.checkKeys("prompt", "output", "call");
-		double limit = MICROS_PER_DOLLAR;
+		double maxDollars = MICROS_PER_DOLLAR;
 		// Dollars per million tokens are micro-dollars per token.
-		long prompt = Math.round(price.number("prompt", 0, limit, 0.0) * 1000);
-		long output = Math.round(price.number("output", 0, limit, 0.0) * 1000);
-		long call = Math.round(price.number("call", 0, limit, 0.0) * MICROS_PER_DOLLAR);
+		long prompt = Math.round(price.number("prompt", 0, maxDollars, 0.0) * 1000);
+		long output = Math.round(price.number("output", 0, maxDollars, 0.0) * 1000);
+		long call = Math.round(price.number("call", 0, maxDollars, 0.0) * MICROS_PER_DOLLAR);
 		return (version != null) ? new VersionRule(version, state, share, quality, new Price(prompt, output, call))
 				: null;
 	}
@@ -103,13 +103,13 @@
 		double weight = node.number("weight", 0.001, 1000, 1.0);
 		double rate = node.number("requestsPerSecond", 0.001, 1e6, null);
 		int concurrent = (int) node.number("concurrent", 1, 1e6, null);
-		long money = Math.round(node.number("dollarsPerDay", 0.000001, 1e9, null) * MICROS_PER_DOLLAR);
+		long microDollarsPerDay = Math.round(node.number("dollarsPerDay", 0.000001, 1e9, null) * MICROS_PER_DOLLAR);
 		long deadline = node.millis("deadline", 30_000);
 		CutOffBehaviour cutOff = node.choice("cutOff", CutOffBehaviour.values(), CutOffBehaviour.SERVE);
 		if (node.hasProblems()) {
 			return null;
 		}
-		return new TeamRule(allowed, target, rank, weight, rate, concurrent, money, deadline, cutOff);
+		return new TeamRule(allowed, target, rank, weight, rate, concurrent, microDollarsPerDay, deadline, cutOff);
 	}
 
 }
--- a/core/src/main/java/org/gullsaddle/template/TemplateRevision.java
+++ b/core/src/main/java/org/gullsaddle/template/TemplateRevision.java
@@ -3,15 +3,15 @@
 import org.gullsaddle.base.Check;
 
 /**
- * A template as accepted: the value kept in the platform's store.
+ * An accepted revision of a template, as kept in the platform's store.
  *
  * @param revision counts the template's accepted changes from 1
- * @param changeId chosen by whoever wrote it, to recognise its own write when the store's
+ * @param changeId chosen by the writer, to recognise its own write when the store's
  * answer was lost
  * @param author the operator who changed it
- * @param time when, in milliseconds since the epoch by the writer's clock
+ * @param time when it was written, in milliseconds since the epoch by the writer's clock
  * @param yaml the text as the operator wrote it
- * @param template the template read from it
+ * @param template the template parsed from it
  */
 public record TemplateRevision(long revision, String changeId, String author, long time, String yaml,
 		Template template) {
--- a/core/src/main/java/org/gullsaddle/template/TemplateTable.java
+++ b/core/src/main/java/org/gullsaddle/template/TemplateTable.java
@@ -14,11 +14,11 @@
 	private final Map<TemplateName, TemplateRevision> templates = new TreeMap<>();
 
 	/**
-	 * Takes in a revision, unless it is not newer than the one held.
+	 * Applies a revision if it is newer than the one in force.
 	 * <p>
-	 * A value read from a lagging source, or a push that overtook another, may be older
-	 * than what is in force. Taking it would give withdrawn versions new work again, so
-	 * only a higher revision is applied, whatever the order of arrival.
+	 * A value read from a lagging source, or a push that arrives out of order, may be
+	 * older than the revision in force. Applying it would give withdrawn versions new
+	 * work again, so only a higher revision is applied.
 	 * @param candidate the revision
 	 * @return true if it is now in force
 	 */
@@ -46,8 +46,8 @@
 	 * @return the number, or 0 if none is known
 	 */
 	public long revisionOf(TemplateName name) {
-		TemplateRevision held = this.templates.get(name);
-		return (held != null) ? held.revision() : 0;
+		TemplateRevision current = this.templates.get(name);
+		return (current != null) ? current.revision() : 0;
 	}
 
 	/**
--- a/core/src/main/java/org/gullsaddle/template/TemplateWriter.java
+++ b/core/src/main/java/org/gullsaddle/template/TemplateWriter.java
@@ -41,7 +41,7 @@
 			return MAPPER.writeValueAsString(root);
 		}
 		catch (JsonProcessingException ex) {
-			throw new IllegalStateException("a tree of texts and numbers can be written", ex);
+			throw new IllegalStateException("cannot write the template as YAML", ex);
 		}
 	}
 
--- a/core/src/main/java/org/gullsaddle/template/VersionRule.java
+++ b/core/src/main/java/org/gullsaddle/template/VersionRule.java
@@ -5,14 +5,14 @@
 import org.gullsaddle.base.Price;
 
 /**
- * A version in a template.
+ * A template's rule for one version.
  *
  * @param version the version
  * @param state what may run on it
- * @param share its part of its model's new work, relative to the model's other active
- * versions; 0 means none
- * @param quality the operator's expectation of its ratings, 0 to 1, used until ratings
- * are in
+ * @param share its share of its model's new work, relative to the model's other active
+ * versions; 0 for none
+ * @param quality the mean rating that the operator expects, 0 to 1, used until there are
+ * ratings
  * @param price what it costs
  */
 public record VersionRule(ModelVersion version, VersionState state, double share, double quality, Price price) {
@@ -34,7 +34,7 @@
 	}
 
 	/**
-	 * Says whether a request may start on this version.
+	 * Returns whether a request may start on this version.
 	 * @param pinned whether the request's session has this version already
 	 * @return true if it may
 	 */
--- a/core/src/main/java/org/gullsaddle/template/VersionState.java
+++ b/core/src/main/java/org/gullsaddle/template/VersionState.java
@@ -3,15 +3,15 @@
 import com.fasterxml.jackson.annotation.JsonValue;
 
 /**
- * What may run on a version.
+ * Which work may run on a version.
  */
 public enum VersionState {
 
-	/** New sessions and requests may start. */
+	/** New sessions and requests may start on it. */
 	ACTIVE("active"),
-	/** Sessions that have the version keep it; no new ones start. */
+	/** Sessions pinned to the version keep it; no new ones start. */
 	RETIRING("retiring"),
-	/** Nothing new runs; sessions move to another version once. */
+	/** No new work runs; sessions move to another version once. */
 	WITHDRAWN("withdrawn");
 
 	private final String text;
--- a/core/src/main/java/org/gullsaddle/template/package-info.java
+++ b/core/src/main/java/org/gullsaddle/template/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Templates: what an operator allows each team, how they are read from YAML, and the
+ * Templates: what an operator allows each team, their parsing from YAML, and the
  * {@link org.gullsaddle.template.TemplateBook} of those in force, which never goes back
  * to an older revision.
  */
--- a/core/src/test/java/org/gullsaddle/template/TemplateTests.java
+++ b/core/src/test/java/org/gullsaddle/template/TemplateTests.java
@@ -103,16 +103,16 @@
 	class InForce {
 
 		/**
-		 * A withdrawal is in force; then the old revision arrives late, from a lagging
-		 * source. Taking it would give the withdrawn version new work again.
+		 * Guards against an old revision that arrives late, from a lagging source, and
+		 * gives a withdrawn version new work again.
 		 */
 		@Test
 		void olderRevisionNeverReplacesANewerOne() {
 			Template template = Templates.parse(Templates.ASSISTANT);
-			TemplateTable book = new TemplateTable();
-			assertThat(book.apply(Templates.revision(2, template.withState(LARGE, VersionState.WITHDRAWN)))).isTrue();
-			assertThat(book.apply(Templates.revision(1, template))).isFalse();
-			assertThat(book.revisionOf(template.name())).isEqualTo(2);
+			TemplateTable table = new TemplateTable();
+			assertThat(table.apply(Templates.revision(2, template.withState(LARGE, VersionState.WITHDRAWN)))).isTrue();
+			assertThat(table.apply(Templates.revision(1, template))).isFalse();
+			assertThat(table.revisionOf(template.name())).isEqualTo(2);
 		}
 
 		@ParameterizedTest
--- a/core/src/test/java/org/gullsaddle/template/Templates.java
+++ b/core/src/test/java/org/gullsaddle/template/Templates.java
@@ -41,7 +41,7 @@
 	}
 
 	/**
-	 * Makes a revision.
+	 * Creates a revision.
 	 * @param number its number
 	 * @param template the template
 	 * @return the revision
