--- a/core/src/main/java/org/gullsaddle/fleet/CallerLimits.java
+++ b/core/src/main/java/org/gullsaddle/fleet/CallerLimits.java
@@ -1,10 +1,10 @@
 package org.gullsaddle.fleet;
 
 /**
- * What a caller may send.
+ * Limits on the size of callers' requests.
  *
- * @param headerBytes the size of a request's headers
- * @param bodyBytes the size of a request's body
+ * @param headerBytes the largest size of a request's headers, in bytes
+ * @param bodyBytes the largest size of a request's body, in bytes
  */
 public record CallerLimits(int headerBytes, long bodyBytes) {
 }
--- a/core/src/main/java/org/gullsaddle/fleet/EngineSpec.java
+++ b/core/src/main/java/org/gullsaddle/fleet/EngineSpec.java
@@ -3,12 +3,12 @@
 import java.util.List;
 
 /**
- * The shape of a service's model engines.
+ * The specification of a service's model engines.
  *
  * @param slots how many requests one runs at once
- * @param cacheTokens how many tokens its memory holds, for running requests and kept
+ * @param cacheTokens how many tokens its memory can hold, for running requests and cached
  * prompt parts together
- * @param eventTokens how many tokens an event of a stream holds
+ * @param eventTokens how many tokens one event of a stream contains
  * @param models the models it can run
  */
 public record EngineSpec(int slots, long cacheTokens, int eventTokens, List<ModelSize> models) {
@@ -18,7 +18,7 @@
 	}
 
 	/**
-	 * Says whether an engine has room for a request, if it runs nothing else.
+	 * Returns whether a request fits into an engine's memory if nothing else runs.
 	 * @param tokens how many tokens it reads and may generate
 	 * @return true if it fits
 	 */
--- a/core/src/main/java/org/gullsaddle/fleet/FleetChange.java
+++ b/core/src/main/java/org/gullsaddle/fleet/FleetChange.java
@@ -1,7 +1,7 @@
 package org.gullsaddle.fleet;
 
 /**
- * Something that the platform tells of the deployment.
+ * A change of the deployment that the platform reports.
  */
 public sealed interface FleetChange {
 
@@ -17,13 +17,13 @@
 	 * A replica's entry was written.
 	 *
 	 * @param replica the replica
-	 * @param coldMillis how long it says that it stays cold, in milliseconds
+	 * @param coldMillis how long it reports to stay cold, in milliseconds
 	 */
 	record Listed(Replica replica, long coldMillis) implements FleetChange {
 	}
 
 	/**
-	 * A replica's entry was removed, or names no replica to use any more.
+	 * A replica's entry was removed, or no longer describes a usable replica.
 	 *
 	 * @param id the replica
 	 */
@@ -34,7 +34,7 @@
 	 * A roll-out was ordered.
 	 *
 	 * @param order the order
-	 * @param revision the store's revision of the order, another for each order
+	 * @param revision the store's revision of the order, different for each order
 	 */
 	record RolloutOrdered(RolloutOrder order, long revision) implements FleetChange {
 	}
@@ -45,14 +45,14 @@
 	 * @param service the service
 	 * @param target the release that it moves to
 	 * @param state the state
-	 * @param revision the store's revision of it
+	 * @param revision the store's revision of the state
 	 */
 	record RolloutProgressed(ServiceName service, String target, RolloutState state,
 			long revision) implements FleetChange {
 	}
 
 	/**
-	 * A data center is to be emptied: its replicas get nothing new.
+	 * The evacuation of a data center began: its replicas get no new work.
 	 *
 	 * @param dataCenter the data center
 	 */
@@ -60,7 +60,7 @@
 	}
 
 	/**
-	 * A data center's replicas may be used again.
+	 * The evacuation of a data center ended: its replicas may be used again.
 	 *
 	 * @param dataCenter the data center
 	 */
@@ -68,17 +68,17 @@
 	}
 
 	/**
-	 * A node of this system wrote a note for the others.
+	 * A node of this system wrote a note for its peers.
 	 *
-	 * @param key where
-	 * @param value what
+	 * @param key the note's key in the store
+	 * @param value the note
 	 */
 	record NoteWritten(String key, String value) implements FleetChange {
 	}
 
 	/**
-	 * A configuration was accepted that cannot be read here, so that the one before is
-	 * not the operators' any more.
+	 * A configuration was accepted that this node cannot read, so that the one it has is
+	 * outdated.
 	 *
 	 * @param reason what is wrong with it
 	 */
@@ -86,9 +86,9 @@
 	}
 
 	/**
-	 * A record that cannot be read. It changes nothing.
+	 * A record could not be read and was skipped.
 	 *
-	 * @param key where it stands
+	 * @param key its key in the store
 	 * @param reason what is wrong with it
 	 */
 	record RecordUnreadable(String key, String reason) implements FleetChange {
--- a/core/src/main/java/org/gullsaddle/fleet/FleetConfig.java
+++ b/core/src/main/java/org/gullsaddle/fleet/FleetConfig.java
@@ -27,7 +27,7 @@
 	private final CallerLimits limits;
 
 	/**
-	 * Makes a configuration.
+	 * Creates a configuration.
 	 * @param version its version; higher ones are newer
 	 * @param routes the routes
 	 * @param services the services
@@ -58,9 +58,9 @@
 
 	/**
 	 * Finds the route of a request, the one with the longest prefix.
-	 * @param host the host that the request names, perhaps with a port
+	 * @param host the request's host, with or without a port
 	 * @param path its path without the query
-	 * @return the route, or empty if none takes it
+	 * @return the route, or empty if none matches
 	 */
 	public Optional<Route> findRoute(String host, String path) {
 		int colon = host.lastIndexOf(':');
@@ -80,7 +80,7 @@
 	}
 
 	/**
-	 * Says whether requests need a key unless their route is open.
+	 * Returns whether requests need a key unless their route is open.
 	 * @return true if there are teams
 	 */
 	public boolean isKeyRequired() {
--- a/core/src/main/java/org/gullsaddle/fleet/RegionLimit.java
+++ b/core/src/main/java/org/gullsaddle/fleet/RegionLimit.java
@@ -6,7 +6,7 @@
 import java.util.Set;
 
 /**
- * In which regions requests may be served.
+ * The regions in which requests may be served.
  *
  * @param regions the regions, or empty if all are allowed
  */
@@ -20,7 +20,7 @@
 	}
 
 	/**
-	 * Makes a limit to some regions.
+	 * Creates a limit to some regions.
 	 * @param regions the regions; none means that there is no limit
 	 * @return the limit
 	 */
@@ -29,7 +29,7 @@
 	}
 
 	/**
-	 * Returns the limit that keeps to this one and another.
+	 * Returns the intersection of this limit and another.
 	 * @param other the other limit
 	 * @return the regions that both allow, which may be none
 	 */
@@ -40,13 +40,13 @@
 		if (this.regions.isEmpty()) {
 			return other;
 		}
-		Set<String> both = new HashSet<>(this.regions.get());
-		both.retainAll(other.regions.get());
-		return new RegionLimit(Optional.of(both));
+		Set<String> common = new HashSet<>(this.regions.get());
+		common.retainAll(other.regions.get());
+		return new RegionLimit(Optional.of(common));
 	}
 
 	/**
-	 * Says whether requests may be served in a region.
+	 * Returns whether requests may be served in a region.
 	 * @param region the region
 	 * @return true if they may
 	 */
--- a/core/src/main/java/org/gullsaddle/fleet/ReplicaDirectory.java
+++ b/core/src/main/java/org/gullsaddle/fleet/ReplicaDirectory.java
@@ -11,29 +11,30 @@
 import java.util.function.Predicate;
 
 /**
- * The replicas as the registry last told of them. Confined to one thread.
+ * The replicas as last reported by the registry. Confined to one thread; times are in
+ * milliseconds.
  * <p>
- * While the store is away, leases of replicas that live and serve run out, and at its
- * return their entries are missing until they write again. Taken at its word, an empty
- * registry would turn every caller away. So an entry that goes missing around an outage
- * is kept for {@link #LAPSED_RETENTION_MILLIS} after the store's return, by when a
- * replica that lives has written again, and then is taken as gone.
+ * While the store is unreachable, leases of healthy replicas expire, and when it returns
+ * their entries are missing until the replicas renew them. Believing the empty registry
+ * would refuse every caller. So an entry that disappears around an outage is kept for
+ * {@link #LAPSED_RETENTION_MILLIS} after the store's return, by when a healthy replica
+ * has renewed it, and is removed then.
  */
 public final class ReplicaDirectory {
 
 	/**
-	 * How long a lapsed entry is used after the store's return: replicas are back within
-	 * about two seconds, by the platform's word.
+	 * How long a lapsed entry is used after the store's return. The platform promises
+	 * that replicas are back within about two seconds.
 	 */
 	static final long LAPSED_RETENTION_MILLIS = 2200;
 
 	/**
-	 * How long a replica that says that it leaves, and is not listed, is remembered, in
-	 * milliseconds: its entry may come back after an outage of the store.
+	 * How long a replica that reported that it leaves and is not listed is remembered:
+	 * its entry may reappear after an outage of the store.
 	 */
 	static final long LEAVING_RETENTION_MILLIS = 600_000;
 
-	/** How long a replica is taken as cold by one word of it, in milliseconds. */
+	/** The longest cold time that is accepted from one report. */
 	static final long MAX_COLD_MILLIS = 60_000;
 
 	private final Map<ReplicaId, Replica> listed = new TreeMap<>();
@@ -44,7 +45,7 @@
 
 	private final Map<ReplicaId, Cold> cold = new HashMap<>();
 
-	/** Replicas that have said themselves that they leave. */
+	/** Replicas that reported themselves that they leave. */
 	private final Map<ReplicaId, Leaving> leaving = new HashMap<>();
 
 	private boolean storeUnreachable;
@@ -56,7 +57,7 @@
 	private long reachableSince;
 
 	/**
-	 * Takes in that the whole registry was read.
+	 * Handles a read of the whole registry, which removes unlisted replicas.
 	 * @param now the time
 	 * @param ids all replicas that it lists
 	 */
@@ -69,7 +70,7 @@
 	}
 
 	/**
-	 * Takes in an entry.
+	 * Handles a replica's entry.
 	 * @param replica the entry
 	 */
 	public void onListed(Replica replica) {
@@ -78,7 +79,8 @@
 	}
 
 	/**
-	 * Takes in that an entry was removed, or no longer names a replica to use.
+	 * Handles the removal of an entry, or an entry that no longer describes a usable
+	 * replica.
 	 * @param now the time
 	 * @param id the replica
 	 */
@@ -93,11 +95,11 @@
 	}
 
 	/**
-	 * Takes in how long a replica says that it stays cold. An entry that is read again
-	 * with the same words is as old as when it was read first.
+	 * Handles a replica's report of how long it stays cold. An entry that is read again
+	 * unchanged counts from its first read.
 	 * @param now the time
 	 * @param replica the replica
-	 * @param millis how long, in milliseconds
+	 * @param millis the remaining cold time, in milliseconds
 	 */
 	public void onColdReport(long now, Replica replica, long millis) {
 		Cold before = this.cold.get(replica.id());
@@ -114,8 +116,8 @@
 	 * @return the time in milliseconds, 0 if it is warm
 	 */
 	public long coldMillis(long now, ReplicaId id) {
-		Cold told = this.cold.get(id);
-		return (told != null) ? Math.max(0, told.until - now) : 0;
+		Cold reported = this.cold.get(id);
+		return (reported != null) ? Math.max(0, reported.until - now) : 0;
 	}
 
 	/**
@@ -128,8 +130,8 @@
 	}
 
 	/**
-	 * Takes in that a replica has said itself that it leaves, which holds for that
-	 * process whatever its entry says.
+	 * Handles a replica's own report that it leaves, which holds for that process
+	 * whatever its entry says.
 	 * @param now the time
 	 * @param replica the replica
 	 * @return whether that is new
@@ -146,17 +148,17 @@
 	}
 
 	/**
-	 * Says whether a replica has said itself that it leaves.
+	 * Returns whether a replica reported itself that it leaves.
 	 * @param replica the replica
-	 * @return true if its process has
+	 * @return true if this process did
 	 */
 	public boolean isLeaving(Replica replica) {
-		Leaving told = this.leaving.get(replica.id());
-		return told != null && told.replica.isSameProcess(replica);
+		Leaving reported = this.leaving.get(replica.id());
+		return reported != null && reported.replica.isSameProcess(replica);
 	}
 
 	/**
-	 * Takes in that a data center is to be emptied.
+	 * Starts the evacuation of a data center.
 	 * @param dataCenter the data center
 	 * @return whether that is new
 	 */
@@ -165,16 +167,16 @@
 	}
 
 	/**
-	 * Takes in that a data center's replicas may be used again.
+	 * Ends the evacuation of a data center, so that its replicas may be used again.
 	 * @param dataCenter the data center
-	 * @return whether it was to be emptied until now
+	 * @return whether it was being evacuated
 	 */
 	public boolean endEvacuation(String dataCenter) {
 		return this.evacuatedDataCenters.remove(dataCenter);
 	}
 
 	/**
-	 * Returns the data centers whose replicas get nothing new.
+	 * Returns the data centers whose replicas get no new work.
 	 * @return their names
 	 */
 	public Set<String> evacuatedDataCenters() {
@@ -182,20 +184,20 @@
 	}
 
 	/**
-	 * Notes that the store cannot be reached, or answers again.
+	 * Handles a change of the store's reachability.
 	 * @param now the time
-	 * @param isAway whether it is away
+	 * @param unreachable whether it is unreachable
 	 */
-	public void storeUnreachable(long now, boolean isAway) {
-		if (this.storeUnreachable && !isAway) {
+	public void storeUnreachable(long now, boolean unreachable) {
+		if (this.storeUnreachable && !unreachable) {
 			this.reachableSince = now;
 		}
-		this.wasUnreachable = this.wasUnreachable || isAway;
-		this.storeUnreachable = isAway;
+		this.wasUnreachable = this.wasUnreachable || unreachable;
+		this.storeUnreachable = unreachable;
 	}
 
 	/**
-	 * Says whether the store cannot be reached.
+	 * Returns whether the store is unreachable.
 	 * @return true until it answers again
 	 */
 	public boolean storeUnreachable() {
@@ -203,7 +205,7 @@
 	}
 
 	/**
-	 * Says whether the registry was ever read.
+	 * Returns whether the registry was ever read.
 	 * @return true once it was
 	 */
 	public boolean isLoaded() {
@@ -211,7 +213,7 @@
 	}
 
 	/**
-	 * Finds a replica.
+	 * Finds a listed replica.
 	 * @param id the replica
 	 * @return its entry, or empty if it is not listed
 	 */
@@ -231,10 +233,10 @@
 
 	/**
 	 * Returns the replicas of a service that take new work: those that are not about to
-	 * stop, in data centers that are allowed and not to be emptied.
+	 * stop, in data centers that are allowed and not being evacuated.
 	 * @param now the time
 	 * @param service the service
-	 * @param allowed says of a data center whether it is allowed
+	 * @param allowed selects the allowed data centers
 	 * @return the replicas, in the order of their ids
 	 */
 	public List<Replica> usableReplicas(long now, ServiceName service, Predicate<String> allowed) {
@@ -253,10 +255,11 @@
 	}
 
 	/**
-	 * Says whether a replica that was chosen a moment ago still takes new work.
+	 * Returns whether a replica that was chosen a moment ago still takes new work.
 	 * @param now the time
 	 * @param chosen the replica
-	 * @return true if the same process is known and its data center is not to be emptied
+	 * @return true if the same process is known and its data center is not being
+	 * evacuated
 	 */
 	public boolean canStillUse(long now, Replica chosen) {
 		Replica known = this.listed.get(chosen.id());
--- a/core/src/main/java/org/gullsaddle/fleet/ReplicaId.java
+++ b/core/src/main/java/org/gullsaddle/fleet/ReplicaId.java
@@ -3,9 +3,9 @@
 import org.gullsaddle.base.Check;
 
 /**
- * Identifies a replica. A replica may start again under the id that it had.
+ * Identifies a replica. A restarted replica may keep its id.
  *
- * @param value the text form, never {@code null}
+ * @param value the text form, not {@code null}
  */
 public record ReplicaId(String value) implements Comparable<ReplicaId> {
 
--- a/core/src/main/java/org/gullsaddle/fleet/RolloutOrder.java
+++ b/core/src/main/java/org/gullsaddle/fleet/RolloutOrder.java
@@ -1,11 +1,11 @@
 package org.gullsaddle.fleet;
 
 /**
- * An operator's order to move a service to another release.
+ * An operator's order to roll a service out to another release.
  *
  * @param service the service
- * @param target the release to move to
- * @param durationMillis how long it may take
+ * @param target the release to roll out
+ * @param durationMillis how long it may take, in milliseconds
  */
 public record RolloutOrder(ServiceName service, String target, long durationMillis) {
 }
--- a/core/src/main/java/org/gullsaddle/fleet/RolloutState.java
+++ b/core/src/main/java/org/gullsaddle/fleet/RolloutState.java
@@ -1,17 +1,17 @@
 package org.gullsaddle.fleet;
 
 /**
- * How far a roll-out has come.
+ * The state of a roll-out.
  */
 public enum RolloutState {
 
-	/** The new release gets a part of the traffic. */
+	/** The new release gets a share of the traffic. */
 	RUNNING,
 
 	/** The new release has all traffic; the old replicas are stopped. */
 	COMPLETED,
 
-	/** The new release was found bad and gets no traffic. */
+	/** The new release failed and gets no traffic. */
 	ROLLED_BACK
 
 }
--- a/core/src/main/java/org/gullsaddle/fleet/Route.java
+++ b/core/src/main/java/org/gullsaddle/fleet/Route.java
@@ -6,8 +6,8 @@
 import org.gullsaddle.base.Check;
 
 /**
- * A route: which requests it takes, where they go, and what may be done with them. All
- * times are in milliseconds.
+ * A route: the requests that it matches, the services that serve them, and how they may
+ * be handled. All times are in milliseconds.
  */
 public final class Route {
 
@@ -74,7 +74,7 @@
 	}
 
 	/**
-	 * Returns the host that its requests name.
+	 * Returns the host that it matches.
 	 * @return the host, in lower case
 	 */
 	public String host() {
@@ -82,7 +82,7 @@
 	}
 
 	/**
-	 * Returns what its requests' paths begin with.
+	 * Returns the path prefix that it matches.
 	 * @return the prefix, with a slash at both ends
 	 */
 	public String prefix() {
@@ -90,7 +90,7 @@
 	}
 
 	/**
-	 * Returns what may be repeated.
+	 * Returns whether its requests may be retried.
 	 * @return the kind
 	 */
 	public RouteKind kind() {
@@ -114,7 +114,7 @@
 	}
 
 	/**
-	 * Returns how long a caller may be kept waiting.
+	 * Returns the deadline of its requests.
 	 * @return the time in milliseconds
 	 */
 	public long timeoutMillis() {
@@ -122,7 +122,7 @@
 	}
 
 	/**
-	 * Returns the latency objective: to the whole answer, or a stream's first event.
+	 * Returns the latency objective, to the complete answer or a stream's first event.
 	 * @return the time in milliseconds
 	 */
 	public long targetMillis() {
@@ -131,14 +131,14 @@
 
 	/**
 	 * Returns the longest pause between two events of a stream that is still on time.
-	 * @return the time in milliseconds, 0 if the route names none
+	 * @return the time in milliseconds, 0 if the route has none
 	 */
 	public long gapMillis() {
 		return this.gapMillis;
 	}
 
 	/**
-	 * Returns how many replicas one request may run on.
+	 * Returns how many replicas one request may be attempted on.
 	 * @return the number, 1 or more
 	 */
 	public int maxAttempts() {
@@ -146,8 +146,8 @@
 	}
 
 	/**
-	 * Returns the rank of its requests for a team.
-	 * @param teamRank the team's own rank, which goes first
+	 * Returns the rank of a team's requests.
+	 * @param teamRank the team's own rank, which takes precedence
 	 * @return the rank, 0 is the highest
 	 */
 	public int rankFor(OptionalInt teamRank) {
@@ -155,7 +155,7 @@
 	}
 
 	/**
-	 * Says whether requests need no key.
+	 * Returns whether requests need no key.
 	 * @return true if anyone may call it
 	 */
 	public boolean isOpen() {
@@ -163,7 +163,7 @@
 	}
 
 	/**
-	 * Says whether another replica can go on with a stream from its last event.
+	 * Returns whether another replica can resume a stream from its last event.
 	 * @return true if it can
 	 */
 	public boolean isResumable() {
@@ -171,15 +171,15 @@
 	}
 
 	/**
-	 * Returns where its requests may be served.
-	 * @return the regions
+	 * Returns the regions in which its requests may be served.
+	 * @return the limit
 	 */
 	public RegionLimit limit() {
 		return this.limit;
 	}
 
 	/**
-	 * Says whether a request may run again after a run that failed or was lost.
+	 * Returns whether a request may be retried after an attempt that failed or was lost.
 	 * @return true if it may
 	 */
 	public boolean isRepeatable() {
@@ -224,9 +224,9 @@
 		}
 
 		/**
-		 * Sets which requests it takes.
+		 * Sets which requests it matches.
 		 * @param newHost the host
-		 * @param newPrefix what their paths begin with
+		 * @param newPrefix the prefix of their paths
 		 * @return this builder
 		 */
 		public Builder at(String newHost, String newPrefix) {
@@ -236,9 +236,9 @@
 		}
 
 		/**
-		 * Sets what may be repeated.
+		 * Sets whether requests may be retried.
 		 * @param newKind the kind
-		 * @param newResumable whether a stream may go on at another replica
+		 * @param newResumable whether another replica can resume a stream
 		 * @return this builder
 		 */
 		public Builder kind(RouteKind newKind, boolean newResumable) {
@@ -248,7 +248,7 @@
 		}
 
 		/**
-		 * Sets where requests go.
+		 * Sets the services that serve its requests.
 		 * @param newShares the services and their weights
 		 * @return this builder
 		 */
@@ -268,8 +268,8 @@
 		}
 
 		/**
-		 * Sets the times.
-		 * @param timeout how long a caller may be kept waiting, in milliseconds
+		 * Sets the time limits.
+		 * @param timeout the deadline, in milliseconds
 		 * @param target the latency objective, in milliseconds
 		 * @param gap the longest pause between a stream's events, in milliseconds
 		 * @return this builder
@@ -282,7 +282,7 @@
 		}
 
 		/**
-		 * Sets how many replicas one request may run on.
+		 * Sets how many replicas one request may be attempted on.
 		 * @param attempts the number
 		 * @return this builder
 		 */
@@ -304,7 +304,7 @@
 		}
 
 		/**
-		 * Sets where requests may be served.
+		 * Sets the regions in which requests may be served.
 		 * @param newLimit the regions
 		 * @return this builder
 		 */
--- a/core/src/main/java/org/gullsaddle/fleet/RouteKind.java
+++ b/core/src/main/java/org/gullsaddle/fleet/RouteKind.java
@@ -1,17 +1,17 @@
 package org.gullsaddle.fleet;
 
 /**
- * What a route's requests allow.
+ * How a route's requests may be run.
  */
 public enum RouteKind {
 
-	/** May run more than once. */
+	/** A request may run more than once. */
 	IDEMPOTENT,
 
-	/** Runs at most once for each attempt of a caller. */
+	/** A request runs at most once for each attempt of its caller. */
 	ONCE,
 
-	/** Answered by a stream of numbered events. */
+	/** A request is answered by a stream of numbered events. */
 	STREAM
 
 }
--- a/core/src/main/java/org/gullsaddle/fleet/ServiceName.java
+++ b/core/src/main/java/org/gullsaddle/fleet/ServiceName.java
@@ -3,9 +3,9 @@
 import org.gullsaddle.base.Check;
 
 /**
- * Names a service, a group of replicas that answer the same requests.
+ * The name of a service, a group of replicas that serve the same requests.
  *
- * @param value the text form, never {@code null}
+ * @param value the text form, not {@code null}
  */
 public record ServiceName(String value) implements Comparable<ServiceName> {
 
--- a/core/src/main/java/org/gullsaddle/fleet/ServiceShare.java
+++ b/core/src/main/java/org/gullsaddle/fleet/ServiceShare.java
@@ -1,7 +1,7 @@
 package org.gullsaddle.fleet;
 
 /**
- * A part of a route's traffic.
+ * A service's share of a route's traffic.
  *
  * @param service the service that gets it
  * @param weight its weight among the route's shares
--- a/core/src/main/java/org/gullsaddle/fleet/Team.java
+++ b/core/src/main/java/org/gullsaddle/fleet/Team.java
@@ -10,8 +10,8 @@
  *
  * @param id the team
  * @param keys its keys
- * @param rank its rank, 0 is the highest; it goes before that of a route
- * @param limit where its requests may be served
+ * @param rank its rank, 0 is the highest; it takes precedence over that of a route
+ * @param limit the regions in which its requests may be served
  */
 public record Team(TeamId id, Set<String> keys, OptionalInt rank, RegionLimit limit) {
 
--- a/core/src/main/java/org/gullsaddle/fleet/package-info.java
+++ b/core/src/main/java/org/gullsaddle/fleet/package-info.java
@@ -1,6 +1,5 @@
 /**
- * What is known of the deployment: its configuration, and the replicas that backend
- * services run on. Nothing here does I/O; times are handed in, in milliseconds of a
- * steady clock.
+ * The known state of the deployment: its configuration and the replicas of the services.
+ * Nothing here does I/O; times are passed in, in milliseconds of a monotonic clock.
  */
 package org.gullsaddle.fleet;
--- a/core/src/test/java/org/gullsaddle/fleet/EngineSpecTests.java
+++ b/core/src/test/java/org/gullsaddle/fleet/EngineSpecTests.java
@@ -14,8 +14,8 @@
 	private final EngineSpec engine = new EngineSpec(8, 1000, 4, List.of());
 
 	/**
-	 * Guards against a replica that crashes under one request that its memory cannot
-	 * hold.
+	 * Guards against a replica that crashes on a request that does not fit into its
+	 * memory.
 	 */
 	@Test
 	void requestFitsWithAllThatItMayGenerate() {
--- a/core/src/test/java/org/gullsaddle/fleet/ReplicaDirectoryTests.java
+++ b/core/src/test/java/org/gullsaddle/fleet/ReplicaDirectoryTests.java
@@ -37,8 +37,8 @@
 	}
 
 	/**
-	 * A replica leaves without notice: its entry is removed, with no outage before. It
-	 * was used for ever after, as the start of time counted as the end of an outage.
+	 * Guards against using a replica forever after its entry was removed without a
+	 * preceding outage, because the initial time counted as the end of an outage.
 	 */
 	@Test
 	void removedReplicaIsGoneAtOnceWhenThereWasNoOutage() {
@@ -74,7 +74,10 @@
 			assertThat(ReplicaDirectoryTests.this.directory.canStillUse(1, replica("one", false))).isFalse();
 		}
 
-		/** Guards against an entry that lapses in an outage and brings it back. */
+		/**
+		 * Guards against an entry that lapses in an outage and makes the replica usable
+		 * again.
+		 */
 		@Test
 		void isRememberedWhileItsEntryIsMissing() {
 			ReplicaDirectoryTests.this.directory.onUnlisted(1000, this.id);
@@ -101,8 +104,9 @@
 	class AroundAnOutageOfTheStore {
 
 		/**
-		 * The store is away, leases of replicas that live run out, and at its return the
-		 * registry is empty. Callers were refused until the replicas wrote again.
+		 * Guards against refusing callers after an outage of the store, when leases of
+		 * healthy replicas have expired and the registry is empty until the replicas
+		 * renew their entries.
 		 */
 		@Test
 		void lapsedReplicaIsUsedUntilItHadTimeToRenewItsEntry() {
@@ -163,7 +167,9 @@
 			assertThat(coldMillis(2000)).isZero();
 		}
 
-		/** Guards against replicas that stay cold as their old entry is read again. */
+		/**
+		 * Guards against replicas that stay cold because their old entry is read again.
+		 */
 		@Test
 		void entryReadAgainDoesNotExtendTheColdTime() {
 			reportCold(1000, 3000);
@@ -180,7 +186,10 @@
 			assertThat(coldMillis(5000)).isEqualTo(3000);
 		}
 
-		/** Guards against a replica that is out for a day by one absurd entry. */
+		/**
+		 * Guards against a replica that is unused for a day because of one excessive
+		 * entry.
+		 */
 		@Test
 		void excessiveTimesAreBounded() {
 			reportCold(0, Long.MAX_VALUE);
@@ -216,7 +225,8 @@
 		}
 
 		/**
-		 * Guards against requests that are sent late over a connection asked for early.
+		 * Guards against sending a request after the evacuation over a connection
+		 * requested before it.
 		 */
 		@Test
 		void replicaChosenBeforeTheEvacuationCannotBeUsed() {
--- a/core/src/test/java/org/gullsaddle/fleet/package-info.java
+++ b/core/src/test/java/org/gullsaddle/fleet/package-info.java
@@ -1,2 +1,2 @@
-/** Tests of what is known of the deployment. */
+/** Tests of the deployment's configuration and replicas. */
 package org.gullsaddle.fleet;
