--- a/core/src/main/java/org/gullsaddle/base/Address.java
+++ b/core/src/main/java/org/gullsaddle/base/Address.java
@@ -1,10 +1,10 @@
 package org.gullsaddle.base;
 
 /**
- * An IP number and a port, written {@code 10.0.0.1:7100}.
+ * An IP address and a port, written {@code 10.0.0.1:7100}.
  *
- * @param host the IP number
- * @param port the port, 0 for any free one when listening
+ * @param host the IP address
+ * @param port the port, 0 to listen on any free port
  */
 public record Address(String host, int port) {
 
--- a/core/src/main/java/org/gullsaddle/base/AgentInfo.java
+++ b/core/src/main/java/org/gullsaddle/base/AgentInfo.java
@@ -3,7 +3,7 @@
 import java.util.Set;
 
 /**
- * What an agent says of itself and of the backend server it stands beside.
+ * An agent's report about itself and its backend server.
  *
  * @param id the agent
  * @param region its region
--- a/core/src/main/java/org/gullsaddle/base/Check.java
+++ b/core/src/main/java/org/gullsaddle/base/Check.java
@@ -1,7 +1,7 @@
 package org.gullsaddle.base;
 
 /**
- * Argument checks with messages that name the argument and what was expected.
+ * Argument checks whose messages give the argument and what was expected.
  */
 public final class Check {
 
@@ -12,7 +12,7 @@
 	 * Checks that an argument is not null.
 	 * @param <T> the type of the argument
 	 * @param value the argument
-	 * @param name what to call it in the message
+	 * @param name its name in the message
 	 * @return the argument
 	 * @throws IllegalArgumentException if it is null
 	 */
--- a/core/src/main/java/org/gullsaddle/base/Completion.java
+++ b/core/src/main/java/org/gullsaddle/base/Completion.java
@@ -1,7 +1,7 @@
 package org.gullsaddle.base;
 
 /**
- * How an attempt that ran to its end closed its answer.
+ * The end of a complete answer to an attempt.
  *
  * @param status the HTTP status of the backend server's answer
  * @param contentType the content type of the answer
--- a/core/src/main/java/org/gullsaddle/base/Digests.java
+++ b/core/src/main/java/org/gullsaddle/base/Digests.java
@@ -21,8 +21,8 @@
 	}
 
 	/**
-	 * Hashes texts by SHA-256, with a zero byte between them so that moving a character
-	 * from one to the next changes the hash.
+	 * Hashes texts by SHA-256, separated by a zero byte so that moving a character from
+	 * one text to the next changes the hash.
 	 * @param texts the texts
 	 * @return the hash, 32 bytes
 	 */
@@ -36,7 +36,7 @@
 	}
 
 	/**
-	 * Signs texts by HMAC-SHA256, with a zero byte between them.
+	 * Signs texts by HMAC-SHA256, separated by a zero byte.
 	 * @param key the secret
 	 * @param texts the texts
 	 * @return the signature, 32 bytes
--- a/core/src/main/java/org/gullsaddle/base/Dispatch.java
+++ b/core/src/main/java/org/gullsaddle/base/Dispatch.java
@@ -1,23 +1,23 @@
 package org.gullsaddle.base;
 
 /**
- * One attempt as an entry hands it to an agent.
+ * An attempt that an entry sends to an agent.
  *
  * @param attempt the attempt
- * @param team the team, whose part of the queue it takes
- * @param template the template it was decided under
+ * @param team the team whose share of the queue it uses
+ * @param template the template under which it was decided
  * @param revision the revision of that template
  * @param version the version to run
- * @param pinned whether the request's session already had the version
- * @param rank work of a higher rank goes first
- * @param weight the team's part among equal ranks
+ * @param pinned whether the request's session is already pinned to the version
+ * @param rank its priority; higher ranks go first
+ * @param weight the team's weight among equal ranks
  * @param deadline when it must be answered, in milliseconds on the entry's clock
- * @param repeatable whether it may be run again
- * @param alone whether nothing else may run beside it, as it is suspected of a crash
+ * @param repeatable whether it may be retried
+ * @param alone whether it must run alone, as its content is suspect
  * @param fingerprint the hash of its team and content
- * @param resume the text already delivered, which the answer must go on from; empty at
+ * @param resume the text already delivered, from which the answer must continue; empty at
  * first
- * @param body what is handed to the backend server
+ * @param body the request body for the backend server
  */
 public record Dispatch(AttemptId attempt, TeamId team, TemplateName template, long revision, ModelVersion version,
 		boolean pinned, int rank, double weight, long deadline, boolean repeatable, boolean alone,
--- a/core/src/main/java/org/gullsaddle/base/Fingerprint.java
+++ b/core/src/main/java/org/gullsaddle/base/Fingerprint.java
@@ -4,9 +4,9 @@
 import com.fasterxml.jackson.annotation.JsonValue;
 
 /**
- * A hash of a request's team and content, equal for a request sent again.
+ * A hash of a request's team and content, equal for a request that is sent again.
  *
- * @param value the text form, 1 to 64 characters, never {@code null}
+ * @param value the text form, 1 to 64 characters, not {@code null}
  */
 public record Fingerprint(@JsonValue String value) implements Comparable<Fingerprint> {
 
--- a/core/src/main/java/org/gullsaddle/base/KeyHash.java
+++ b/core/src/main/java/org/gullsaddle/base/KeyHash.java
@@ -3,7 +3,7 @@
 import com.dynatrace.hash4j.hashing.Hashing;
 
 /**
- * Maps a key to a number from 0 to 1, evenly, and the same everywhere.
+ * Hashes keys uniformly to numbers from 0 to 1, with the same result on every node.
  */
 public final class KeyHash {
 
@@ -13,9 +13,9 @@
 	}
 
 	/**
-	 * Maps a key.
+	 * Hashes a key.
 	 * @param key the key
-	 * @return its number, 0 or more and below 1
+	 * @return a number from 0, below 1
 	 */
 	public static double toUnitInterval(String key) {
 		return (Hashing.komihash5_0().hashCharsToLong(key) >>> (Long.SIZE - BITS)) * 0x1.0p-53;
--- a/core/src/main/java/org/gullsaddle/base/LoadReport.java
+++ b/core/src/main/java/org/gullsaddle/base/LoadReport.java
@@ -1,11 +1,11 @@
 package org.gullsaddle.base;
 
 /**
- * A backend server's load as last heard from its engine; it may be seconds old.
+ * A backend server's load as last reported by its engine; it may be seconds old.
  *
  * @param running requests running
  * @param waiting requests waiting
- * @param slots how many may run at once
+ * @param slots how many requests may run at once
  */
 public record LoadReport(int running, int waiting, int slots) {
 
--- a/core/src/main/java/org/gullsaddle/base/NodeId.java
+++ b/core/src/main/java/org/gullsaddle/base/NodeId.java
@@ -6,7 +6,7 @@
 /**
  * Identifies one process of the system, entry or agent.
  *
- * @param value the text form, 1 to 64 characters, never {@code null}
+ * @param value the text form, 1 to 64 characters, not {@code null}
  */
 public record NodeId(@JsonValue String value) implements Comparable<NodeId> {
 
--- a/core/src/main/java/org/gullsaddle/base/Price.java
+++ b/core/src/main/java/org/gullsaddle/base/Price.java
@@ -1,11 +1,11 @@
 package org.gullsaddle.base;
 
 /**
- * What a version costs, in micro-dollars (a millionth of a dollar) per thousand tokens.
+ * The price of a version in micro-dollars (millionths of a dollar) per thousand tokens.
  *
- * @param promptPerThousand for tokens of the prompt
- * @param outputPerThousand for tokens generated
- * @param perCall for each call, in micro-dollars
+ * @param promptPerThousand per thousand tokens of the prompt
+ * @param outputPerThousand per thousand generated tokens
+ * @param perCall per call, in micro-dollars
  */
 public record Price(long promptPerThousand, long outputPerThousand, long perCall) {
 
--- a/core/src/main/java/org/gullsaddle/base/Refusal.java
+++ b/core/src/main/java/org/gullsaddle/base/Refusal.java
@@ -1,12 +1,12 @@
 package org.gullsaddle.base;
 
 /**
- * The final answer to a request that was given up.
+ * The final answer to a request that was not served.
  *
  * @param reason why
  * @param verdict whether the request may have run
- * @param retryAfterMillis when to come back, in milliseconds from now, or 0 if coming
- * back does not help
+ * @param retryAfterMillis when the caller may retry, in milliseconds from now, or 0 if a
+ * retry does not help
  */
 public record Refusal(RefusalReason reason, Verdict verdict, long retryAfterMillis) {
 
@@ -19,7 +19,7 @@
 	/**
 	 * Returns a refusal of a request that was not run.
 	 * @param reason why
-	 * @param retryAfterMillis when to come back, in milliseconds, or 0
+	 * @param retryAfterMillis when the caller may retry, in milliseconds from now, or 0
 	 * @return the refusal
 	 */
 	public static Refusal notRun(RefusalReason reason, long retryAfterMillis) {
--- a/core/src/main/java/org/gullsaddle/base/RefusalReason.java
+++ b/core/src/main/java/org/gullsaddle/base/RefusalReason.java
@@ -3,13 +3,13 @@
 import com.fasterxml.jackson.annotation.JsonValue;
 
 /**
- * Why a request was given up, with the HTTP status a caller sees.
+ * Why a request was not served, with the HTTP status that the caller gets.
  */
 public enum RefusalReason {
 
 	/** The key is unknown. */
 	UNAUTHENTICATED("unauthenticated", 401),
-	/** The template does not exist or is not for this team; the two look alike. */
+	/** The template does not exist or is not for this team; callers cannot tell which. */
 	NO_TEMPLATE("no-template", 404),
 	/** The request is malformed. */
 	INVALID("invalid-request", 400),
@@ -17,13 +17,15 @@
 	TOO_LARGE("too-large", 413),
 	/** A non-repeatable call came without its idempotency key. */
 	KEY_REQUIRED("idempotency-key-required", 400),
-	/** The same idempotency key was used for another content. */
+	/** The same idempotency key was used with different content. */
 	KEY_REUSED("idempotency-key-reused", 422),
-	/** An earlier request with this idempotency key runs, or its end is unknown. */
+	/**
+	 * An earlier request with this idempotency key is running, or its result is unknown.
+	 */
 	KEY_IN_USE("idempotency-key-in-use", 409),
 	/** The team's allowance is used up for now. */
 	ALLOWANCE("allowance-used-up", 429),
-	/** No version that the team may use can be had now. */
+	/** No version that the team may use is available now. */
 	NO_VERSION("no-version-available", 503),
 	/** The queue is too long for the deadline. */
 	OVERLOADED("overloaded", 503),
@@ -31,17 +33,17 @@
 	STOPPING("stopping", 503),
 	/** The backend server is leaving. */
 	LEAVING("backend-leaving", 503),
-	/** The configuration forbids what was asked, or is not known yet. */
+	/** The configuration forbids the request, or is not known yet. */
 	FORBIDDEN("version-forbidden", 503),
-	/** The platform's store cannot be reached, and the request needs it. */
+	/** The request needs the platform's store, which is unreachable. */
 	STORE_UNAVAILABLE("store-unavailable", 503),
 	/** The deadline passed. */
 	DEADLINE("deadline-exceeded", 504),
 	/** The backend server failed. */
 	BACKEND_FAILED("backend-failed", 502),
-	/** The request crashed backend servers before. */
+	/** The request's content is blocked, as it crashed backend servers. */
 	POISON("request-crashes-backends", 422),
-	/** The caller went away. */
+	/** The caller disconnected. */
 	CALLER_GONE("caller-gone", 499);
 
 	private final String text;
--- a/core/src/main/java/org/gullsaddle/base/RequestId.java
+++ b/core/src/main/java/org/gullsaddle/base/RequestId.java
@@ -6,7 +6,7 @@
 /**
  * Identifies one request of a caller, over all of its attempts.
  *
- * @param value the text form, 1 to 64 characters, never {@code null}
+ * @param value the text form, 1 to 64 characters, not {@code null}
  */
 public record RequestId(@JsonValue String value) implements Comparable<RequestId> {
 
--- a/core/src/main/java/org/gullsaddle/base/Verdict.java
+++ b/core/src/main/java/org/gullsaddle/base/Verdict.java
@@ -3,17 +3,18 @@
 import com.fasterxml.jackson.annotation.JsonValue;
 
 /**
- * Says whether a request may have run on a backend server.
+ * Whether a request may have run on a backend server.
  */
 public enum Verdict {
 
 	/**
-	 * No backend server was or will be given the request.
+	 * No backend server got or will get the request.
 	 */
 	NOT_RUN("not-run"),
 
 	/**
-	 * A backend server may have run the request, wholly or in part, or may yet run it.
+	 * A backend server may have run the request, completely or in part, or may still run
+	 * it.
 	 */
 	MAY_HAVE_RUN("may-have-run"),
 
@@ -29,9 +30,9 @@
 	}
 
 	/**
-	 * Returns the verdict that holds for two attempts of one request together.
+	 * Returns the combined verdict of two attempts of one request.
 	 * @param other the verdict of the other attempt
-	 * @return the one that claims more to have happened
+	 * @return the stronger of the two verdicts
 	 */
 	public Verdict combine(Verdict other) {
 		return (compareTo(other) >= 0) ? this : other;
--- a/core/src/main/java/org/gullsaddle/base/package-info.java
+++ b/core/src/main/java/org/gullsaddle/base/package-info.java
@@ -1,5 +1,5 @@
 /**
  * Value types shared by every part of the system: identifiers, the {@link Verdict} and
- * {@link Refusal}, token usage and money. Nothing here does I/O.
+ * {@link Refusal}, token usage and prices. Nothing here does I/O.
  */
 package org.gullsaddle.base;
--- a/core/src/main/java/org/gullsaddle/clock/HybridClock.java
+++ b/core/src/main/java/org/gullsaddle/clock/HybridClock.java
@@ -1,13 +1,12 @@
 package org.gullsaddle.clock;
 
 /**
- * A hybrid logical clock: wall-clock milliseconds with a counter that orders what happens
- * within one, and that runs ahead where another node's clock does.
+ * A hybrid logical clock: wall-clock milliseconds and a counter that orders events within
+ * a millisecond. It follows other nodes' clocks that are ahead.
  * <p>
- * Wall clocks of two VMs differ, so that an answer could bear an earlier time than the
- * request that caused it, and a reader of the ledger would take the order for the
- * reverse. Taking the highest stamp seen as a floor keeps cause before effect.
- * Thread-safe.
+ * Wall clocks of two VMs differ, so an answer could have an earlier time than the request
+ * that caused it, and a reader of the ledger would see them in the wrong order. Never
+ * going below the highest stamp observed keeps causes before effects. Thread-safe.
  */
 public final class HybridClock {
 
@@ -16,17 +15,17 @@
 	private static final long COUNTER_MASK = (1L << COUNTER_BITS) - 1;
 
 	/**
-	 * How far another node's stamp may lead this node's wall clock, in milliseconds. A
-	 * node with a broken clock could otherwise push everyone's stamps into the future.
+	 * How far another node's stamp may be ahead of this node's wall clock. Otherwise a
+	 * node with a broken clock could push all nodes' stamps into the future.
 	 */
 	private static final long MAX_LEAD_MILLIS = 60_000;
 
 	private long last;
 
 	/**
-	 * Makes a stamp.
+	 * Creates a stamp.
 	 * @param millis milliseconds since the epoch
-	 * @param counter the place within the millisecond
+	 * @param counter the position within the millisecond
 	 * @return the stamp
 	 */
 	public static long stamp(long millis, int counter) {
@@ -43,7 +42,7 @@
 	}
 
 	/**
-	 * Returns the place of a stamp within its millisecond.
+	 * Returns the position of a stamp within its millisecond.
 	 * @param stamp the stamp
 	 * @return the counter
 	 */
@@ -62,10 +61,10 @@
 	}
 
 	/**
-	 * Takes in a stamp that another node sent.
+	 * Handles a stamp that another node sent, so that later local stamps are above it.
 	 * @param stamp the other node's stamp
 	 * @param wallMillis the wall clock now, in milliseconds since the epoch
-	 * @return false if the stamp leads this clock by too much and was left aside
+	 * @return false if the stamp is too far ahead of this clock and was ignored
 	 */
 	public synchronized boolean observe(long stamp, long wallMillis) {
 		if (millis(stamp) > wallMillis + MAX_LEAD_MILLIS) {
--- a/core/src/main/java/org/gullsaddle/clock/Moment.java
+++ b/core/src/main/java/org/gullsaddle/clock/Moment.java
@@ -1,7 +1,7 @@
 package org.gullsaddle.clock;
 
 /**
- * When an event happened.
+ * The time of an event, by both clocks.
  *
  * @param millis milliseconds on the node's monotonic clock, for timers and deadlines
  * @param stamp a hybrid logical clock stamp, for the ledger
@@ -9,7 +9,7 @@
 public record Moment(long millis, long stamp) {
 
 	/**
-	 * Returns a moment whose stamp has the same time, for tests and for logic that keeps
+	 * Returns a moment whose stamp has the same time, for tests and for logic that writes
 	 * no records.
 	 * @param millis milliseconds on the monotonic clock
 	 * @return the moment
--- a/core/src/main/java/org/gullsaddle/yaml/LineIndex.java
+++ b/core/src/main/java/org/gullsaddle/yaml/LineIndex.java
@@ -9,7 +9,7 @@
 import com.fasterxml.jackson.core.JsonToken;
 
 /**
- * Knows the line of each key and item of a YAML text.
+ * Maps each key and item of a YAML text to its line.
  */
 final class LineIndex {
 
@@ -33,16 +33,16 @@
 	}
 
 	/**
-	 * Returns the line of a place, or of the nearest place around it that was written.
+	 * Returns the line of a JSON pointer, or of its nearest ancestor in the text, or 0.
 	 */
 	int line(String pointer) {
-		String place = pointer;
-		while (!place.isEmpty()) {
-			Integer line = this.lines.get(place);
+		String ancestor = pointer;
+		while (!ancestor.isEmpty()) {
+			Integer line = this.lines.get(ancestor);
 			if (line != null) {
 				return line;
 			}
-			place = place.substring(0, place.lastIndexOf('/'));
+			ancestor = ancestor.substring(0, ancestor.lastIndexOf('/'));
 		}
 		return 0;
 	}
--- a/core/src/main/java/org/gullsaddle/yaml/Problem.java
+++ b/core/src/main/java/org/gullsaddle/yaml/Problem.java
@@ -1,10 +1,10 @@
 package org.gullsaddle.yaml;
 
 /**
- * One thing wrong with a YAML text.
+ * A problem in a YAML text.
  *
- * @param line the line in the file, from 1, or 0 if it concerns the whole
- * @param path the place, such as {@code teams.office.rank}
+ * @param line the line in the file, from 1, or 0 for the whole file
+ * @param path the path of the value, such as {@code teams.office.rank}
  * @param reason what is wrong and what is allowed
  */
 public record Problem(int line, String path, String reason) {
--- a/core/src/main/java/org/gullsaddle/yaml/YamlException.java
+++ b/core/src/main/java/org/gullsaddle/yaml/YamlException.java
@@ -4,14 +4,14 @@
 import java.util.stream.Collectors;
 
 /**
- * A YAML text that cannot be accepted, with every problem found.
+ * Thrown for an invalid YAML text, with every problem found in it.
  */
 public class YamlException extends Exception {
 
 	private final transient List<Problem> problems;
 
 	/**
-	 * Makes an exception whose message lists the problems, one a line.
+	 * Creates an exception whose message lists the problems, one per line.
 	 * @param problems at least one problem
 	 */
 	public YamlException(List<Problem> problems) {
--- a/core/src/main/java/org/gullsaddle/yaml/YamlNode.java
+++ b/core/src/main/java/org/gullsaddle/yaml/YamlNode.java
@@ -12,9 +12,9 @@
 import com.fasterxml.jackson.databind.node.JsonNodeFactory;
 
 /**
- * A place in a YAML text. Its readers return something usable even where the text is
- * wrong, and note the problem; {@link #throwIfProblems()} throws once all was read, so
- * that a person sees every problem at once.
+ * A node of a YAML text. Its methods return a usable value even if the text is invalid,
+ * and record the problem; {@link #throwIfProblems()} throws once everything was read, so
+ * that the author sees all problems at once.
  *
  * <pre>
  * YamlNode node = YamlNode.read(yaml);
@@ -48,7 +48,7 @@
 	}
 
 	/**
-	 * Reads a YAML text.
+	 * Parses a YAML text.
 	 * @param yaml the text
 	 * @return its root
 	 * @throws YamlException if it is not YAML
@@ -68,7 +68,7 @@
 	}
 
 	/**
-	 * Throws if any problem was noted anywhere in the text.
+	 * Throws if any problem was recorded in the text.
 	 * @throws YamlException with all problems
 	 */
 	public void throwIfProblems() throws YamlException {
@@ -78,7 +78,7 @@
 	}
 
 	/**
-	 * Says whether a problem was noted anywhere in the text.
+	 * Returns whether any problem was recorded in the text.
 	 * @return true if one was
 	 */
 	public boolean hasProblems() {
@@ -86,19 +86,19 @@
 	}
 
 	/**
-	 * Notes a problem.
-	 * @param key the key it is at, or empty for this place itself
+	 * Records a problem.
+	 * @param key the key that has it, or empty for this node itself
 	 * @param reason what is wrong and what is allowed
 	 */
 	public void addProblem(String key, String reason) {
-		String place = key.isEmpty() ? this.pointer : this.pointer + "/" + key;
-		String path = place.isEmpty() ? "file" : place.substring(1).replace('/', '.');
-		this.problems.add(new Problem(this.lines.line(place), path, reason));
+		String valuePointer = key.isEmpty() ? this.pointer : this.pointer + "/" + key;
+		String path = valuePointer.isEmpty() ? "file" : valuePointer.substring(1).replace('/', '.');
+		this.problems.add(new Problem(this.lines.line(valuePointer), path, reason));
 	}
 
 	/**
-	 * Notes every key that is not allowed here.
-	 * @param keys the keys allowed
+	 * Records a problem for every key that is not allowed in this mapping.
+	 * @param keys the allowed keys
 	 */
 	public void checkKeys(String... keys) {
 		Set<String> known = Set.of(keys);
@@ -110,7 +110,7 @@
 	}
 
 	/**
-	 * Says whether a key is given.
+	 * Returns whether a key is present.
 	 * @param key the key
 	 * @return true if it has a value
 	 */
@@ -136,7 +136,7 @@
 	}
 
 	/**
-	 * Returns the keys given here.
+	 * Returns the keys of this mapping.
 	 * @return the keys, in the order written
 	 */
 	public List<String> keys() {
@@ -146,7 +146,7 @@
 	}
 
 	/**
-	 * Returns the items of a list that must have one.
+	 * Returns the items of a list that must not be empty.
 	 * @param key the key
 	 * @return the items
 	 */
@@ -180,11 +180,11 @@
 	}
 
 	/**
-	 * Returns a value that must be given.
+	 * Returns a required value.
 	 * @param <T> the type of the value
 	 * @param key the key
-	 * @param conversion makes the value from its text; an
-	 * {@link IllegalArgumentException} is noted as a problem
+	 * @param conversion converts the text; its {@link IllegalArgumentException} is
+	 * recorded as a problem
 	 * @return the value, or null if there was a problem
 	 */
 	public <T> T convert(String key, Function<String, T> conversion) {
@@ -196,9 +196,9 @@
 	}
 
 	/**
-	 * Returns the value of this place itself, such as of a list's item.
+	 * Returns the value of this node itself, such as a list item.
 	 * @param <T> the type of the value
-	 * @param conversion makes the value from its text
+	 * @param conversion converts the text
 	 * @return the value, or null if there was a problem
 	 */
 	public <T> T convertSelf(Function<String, T> conversion) {
@@ -206,10 +206,10 @@
 	}
 
 	/**
-	 * Returns the value of a key's own name.
+	 * Returns a value converted from the name of a key.
 	 * @param <T> the type of the value
 	 * @param key the key
-	 * @param conversion makes the value from the key
+	 * @param conversion converts the key
 	 * @return the value, or null if there was a problem
 	 */
 	public <T> T convertKey(String key, Function<String, T> conversion) {
@@ -220,8 +220,8 @@
 	 * Returns one of several values.
 	 * @param <T> the type of the values
 	 * @param key the key
-	 * @param values the values allowed, known by their text form
-	 * @param fallback the value if none is given; null if one must be
+	 * @param values the allowed values, identified by their text form
+	 * @param fallback the value if none is given, or null if it is required
 	 * @return the value
 	 */
 	public <T> T choice(String key, T[] values, T fallback) {
@@ -243,7 +243,7 @@
 	}
 
 	/**
-	 * Returns true or false.
+	 * Returns a boolean.
 	 * @param key the key
 	 * @param fallback the value if none is given
 	 * @return the value
@@ -261,9 +261,9 @@
 	/**
 	 * Returns a number.
 	 * @param key the key
-	 * @param min the smallest allowed
-	 * @param max the largest allowed
-	 * @param fallback the value if none is given, or null if one must be
+	 * @param min the smallest allowed value
+	 * @param max the largest allowed value
+	 * @param fallback the value if none is given, or null if it is required
 	 * @return the number
 	 */
 	public double number(String key, double min, double max, Double fallback) {
@@ -282,10 +282,10 @@
 	}
 
 	/**
-	 * Returns a time such as {@code 500ms}, {@code 30s} or {@code 2m}.
+	 * Returns a duration such as {@code 500ms}, {@code 30s} or {@code 2m}.
 	 * @param key the key
 	 * @param fallback the value if none is given, in milliseconds
-	 * @return the time in milliseconds
+	 * @return the duration in milliseconds
 	 */
 	public long millis(String key, long fallback) {
 		if (!has(key)) {
@@ -304,7 +304,7 @@
 			}
 		}
 		catch (NumberFormatException ex) {
-			// reported below, with the forms that are allowed
+			// reported below with the allowed forms
 		}
 		addProblem(key, "must be a time such as 500ms, 30s or 2m, not '" + text + "'");
 		return fallback;
--- a/core/src/main/java/org/gullsaddle/yaml/YamlTree.java
+++ b/core/src/main/java/org/gullsaddle/yaml/YamlTree.java
@@ -8,7 +8,7 @@
 import com.fasterxml.jackson.dataformat.yaml.YAMLMapper;
 
 /**
- * Reads YAML text into a tree, refusing a key given twice.
+ * Parses YAML text into a tree and rejects duplicate keys.
  */
 final class YamlTree {
 
--- a/core/src/main/java/org/gullsaddle/yaml/package-info.java
+++ b/core/src/main/java/org/gullsaddle/yaml/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Reads YAML written by people, and names the line, the place and the reason of every
- * problem in it. Used for templates and for settings.
+ * Parses YAML written by hand and reports the line, path and reason of every problem in
+ * it. Used for templates and settings.
  */
 package org.gullsaddle.yaml;
--- a/core/src/test/java/org/gullsaddle/base/StoredDocumentTests.java
+++ b/core/src/test/java/org/gullsaddle/base/StoredDocumentTests.java
@@ -48,13 +48,12 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Documents in the store and in answers keep the text that earlier builds gave them.
- * Guards against a renamed component or constant, which nodes of two builds would not
- * read from each other.
+ * Guards against renamed components or constants in stored documents and answers, which
+ * nodes of different builds could not read from each other.
  */
 class StoredDocumentTests {
 
-	/** One document a line, its name first; written by an earlier build. */
+	/** One document per line after its name, written by an earlier build. */
 	private static final String RESOURCE = "/stored-documents.txt";
 
 	private static final AttemptId ATTEMPT = new AttemptId(new RequestId("r1"), 2);
