--- a/core/src/main/java/org/gullsaddle/ledger/ServingOrder.java
+++ b/core/src/main/java/org/gullsaddle/ledger/ServingOrder.java
@@ -42,23 +42,24 @@
 				.reduce((first, second) -> second)
 				.ifPresent((line) -> served.add(new Served(each, line)));
 		}
-		served.sort(Comparator.comparingLong((each) -> each.line().start()));
+		served.sort(Comparator.comparingLong((each) -> each.attemptRecord().start()));
 		List<Place> places = new ArrayList<>();
 		Served before = null;
 		for (Served each : served) {
-			places.add(new Place(places.size() + 1, each.written().record().request(), each.written().record().team(),
-					each.line().version(), each.line().start(), each.written().writer(),
-					before == null || isOrderCertain(before, each, uncertaintyMillis)));
+			places.add(new Place(places.size() + 1, each.writerRecord().record().request(),
+					each.writerRecord().record().team(), each.attemptRecord().version(), each.attemptRecord().start(),
+					each.writerRecord().writer(), before == null || isOrderCertain(before, each, uncertaintyMillis)));
 			before = each;
 		}
 		return places;
 	}
 
 	private static boolean isOrderCertain(Served before, Served after, long uncertaintyMillis) {
-		if (before.written().writer().equals(after.written().writer())) {
+		if (before.writerRecord().writer().equals(after.writerRecord().writer())) {
 			return true;
 		}
-		long differenceMillis = HybridClock.millis(after.line().start()) - HybridClock.millis(before.line().start());
+		long differenceMillis = HybridClock.millis(after.attemptRecord().start())
+				- HybridClock.millis(before.attemptRecord().start());
 		return differenceMillis > uncertaintyMillis;
 	}
 
@@ -86,7 +87,7 @@
 			boolean certain) {
 	}
 
-	private record Served(WriterRecord written, AttemptRecord line) {
+	private record Served(WriterRecord writerRecord, AttemptRecord attemptRecord) {
 	}
 
 }
--- a/core/src/main/java/org/gullsaddle/suspect/CrashDetector.java
+++ b/core/src/main/java/org/gullsaddle/suspect/CrashDetector.java
@@ -105,7 +105,7 @@
 	 * @param content the request's content
 	 * @return whether this content had a close-delimited answer before
 	 */
-	public boolean isRepeatedCloseDelimited(Trait content) {
+	public boolean recordCloseDelimited(Trait content) {
 		return this.closeDelimitedContents.put(content, true) != null;
 	}
 
--- a/core/src/test/java/org/gullsaddle/base/StoredDocumentTests.java
+++ b/core/src/test/java/org/gullsaddle/base/StoredDocumentTests.java
@@ -68,13 +68,13 @@
 
 	private static final Fingerprint CONTENT = new Fingerprint("c0ffee");
 
-	private static final AttemptRecord LINE = new AttemptRecord(ATTEMPT, VERSION, NODE, 3, Verdict.RAN, "done",
-			new Usage(4, 5), 6, 7, 8);
+	private static final AttemptRecord ATTEMPT_RECORD = new AttemptRecord(ATTEMPT, VERSION, NODE, 3, Verdict.RAN,
+			"done", new Usage(4, 5), 6, 7, 8);
 
-	private static final AgentRecord HELD = new AgentRecord(NODE, TEAM, TEMPLATE, LINE);
+	private static final AgentRecord AGENT_RECORD = new AgentRecord(NODE, TEAM, TEMPLATE, ATTEMPT_RECORD);
 
 	private static final RequestRecord RECORD = new RequestRecord(new RequestId("r1"), TEAM, TEMPLATE, "session-1", 9,
-			"cascade", List.of(LINE), Verdict.MAY_HAVE_RUN, "served", 10, 11);
+			"cascade", List.of(ATTEMPT_RECORD), Verdict.MAY_HAVE_RUN, "served", 10, 11);
 
 	private static Map<String, Object> documents() {
 		Map<String, Object> documents = new LinkedHashMap<>();
@@ -89,7 +89,7 @@
 				new Segment("node-1", 1, "", List.of(row(new LedgerEntry.RequestEntry(RECORD).text()))));
 		documents.put("ledger-head", new LedgerHead("node-1", 28, "hash-1"));
 		documents.put("request-record", RECORD);
-		documents.put("held-line", HELD);
+		documents.put("held-line", AGENT_RECORD);
 		documents.put("grants", new GrantDocument(Map.of("assistant/gold", List.of(new Grant(NODE, 0.5, 1.5, 29))),
 				Map.of("assistant/gold", new GrantDocument.Spending(30, 31))));
 		documents.put("register-entries", new Entry[] { new Entry("gold/key-1", "nonce-1", "value-1", 32) });
@@ -125,7 +125,7 @@
 		return documents().keySet().stream().map(Arguments::of);
 	}
 
-	private static Map<String, String> kept() throws IOException {
+	private static Map<String, String> storedTexts() throws IOException {
 		Map<String, String> kept = new LinkedHashMap<>();
 		try (InputStream in = StoredDocumentTests.class.getResourceAsStream(RESOURCE)) {
 			for (String line : new String(in.readAllBytes(), StandardCharsets.UTF_8).split("\n")) {
@@ -140,7 +140,7 @@
 	@MethodSource("names")
 	void documentOfAnEarlierBuildIsReadWithAllItsValues(String name) throws IOException {
 		Object document = documents().get(name);
-		Object read = Json.read(kept().get(name), document.getClass());
+		Object read = Json.read(storedTexts().get(name), document.getClass());
 		if (document instanceof Object[] array) {
 			assertThat((Object[]) read).containsExactly(array);
 		}
@@ -152,21 +152,22 @@
 	@ParameterizedTest
 	@MethodSource("names")
 	void documentIsWrittenAsAnEarlierBuildWroteIt(String name) throws IOException {
-		assertThat(Json.write(documents().get(name))).isEqualTo(kept().get(name));
+		assertThat(Json.write(documents().get(name))).isEqualTo(storedTexts().get(name));
 	}
 
 	@Test
-	void everyKeptDocumentIsTried() throws IOException {
-		assertThat(documents().keySet()).isEqualTo(kept().keySet());
+	void everyStoredDocumentIsTested() throws IOException {
+		assertThat(documents().keySet()).isEqualTo(storedTexts().keySet());
 	}
 
 	@Test
 	void ledgerOfAnEarlierBuildIsVerified() throws IOException {
-		Segment segment = Json.read(kept().get("segment"), Segment.class);
+		Segment segment = Json.read(storedTexts().get("segment"), Segment.class);
 		LedgerHead head = new LedgerHead(segment.writer(), segment.sequence(), segment.head());
 		assertThat(LedgerVerifier.verify(List.of(segment), List.of(head))).isEmpty();
 		assertThat(LedgerEntry.read(segment.rows().get(0).text())).isEqualTo(new LedgerEntry.RequestEntry(RECORD));
-		assertThat(LedgerEntry.read(kept().get("held-line"))).isEqualTo(new LedgerEntry.AttemptEntry(HELD));
+		assertThat(LedgerEntry.read(storedTexts().get("held-line")))
+			.isEqualTo(new LedgerEntry.AttemptEntry(AGENT_RECORD));
 	}
 
 	@Test
--- a/core/src/test/java/org/gullsaddle/register/RegisterShardTests.java
+++ b/core/src/test/java/org/gullsaddle/register/RegisterShardTests.java
@@ -59,7 +59,7 @@
 	}
 
 	@Test
-	void conflictShowsWhatTheOtherNodePut() {
+	void conflictReturnsTheOtherNodesEntry() {
 		put(1, "a", "n1");
 		handle(new RegisterEvent.Loaded(0, List.of()));
 		handle(new RegisterEvent.Conflicted());
@@ -86,7 +86,7 @@
 	}
 
 	@Test
-	void entryReadBeforeTheOperationIsNotTrusted() {
+	void entryReadBeforeTheOperationIsReadAgain() {
 		put(1, "a", "n1");
 		handle(new RegisterEvent.Loaded(0, List.of(entry("b", "other"))));
 		handle(new RegisterEvent.Written(2));
--- a/core/src/test/java/org/gullsaddle/suspect/CrashDetectorTests.java
+++ b/core/src/test/java/org/gullsaddle/suspect/CrashDetectorTests.java
@@ -73,9 +73,9 @@
 	/** Guards against close-delimited answers that are never confirmed. */
 	@Test
 	void repeatedCloseDelimitedContentIsDetected() {
-		assertThat(this.detector.isRepeatedCloseDelimited(OTHER)).isFalse();
-		assertThat(this.detector.isRepeatedCloseDelimited(DEADLY)).isFalse();
-		assertThat(this.detector.isRepeatedCloseDelimited(DEADLY)).isTrue();
+		assertThat(this.detector.recordCloseDelimited(OTHER)).isFalse();
+		assertThat(this.detector.recordCloseDelimited(DEADLY)).isFalse();
+		assertThat(this.detector.recordCloseDelimited(DEADLY)).isTrue();
 	}
 
 	@Test
--- a/core/src/test/java/org/gullsaddle/suspect/CrashModel.java
+++ b/core/src/test/java/org/gullsaddle/suspect/CrashModel.java
@@ -61,7 +61,7 @@
 
 	private final List<Set<Run>> replicas = new ArrayList<>();
 
-	private final int[] lives;
+	private final int[] processNumbers;
 
 	private final boolean[] alive;
 
@@ -89,7 +89,7 @@
 		for (int i = 0; i < replicas; i++) {
 			this.replicas.add(new HashSet<>());
 		}
-		this.lives = new int[replicas];
+		this.processNumbers = new int[replicas];
 		this.alive = new boolean[replicas];
 		Arrays.fill(this.alive, true);
 	}
@@ -187,7 +187,7 @@
 		}
 		Run run = new Run(node, traits, this.now, attempt);
 		this.replicas.get(replica).add(run);
-		int life = this.lives[replica];
+		int life = this.processNumbers[replica];
 		long begins = this.now + 40 + this.random.nextInt(400);
 		boolean poison = traits.contains(POISON);
 		boolean deadly = poison || traits.contains(DEADLY);
@@ -211,7 +211,7 @@
 	}
 
 	private boolean isRunning(int replica, int life, Run run) {
-		return this.alive[replica] && this.lives[replica] == life && this.replicas.get(replica).contains(run);
+		return this.alive[replica] && this.processNumbers[replica] == life && this.replicas.get(replica).contains(run);
 	}
 
 	private void onSuccess(Run run) {
@@ -226,7 +226,7 @@
 		if (!this.alive[replica]) {
 			return;
 		}
-		String process = "replica-" + replica + "@" + this.lives[replica];
+		String process = "replica-" + replica + "@" + this.processNumbers[replica];
 		Map<Integer, Map<Trait, Long>> seen = new HashMap<>();
 		for (Run run : this.replicas.get(replica)) {
 			Map<Trait, Long> ran = seen.computeIfAbsent(run.node, (node) -> new HashMap<>());
@@ -245,7 +245,7 @@
 		}));
 		at(died + RESTART_MILLIS, () -> {
 			this.alive[replica] = true;
-			this.lives[replica]++;
+			this.processNumbers[replica]++;
 		});
 	}
 
--- a/daemon/src/main/java/org/gullsaddle/gateway/CrashController.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/CrashController.java
@@ -179,7 +179,7 @@
 		}
 		if (attempt.endedWithConnection()) {
 			ended(request, model, attempt, CrashDetector.EndKind.CLOSE_DELIMITED);
-			boolean again = this.watch.isRepeatedCloseDelimited(Trait.content(request.content()));
+			boolean again = this.watch.recordCloseDelimited(Trait.content(request.content()));
 			if (again || !this.book.hasSuccessWithEach(request.partTraits(model))) {
 				askWhetherItLives(attempt.choice().replica());
 			}
