--- a/core/src/main/java/org/gullsaddle/ledger/ServingOrder.java
+++ b/core/src/main/java/org/gullsaddle/ledger/ServingOrder.java
@@ -13,11 +13,11 @@
 import org.gullsaddle.clock.HybridClock;
 
 /**
- * Who was served first.
+ * The order in which requests were served.
  * <p>
- * Stamps of one writer follow one clock, and their order is the order of what happened.
- * Those of two writers come from two clocks: where they lie closer together than the
- * clocks may differ, the order cannot be told, and is said to be so.
+ * Timestamps of one writer come from one clock and give the true order. Those of two
+ * writers come from two clocks: if they are closer together than the clocks may differ,
+ * the order is marked as uncertain.
  */
 public final class ServingOrder {
 
@@ -29,7 +29,7 @@
 	 * served them.
 	 * @param written the records with their writers
 	 * @param uncertaintyMillis how far two clocks may differ, in milliseconds
-	 * @return the places, first served first
+	 * @return the places, from the first served
 	 */
 	public static List<Place> of(Collection<WriterRecord> written, long uncertaintyMillis) {
 		Check.that(uncertaintyMillis >= 0, "uncertaintyMillis must not be negative");
@@ -42,28 +42,29 @@
 				.reduce((first, second) -> second)
 				.ifPresent((line) -> served.add(new Served(each, line)));
 		}
-		served.sort(Comparator.comparingLong((each) -> each.line().start()));
+		served.sort(Comparator.comparingLong((each) -> each.attemptRecord().start()));
 		List<Place> places = new ArrayList<>();
 		Served before = null;
 		for (Served each : served) {
-			places.add(new Place(places.size() + 1, each.written().record().request(), each.written().record().team(),
-					each.line().version(), each.line().start(), each.written().writer(),
-					before == null || isOrderCertain(before, each, uncertaintyMillis)));
+			places.add(new Place(places.size() + 1, each.writerRecord().record().request(),
+					each.writerRecord().record().team(), each.attemptRecord().version(), each.attemptRecord().start(),
+					each.writerRecord().writer(), before == null || isOrderCertain(before, each, uncertaintyMillis)));
 			before = each;
 		}
 		return places;
 	}
 
 	private static boolean isOrderCertain(Served before, Served after, long uncertaintyMillis) {
-		if (before.written().writer().equals(after.written().writer())) {
+		if (before.writerRecord().writer().equals(after.writerRecord().writer())) {
 			return true;
 		}
-		long apart = HybridClock.millis(after.line().start()) - HybridClock.millis(before.line().start());
-		return apart > uncertaintyMillis;
+		long differenceMillis = HybridClock.millis(after.attemptRecord().start())
+				- HybridClock.millis(before.attemptRecord().start());
+		return differenceMillis > uncertaintyMillis;
 	}
 
 	/**
-	 * A request's record and who wrote it.
+	 * A request's record and its writer.
 	 *
 	 * @param writer the writer
 	 * @param record the record
@@ -79,14 +80,14 @@
 	 * @param team its team
 	 * @param version the version that served it
 	 * @param start when it was sent there, as a hybrid logical clock stamp
-	 * @param writer whose clock that is
-	 * @param certain whether it surely came after the place before
+	 * @param writer the writer, whose clock that is
+	 * @param certain whether it certainly came after the previous place
 	 */
 	public record Place(int number, RequestId request, TeamId team, ModelVersion version, long start, String writer,
 			boolean certain) {
 	}
 
-	private record Served(WriterRecord written, AttemptRecord line) {
+	private record Served(WriterRecord writerRecord, AttemptRecord attemptRecord) {
 	}
 
 }
--- a/daemon/src/main/java/org/gullsaddle/gateway/CrashController.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/CrashController.java
@@ -183,7 +183,7 @@
 		}
 		if (attempt.hasEndedWithConnection()) {
 			onEnded(request, model, attempt, CrashDetector.EndKind.CLOSE_DELIMITED);
-			boolean again = this.watch.isRepeatedCloseDelimited(Trait.content(request.contentHash()));
+			boolean again = this.watch.recordCloseDelimited(Trait.content(request.contentHash()));
 			if (again || !this.crashTable.hasSuccessWithEach(request.partTraits(model))) {
 				checkLiveness(attempt.choice().replica());
 			}
