--- a/core/src/main/java/org/gullsaddle/agent/AcceptedAttempt.java
+++ b/core/src/main/java/org/gullsaddle/agent/AcceptedAttempt.java
@@ -5,7 +5,8 @@
 import org.gullsaddle.base.NodeId;
 
 /**
- * An attempt that an agent has accepted.
+ * An attempt that was dispatched to an agent: queued, or running on its backend server.
+ * Stamps are of the hybrid clock.
  */
 final class AcceptedAttempt {
 
@@ -92,8 +93,8 @@
 		return this.alone;
 	}
 
-	void alone(boolean nothingBeside) {
-		this.alone = nothingBeside;
+	void alone(boolean runsAlone) {
+		this.alone = runsAlone;
 	}
 
 	boolean isCancelled() {
--- a/core/src/main/java/org/gullsaddle/agent/Admission.java
+++ b/core/src/main/java/org/gullsaddle/agent/Admission.java
@@ -28,12 +28,13 @@
 import org.gullsaddle.template.TemplateRevision;
 
 /**
- * Decides what one backend server is given. Single-threaded: hand it one event at a time,
- * with the time, and carry out the actions it returns in their order.
+ * Controls which attempts one backend server runs, and in which order. Not thread-safe:
+ * pass it one event at a time, with the time of the event, and carry out the returned
+ * actions in order.
  *
  * <pre>
  * Admission admission = new Admission(AdmissionSettings.of(id));
- * for (AdmissionAction action : admission.handle(moment, event)) {
+ * for (AdmissionAction action : admission.handle(now, event)) {
  *     carryOut(action);
  * }
  * </pre>
@@ -61,8 +62,9 @@
 	private final Map<AttemptId, AcceptedAttempt> running = new LinkedHashMap<>();
 
 	/**
-	 * A frame that arrives twice, after a link was cut and dialed again, must not run
-	 * twice; entries number attempts anew, so that remembering recent ones is enough.
+	 * Attempts that were dispatched or cancelled, as a frame that arrives twice, after a
+	 * lost connection was opened again, must not run twice. Entries never reuse the
+	 * number of an attempt, so the recent ones are enough.
 	 */
 	private final Map<AttemptId, Boolean> seenAttempts = new LinkedHashMap<>() {
 		@Override
@@ -71,7 +73,9 @@
 		}
 	};
 
-	/** Answers whose end waits until another entry holds a copy of their line. */
+	/**
+	 * Answers whose end is not sent yet, until another entry holds a copy of their line.
+	 */
 	private final Map<AttemptId, PendingEnd> pendingEnds = new LinkedHashMap<>();
 
 	private final Set<NodeId> entries = new TreeSet<>();
@@ -93,7 +97,7 @@
 	private long arrivalCount;
 
 	/**
-	 * Makes an admission for a backend server that is not up yet.
+	 * Creates an admission for a backend server that is not available yet.
 	 * @param settings the settings
 	 */
 	public Admission(AdmissionSettings settings) {
@@ -102,10 +106,10 @@
 	}
 
 	/**
-	 * Decides on an event.
-	 * @param now when it happened
+	 * Handles an event.
+	 * @param now when the event happened
 	 * @param event the event
-	 * @return what to do, in order
+	 * @return the actions to carry out, in order
 	 */
 	public List<AdmissionAction> handle(Moment now, AdmissionEvent event) {
 		switch (event) {
@@ -129,14 +133,14 @@
 			}
 		}
 		reportDrained();
-		List<AdmissionAction> decided = List.copyOf(this.actions);
+		List<AdmissionAction> decidedActions = List.copyOf(this.actions);
 		this.actions.clear();
-		return decided;
+		return decidedActions;
 	}
 
 	/**
 	 * Returns the load to report.
-	 * @return what runs and waits here, and how much may run
+	 * @return the running and waiting attempts, and the slots of the backend server
 	 */
 	public LoadReport load() {
 		return new LoadReport(this.running.size(), this.queue.size(), this.slots);
@@ -144,14 +148,14 @@
 
 	/**
 	 * Returns the versions to announce.
-	 * @return the versions loaded, or none while the backend server is down
+	 * @return the loaded versions, or none while the backend server is down
 	 */
 	public Set<ModelVersion> versions() {
 		return this.backendAvailable ? this.versions : Set.of();
 	}
 
 	/**
-	 * Returns the revisions in force here.
+	 * Returns the template revisions that this agent knows.
 	 * @return the templates
 	 */
 	public TemplateBook templates() {
@@ -159,7 +163,7 @@
 	}
 
 	/**
-	 * Returns what is remembered of crashes, to tell an entry that has just been linked.
+	 * Returns the known crash suspicions, to be sent to an entry that has just connected.
 	 * @return the suspicions
 	 */
 	public List<Suspicion> suspects() {
@@ -167,8 +171,8 @@
 	}
 
 	/**
-	 * Says whether new work is refused because the backend server is leaving.
-	 * @return true once draining
+	 * Returns whether new attempts are refused because the backend server is leaving.
+	 * @return true once it drains
 	 */
 	public boolean isDraining() {
 		return this.isDraining;
@@ -197,7 +201,8 @@
 	}
 
 	/**
-	 * Checks what can change while an attempt waits; asked again when it is to start.
+	 * Checks what can change while an attempt is queued. Called on arrival and again
+	 * before the start.
 	 */
 	private Optional<Refusal> checkRunnable(Moment now, AcceptedAttempt work) {
 		Dispatch dispatch = work.dispatch();
@@ -220,19 +225,20 @@
 	}
 
 	/**
-	 * Checks a dispatch against this node's own templates.
+	 * Checks a dispatch against the templates that this agent knows.
 	 * <p>
-	 * An entry that is cut off or slow decides under an old revision and sends work to a
-	 * version withdrawn since. The agent's own revision stops it here, where it would
-	 * run. An agent that does not know the revision yet, after a restart, cannot tell,
-	 * and refuses too; the entry sends the revision ahead of the work.
+	 * An entry that is cut off or slow may decide under an old revision and send attempts
+	 * to a version that was withdrawn since. The agent's own revision stops them before
+	 * they run. An agent that does not know the revision yet, as after a restart, cannot
+	 * decide and refuses too. Entries send a revision before the attempts that depend on
+	 * it.
 	 */
 	private boolean isPermitted(Dispatch dispatch) {
-		TemplateRevision held = this.templates.get(dispatch.template()).orElse(null);
-		if (held == null || held.revision() < dispatch.revision()) {
+		TemplateRevision known = this.templates.get(dispatch.template()).orElse(null);
+		if (known == null || known.revision() < dispatch.revision()) {
 			return false;
 		}
-		Template template = held.template();
+		Template template = known.template();
 		return template.allows(dispatch.team(), dispatch.version(), dispatch.pinned());
 	}
 
@@ -241,18 +247,20 @@
 		if (this.queue.size() >= this.settings.maxQueued() && !this.queue.wouldPrecedeLast(work)) {
 			return Optional.of(overloadedRefusal(this.queue.size()));
 		}
-		// Half of its time is left for work of a higher rank that may come before it.
-		long latest = now.millis() + (work.deadline() - now.millis()) / 2;
-		if (this.running.size() >= this.slots && wouldMissDeadline(now, work, latest)) {
+		// Half of the remaining time is kept for attempts of a higher rank that may
+		// arrive later and start earlier.
+		long latestEnd = now.millis() + (work.deadline() - now.millis()) / 2;
+		if (this.running.size() >= this.slots && wouldMissDeadline(now, work, latestEnd)) {
 			return Optional.of(overloadedRefusal(this.queue.countAhead(work)));
 		}
 		return Optional.empty();
 	}
 
 	/**
-	 * Refuses from the end of the queue what has no room or cannot meet its deadline any
-	 * more, as work of a higher rank came before it. Left to wait, its caller would hear
-	 * of it only at the deadline, and could have gone elsewhere.
+	 * Refuses attempts from the end of the queue while it is too long or the last one
+	 * would miss its deadline, as attempts of a higher rank came before it. If such an
+	 * attempt stayed queued, its caller would learn that only at the deadline, too late
+	 * for another agent.
 	 */
 	private void refuseLateWork(Moment now) {
 		while (this.queue.size() > 0) {
@@ -299,16 +307,16 @@
 	}
 
 	/**
-	 * Says whether an attempt may start beside what runs. One that is suspected of
-	 * crashing its backend server waits until it can be alone, and nothing starts beside
-	 * it, so that another crash takes no bystander with it.
+	 * Returns whether an attempt may start beside those that run. An attempt suspected of
+	 * crashing its backend server waits until nothing else runs, and nothing starts
+	 * beside it, so that another crash affects no other attempt.
 	 */
 	private boolean canStart(AcceptedAttempt work) {
 		if (this.running.isEmpty()) {
 			return true;
 		}
-		boolean suspectRuns = this.running.values().stream().anyMatch(AcceptedAttempt::alone);
-		return !suspectRuns && !mustRunAlone(work) && this.running.size() < this.slots;
+		boolean isSuspectRunning = this.running.values().stream().anyMatch(AcceptedAttempt::alone);
+		return !isSuspectRunning && !mustRunAlone(work) && this.running.size() < this.slots;
 	}
 
 	private boolean mustRunAlone(AcceptedAttempt work) {
@@ -336,7 +344,7 @@
 			this.actions.add(new AdmissionAction.Abort(attempt));
 		}
 		else {
-			// Whatever arrives later under this id, on a slow path, must not run.
+			// A dispatch that arrives after its cancellation must not run.
 			this.seenAttempts.put(attempt, Boolean.TRUE);
 		}
 	}
@@ -347,7 +355,7 @@
 		for (AcceptedAttempt work : this.running.values()) {
 			if (work.entry().equals(event.entry()) && !work.isOrphaned()) {
 				work.markOrphaned();
-				// A call that may not be repeated goes on: stopping it half-way helps
+				// A call that may run only once continues: stopping it half-way helps
 				// nobody.
 				if (work.dispatch().repeatable()) {
 					this.actions.add(new AdmissionAction.Abort(work.attempt()));
@@ -386,26 +394,27 @@
 	}
 
 	/**
-	 * Lets an answer's end go to its entry.
+	 * Sends the end of an answer to its entry, unless that is done.
 	 * <p>
-	 * The entry answers the caller as soon as it has the end, and may be killed with the
-	 * agent before either has written the record; the request would be served and never
-	 * billed. With a copy at a third node that takes three at once.
+	 * The entry answers the caller as soon as it receives the end. If the entry and the
+	 * agent fail before either has written the record, the request was served and is
+	 * never billed. With a copy of the line at a third node, that takes the failure of
+	 * all three.
 	 */
 	private void sendPendingEnd(AttemptId attempt) {
-		PendingEnd closed = this.pendingEnds.remove(attempt);
-		if (closed != null) {
-			this.actions.add(closed.end());
+		PendingEnd pendingEnd = this.pendingEnds.remove(attempt);
+		if (pendingEnd != null) {
+			this.actions.add(pendingEnd.end());
 		}
 	}
 
 	private void sendOverdueEnds(Moment now) {
-		List<AttemptId> late = this.pendingEnds.entrySet()
+		List<AttemptId> overdue = this.pendingEnds.entrySet()
 			.stream()
-			.filter((each) -> each.getValue().dueMillis() <= now.millis())
+			.filter((pendingEnd) -> pendingEnd.getValue().dueMillis() <= now.millis())
 			.map(Map.Entry::getKey)
 			.toList();
-		late.forEach(this::sendPendingEnd);
+		overdue.forEach(this::sendPendingEnd);
 	}
 
 	private void onAttemptFailed(Moment now, AdmissionEvent.AttemptFailed event) {
@@ -427,8 +436,8 @@
 
 	private HeldLine holdLine(Moment now, AcceptedAttempt work, Verdict verdict, String outcome, Usage usage) {
 		Dispatch dispatch = work.dispatch();
-		// What a caller stopped it pays for as far as it ran; a backend server's fault is
-		// free.
+		// A caller that cancels pays for what ran. Failures of the backend server
+		// are free.
 		boolean billed = verdict == Verdict.RAN || (work.isCancelled() && !outcome.equals(CRASHED_OUTCOME));
 		long cost = billed ? costMicros(dispatch, usage) : 0;
 		AttemptLine line = new AttemptLine(work.attempt(), dispatch.version(), this.settings.id(), dispatch.revision(),
@@ -478,7 +487,7 @@
 	}
 
 	/**
-	 * An answer's end, and when it goes without a copy.
+	 * The end of an answer, and when it is sent even without a copy of its line.
 	 */
 	private record PendingEnd(AdmissionAction end, long dueMillis) {
 	}
--- a/core/src/main/java/org/gullsaddle/agent/AdmissionAction.java
+++ b/core/src/main/java/org/gullsaddle/agent/AdmissionAction.java
@@ -11,22 +11,22 @@
 import org.gullsaddle.suspect.Suspicion;
 
 /**
- * Something that {@link Admission} wants done.
+ * An action that {@link Admission} has decided on, to be carried out by its caller.
  */
 public sealed interface AdmissionAction {
 
 	/**
-	 * Hand an attempt to the backend server.
+	 * Send an attempt to the backend server.
 	 *
 	 * @param dispatch the attempt
-	 * @param deadline when to give up, in milliseconds on the agent's clock
+	 * @param deadline the deadline, in milliseconds on the agent's clock
 	 */
 	record Start(Dispatch dispatch, long deadline) implements AdmissionAction {
 	}
 
 	/**
-	 * Stop an attempt that the backend server has; answered by
-	 * {@link AdmissionEvent.BackendFailed}.
+	 * Abort an attempt that runs on the backend server. Answered by
+	 * {@link AdmissionEvent.AttemptFailed}.
 	 *
 	 * @param attempt the attempt
 	 */
@@ -34,17 +34,17 @@
 	}
 
 	/**
-	 * Tell the entry that an attempt is queued or running.
+	 * Report to the entry that an attempt is queued or running.
 	 *
 	 * @param entry the entry
 	 * @param attempt the attempt
-	 * @param ahead how many go before it
+	 * @param ahead the number of queued attempts before it
 	 */
 	record Accept(NodeId entry, AttemptId attempt, int ahead) implements AdmissionAction {
 	}
 
 	/**
-	 * Tell the entry that an attempt was not and will not be run.
+	 * Report to the entry that an attempt was not run and will not be.
 	 *
 	 * @param entry the entry
 	 * @param attempt the attempt
@@ -54,43 +54,43 @@
 	}
 
 	/**
-	 * Send a part of an answer.
+	 * Send a part of an answer to the entry.
 	 *
 	 * @param entry the entry
 	 * @param attempt the attempt
-	 * @param offset how many characters of the whole answer come before it
-	 * @param text the part
+	 * @param offset the number of characters of the whole answer before it
+	 * @param text the text
 	 */
 	record SendChunk(NodeId entry, AttemptId attempt, long offset, String text) implements AdmissionAction {
 	}
 
 	/**
-	 * Close an answer.
+	 * Send the end of an answer to the entry.
 	 *
 	 * @param entry the entry
 	 * @param attempt the attempt
-	 * @param completion how it closed
-	 * @param length how many characters the whole answer has
+	 * @param completion how the answer ended
+	 * @param length the number of characters of the whole answer
 	 */
 	record SendDone(NodeId entry, AttemptId attempt, Completion completion, long length) implements AdmissionAction {
 	}
 
 	/**
-	 * Tell the entry that an attempt broke off.
+	 * Report to the entry that an attempt failed.
 	 *
 	 * @param entry the entry
 	 * @param attempt the attempt
 	 * @param verdict whether it may have run
-	 * @param crashed whether the backend server died
-	 * @param usage the tokens used as far as known
+	 * @param crashed whether the backend server crashed
+	 * @param usage the tokens used, as far as known
 	 */
 	record SendFailed(NodeId entry, AttemptId attempt, Verdict verdict, boolean crashed,
 			Usage usage) implements AdmissionAction {
 	}
 
 	/**
-	 * Keep the line of an attempt that was handed to the backend server, until the entry
-	 * has the request's record in the store, or to write it if the entry is lost.
+	 * Hold the line of an attempt that was sent to the backend server, until the entry
+	 * has stored the request's record, or to write it if the entry is lost.
 	 *
 	 * @param line the line
 	 */
@@ -98,7 +98,7 @@
 	}
 
 	/**
-	 * Have another entry hold a copy of an attempt's line; answered by
+	 * Have another entry hold a copy of an attempt's line. Answered by
 	 * {@link AdmissionEvent.CopyHeld}.
 	 *
 	 * @param holder the other entry
@@ -108,21 +108,22 @@
 	}
 
 	/**
-	 * Tell every entry that an attempt ran when the backend server crashed.
+	 * Announce to every entry that an attempt was running when the backend server
+	 * crashed.
 	 *
-	 * @param suspicion what is known against its content
+	 * @param suspicion the crashes known for its content
 	 */
 	record AnnounceSuspect(Suspicion suspicion) implements AdmissionAction {
 	}
 
 	/**
-	 * Tell every entry that the backend server takes no new work.
+	 * Announce to every entry that the backend server takes no new work.
 	 */
 	record AnnounceLeaving() implements AdmissionAction {
 	}
 
 	/**
-	 * Nothing runs or waits any more; the agent may exit.
+	 * Report that nothing runs or waits any more, so that the agent may exit.
 	 */
 	record Drained() implements AdmissionAction {
 	}
--- a/core/src/main/java/org/gullsaddle/agent/AdmissionEvent.java
+++ b/core/src/main/java/org/gullsaddle/agent/AdmissionEvent.java
@@ -13,7 +13,7 @@
 import org.gullsaddle.template.TemplateRevision;
 
 /**
- * Something that happened, for {@link Admission} to decide on.
+ * An event that {@link Admission} handles.
  */
 public sealed interface AdmissionEvent {
 
@@ -22,14 +22,14 @@
 	 *
 	 * @param entry the entry
 	 * @param dispatch the attempt
-	 * @param deadline its deadline in milliseconds on the agent's clock, no later than
-	 * the entry meant
+	 * @param deadline its deadline in milliseconds on the agent's clock, not later than
+	 * the entry's deadline
 	 */
 	record Dispatched(NodeId entry, Dispatch dispatch, long deadline) implements AdmissionEvent {
 	}
 
 	/**
-	 * An entry wants an attempt stopped.
+	 * An entry cancelled an attempt.
 	 *
 	 * @param attempt the attempt
 	 */
@@ -37,7 +37,7 @@
 	}
 
 	/**
-	 * A link to an entry is up.
+	 * An entry connected.
 	 *
 	 * @param entry the entry
 	 */
@@ -53,7 +53,7 @@
 	}
 
 	/**
-	 * The link to an entry is gone.
+	 * The connection to an entry is lost.
 	 *
 	 * @param entry the entry
 	 */
@@ -61,52 +61,53 @@
 	}
 
 	/**
-	 * The backend server gave a part of an answer.
+	 * The backend server sent a part of an answer.
 	 *
 	 * @param attempt the attempt
-	 * @param text the part
+	 * @param text the text
 	 */
 	record AttemptChunk(AttemptId attempt, String text) implements AdmissionEvent {
 	}
 
 	/**
-	 * The backend server ended an answer.
+	 * The backend server ran an attempt to its end.
 	 *
 	 * @param attempt the attempt
-	 * @param completion how it closed
+	 * @param completion how the answer ended
 	 */
 	record AttemptDone(AttemptId attempt, Completion completion) implements AdmissionEvent {
 	}
 
 	/**
-	 * The backend server did not end an answer.
+	 * The backend server did not run an attempt to its end.
 	 *
 	 * @param attempt the attempt
-	 * @param verdict whether it may have run; not run only if nothing was written to the
-	 * backend server
-	 * @param crashed whether the backend server died
-	 * @param usage the tokens used as far as known
+	 * @param verdict whether it may have run; "not run" only if nothing was written to
+	 * the backend server
+	 * @param crashed whether the backend server crashed
+	 * @param usage the tokens used, as far as known
 	 */
 	record AttemptFailed(AttemptId attempt, Verdict verdict, boolean crashed, Usage usage) implements AdmissionEvent {
 	}
 
 	/**
-	 * The backend server answers.
+	 * The backend server became available, or what it serves changed.
 	 *
 	 * @param versions the versions it has loaded
-	 * @param slots how many requests it runs at once
+	 * @param slots the number of requests it runs at once
 	 */
 	record BackendUp(Set<ModelVersion> versions, int slots) implements AdmissionEvent {
 	}
 
 	/**
-	 * The backend server does not answer.
+	 * The backend server became unavailable.
 	 */
 	record BackendDown() implements AdmissionEvent {
 	}
 
 	/**
-	 * A revision of a template arrived; an older one than that in force is ignored.
+	 * A revision of a template arrived. It is ignored if it is older than the one in
+	 * force.
 	 *
 	 * @param revision the revision
 	 */
@@ -114,21 +115,21 @@
 	}
 
 	/**
-	 * An entry knows of a crash elsewhere.
+	 * An entry announced that a backend server crashed while a request ran.
 	 *
-	 * @param suspicion what it knows
+	 * @param suspicion the crashes it knows of
 	 */
 	record SuspectAnnounced(Suspicion suspicion) implements AdmissionEvent {
 	}
 
 	/**
-	 * The VM is to leave, or the agent to stop.
+	 * The VM is being removed, or the agent stops.
 	 */
 	record DrainStarted() implements AdmissionEvent {
 	}
 
 	/**
-	 * Time passed.
+	 * Time has passed; timers and the queue are checked.
 	 */
 	record Tick() implements AdmissionEvent {
 	}
--- a/core/src/main/java/org/gullsaddle/agent/AdmissionSettings.java
+++ b/core/src/main/java/org/gullsaddle/agent/AdmissionSettings.java
@@ -4,12 +4,12 @@
 import org.gullsaddle.base.NodeId;
 
 /**
- * What {@link Admission} is tuned by.
+ * The settings of {@link Admission}.
  *
  * @param id the agent
- * @param maxQueued how many attempts may wait
- * @param initialRunMillis how long an attempt is taken to run before any has, in
- * milliseconds
+ * @param maxQueued the maximum number of queued attempts
+ * @param initialRunMillis the expected duration of an attempt before any has completed,
+ * in milliseconds
  */
 public record AdmissionSettings(NodeId id, int maxQueued, long initialRunMillis) {
 
@@ -20,7 +20,7 @@
 	public AdmissionSettings {
 		Check.notNull(id, "id");
 		Check.that(maxQueued >= 0, "maxQueued must not be negative");
-		Check.that(initialRunMillis > 0, "expectedMillis must be positive");
+		Check.that(initialRunMillis > 0, "initialRunMillis must be positive");
 	}
 
 	/**
@@ -33,12 +33,12 @@
 	}
 
 	/**
-	 * Returns a copy with another bound of the queue.
-	 * @param queued how many attempts may wait
+	 * Returns a copy with another limit of the queue.
+	 * @param maxQueuedAttempts the maximum number of queued attempts
 	 * @return the settings
 	 */
-	public AdmissionSettings withMaxQueued(int queued) {
-		return new AdmissionSettings(this.id, queued, this.initialRunMillis);
+	public AdmissionSettings withMaxQueued(int maxQueuedAttempts) {
+		return new AdmissionSettings(this.id, maxQueuedAttempts, this.initialRunMillis);
 	}
 
 }
--- a/core/src/main/java/org/gullsaddle/agent/FairQueue.java
+++ b/core/src/main/java/org/gullsaddle/agent/FairQueue.java
@@ -12,11 +12,11 @@
 import org.gullsaddle.base.TeamId;
 
 /**
- * Orders waiting attempts: a higher rank first, then teams by their weights, then
- * arrival.
+ * Orders the queued attempts by rank, the higher first, then fairly between teams by
+ * their weights, then by arrival.
  * <p>
- * Within a rank each attempt takes the finish tag of weighted fair queueing, so that one
- * team's flood delays its own requests and not those of the others.
+ * Within a rank, attempts are ordered by the finish tags of weighted fair queueing, so
+ * that a burst of one team delays its own requests and not those of other teams.
  */
 final class FairQueue {
 
@@ -30,7 +30,7 @@
 	private double virtualTime;
 
 	/**
-	 * Gives an attempt the place that it would have if it were added now.
+	 * Sets the finish tag that an attempt gets if it is added now.
 	 */
 	void assignFinishTag(AcceptedAttempt work) {
 		double start = Math.max(this.virtualTime, this.lastFinishTags.getOrDefault(work.dispatch().team(), 0.0));
@@ -52,7 +52,7 @@
 	}
 
 	/**
-	 * Says whether an attempt would go before the last one that waits.
+	 * Returns whether an attempt would be placed before the last queued one.
 	 */
 	boolean wouldPrecedeLast(AcceptedAttempt work) {
 		return !this.waiting.isEmpty() && this.waiting.headSet(work).size() < this.waiting.size();
@@ -77,7 +77,7 @@
 	}
 
 	/**
-	 * Takes out all that match, in their order.
+	 * Removes all matching attempts and returns them in order.
 	 */
 	List<AcceptedAttempt> removeIf(Predicate<AcceptedAttempt> condition) {
 		List<AcceptedAttempt> removed = this.waiting.stream().filter(condition).toList();
@@ -86,7 +86,7 @@
 	}
 
 	/**
-	 * Returns how many waiting attempts go before one.
+	 * Returns the number of queued attempts before the given one.
 	 */
 	int countAhead(AcceptedAttempt work) {
 		return this.waiting.headSet(work).size();
--- a/core/src/main/java/org/gullsaddle/agent/HeldLines.java
+++ b/core/src/main/java/org/gullsaddle/agent/HeldLines.java
@@ -12,13 +12,13 @@
 import org.gullsaddle.ledger.HeldLine;
 
 /**
- * The lines of attempts that ran here and whose request's record is not known to be in
- * the store.
+ * Holds the lines of attempts that ran here until the request's record is known to be
+ * stored. Not thread-safe.
  * <p>
- * The entry answers the caller before its record is in the store, and may die in between;
- * the request would then be served and never billed. The agent holds the line since
- * before the answer's end left it, and writes it itself once the entry has had its time.
- * Both copies may then be written; bills count them once. Single-threaded.
+ * The entry answers the caller before its record is stored, and may fail in between. The
+ * request would then be served and never billed. Therefore the agent holds the line
+ * before it sends the end of the answer, and writes the line itself if the record is not
+ * stored in time. Both copies may be written then; bills count them once.
  */
 public final class HeldLines {
 
@@ -27,12 +27,12 @@
 	private final Map<RequestId, List<Held>> lines = new LinkedHashMap<>();
 
 	/**
-	 * Makes a holder of no lines.
-	 * @param patienceMillis how long an entry that is linked has, in milliseconds; one
-	 * that is gone has a tenth of it
+	 * Creates an instance without lines.
+	 * @param maxHoldMillis how long a connected entry has to store the record, in
+	 * milliseconds; an entry that is not connected has a tenth of it
 	 */
-	public HeldLines(long patienceMillis) {
-		this.maxHoldMillis = patienceMillis;
+	public HeldLines(long maxHoldMillis) {
+		this.maxHoldMillis = maxHoldMillis;
 	}
 
 	/**
@@ -45,7 +45,7 @@
 	}
 
 	/**
-	 * Lets go of the lines of requests whose record is in the store.
+	 * Drops the lines of requests whose record is stored.
 	 * @param requests the requests
 	 */
 	public void onRecorded(List<RequestId> requests) {
@@ -53,27 +53,27 @@
 	}
 
 	/**
-	 * Takes out the lines to write: those held for too long, and those of entries that
-	 * are gone.
+	 * Removes and returns the lines to write: those held for too long. The limit is
+	 * shorter for entries that are not connected.
 	 * @param now the time in milliseconds on the monotonic clock
-	 * @param connected the entries that are linked
+	 * @param connected the connected entries
 	 * @return the lines
 	 */
 	public List<HeldLine> takeDue(long now, Set<NodeId> connected) {
 		List<HeldLine> due = new ArrayList<>();
-		Iterator<List<Held>> each = this.lines.values().iterator();
-		while (each.hasNext()) {
-			List<Held> held = each.next();
+		Iterator<List<Held>> iterator = this.lines.values().iterator();
+		while (iterator.hasNext()) {
+			List<Held> held = iterator.next();
 			if (held.stream().anyMatch((one) -> isDue(one, now, connected))) {
 				held.forEach((one) -> due.add(one.line()));
-				each.remove();
+				iterator.remove();
 			}
 		}
 		return due;
 	}
 
 	/**
-	 * Takes out all lines.
+	 * Removes and returns all lines.
 	 * @return the lines
 	 */
 	public List<HeldLine> takeAll() {
@@ -84,17 +84,17 @@
 	}
 
 	/**
-	 * Returns how many requests have lines held.
-	 * @return the number
+	 * Returns the number of requests that have held lines.
+	 * @return the number of requests
 	 */
 	public int requestCount() {
 		return this.lines.size();
 	}
 
 	private boolean isDue(Held held, long now, Set<NodeId> connected) {
-		long waited = now - held.sinceMillis();
-		boolean gone = !connected.contains(held.line().entry());
-		return waited > this.maxHoldMillis || (gone && waited > this.maxHoldMillis / 10);
+		long heldMillis = now - held.sinceMillis();
+		boolean isDisconnected = !connected.contains(held.line().entry());
+		return heldMillis > this.maxHoldMillis || (isDisconnected && heldMillis > this.maxHoldMillis / 10);
 	}
 
 	private record Held(HeldLine line, long sinceMillis) {
--- a/core/src/main/java/org/gullsaddle/agent/package-info.java
+++ b/core/src/main/java/org/gullsaddle/agent/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The agent's decisions: {@link org.gullsaddle.agent.Admission} guards one backend
- * server, queues for it, and says truthfully what ran on it. Nothing here does I/O, reads
- * a clock or starts a thread.
+ * The decisions of an agent: {@link org.gullsaddle.agent.Admission} controls admission to
+ * one backend server, queues attempts for it, and reports exactly what may have run on
+ * it. This package does no I/O, reads no clock and starts no thread.
  */
 package org.gullsaddle.agent;
--- a/core/src/main/java/org/gullsaddle/route/Router.java
+++ b/core/src/main/java/org/gullsaddle/route/Router.java
@@ -26,8 +26,8 @@
 import org.gullsaddle.template.TemplateRevision;
 
 /**
- * Decides what happens to the requests of an entry. Not thread-safe: pass it one event at
- * a time, with the time of the event, and carry out the returned actions in order.
+ * Decides what happens to the requests of an entry. Not thread-safe. The actions that
+ * {@link #handle} returns are to be carried out in order.
  *
  * <pre>
  * Router router = new Router(RouterSettings.builder("north", "north-1").build(), random);
@@ -495,9 +495,6 @@
 		}
 	}
 
-	/**
-	 * Treats the outstanding attempt as failed and cancels it at its agent.
-	 */
 	private void failAndCancelAttempt(Moment now, RequestState state) {
 		if (state.isAnswered()) {
 			return;
--- a/core/src/main/java/org/gullsaddle/route/RouterAction.java
+++ b/core/src/main/java/org/gullsaddle/route/RouterAction.java
@@ -22,7 +22,7 @@
 
 	/**
 	 * Claim an idempotency key in the store. Answered by
-	 * {@link RouterEvent.ClaimAnswered}.
+	 * {@link RouterEvent.ClaimCompleted}.
 	 *
 	 * @param request the request
 	 * @param team its team
@@ -55,7 +55,7 @@
 
 	/**
 	 * Pin a session to a version in the store. Answered by
-	 * {@link RouterEvent.PinAnswered}.
+	 * {@link RouterEvent.PinCompleted}.
 	 *
 	 * @param request the request
 	 * @param team its team
@@ -149,7 +149,7 @@
 
 	/**
 	 * Write the request's record to the ledger before its answer is delivered. Answered
-	 * by {@link RouterEvent.RecordKept}.
+	 * by {@link RouterEvent.RecordStored}.
 	 *
 	 * @param record the record
 	 */
