--- a/core/src/main/java/org/gullsaddle/agent/Admission.java
+++ b/core/src/main/java/org/gullsaddle/agent/Admission.java
@@ -59,7 +59,7 @@
 
 	private final FairQueue queue = new FairQueue();
 
-	private final Map<AttemptId, AcceptedAttempt> running = new LinkedHashMap<>();
+	private final Map<AttemptId, DispatchedAttempt> running = new LinkedHashMap<>();
 
 	/**
 	 * Attempts that were dispatched or cancelled, as a frame that arrives twice, after a
@@ -183,7 +183,7 @@
 		if (this.seenAttempts.putIfAbsent(attempt, Boolean.TRUE) != null) {
 			return;
 		}
-		AcceptedAttempt work = new AcceptedAttempt(event.entry(), event.dispatch(), event.deadline(),
+		DispatchedAttempt work = new DispatchedAttempt(event.entry(), event.dispatch(), event.deadline(),
 				this.arrivalCount);
 		this.arrivalCount++;
 		Optional<Refusal> refusal = checkRunnable(now, work);
@@ -204,7 +204,7 @@
 	 * Checks what can change while an attempt is queued. Called on arrival and again
 	 * before the start.
 	 */
-	private Optional<Refusal> checkRunnable(Moment now, AcceptedAttempt work) {
+	private Optional<Refusal> checkRunnable(Moment now, DispatchedAttempt work) {
 		Dispatch dispatch = work.dispatch();
 		if (this.isDraining) {
 			return Optional.of(Refusal.notRun(RefusalReason.LEAVING, RETRY_AFTER_MILLIS));
@@ -242,7 +242,7 @@
 		return template.allows(dispatch.team(), dispatch.version(), dispatch.pinned());
 	}
 
-	private Optional<Refusal> checkCapacity(Moment now, AcceptedAttempt work) {
+	private Optional<Refusal> checkCapacity(Moment now, DispatchedAttempt work) {
 		this.queue.assignFinishTag(work);
 		if (this.queue.size() >= this.settings.maxQueued() && !this.queue.wouldPrecedeLast(work)) {
 			return Optional.of(overloadedRefusal(this.queue.size()));
@@ -264,7 +264,7 @@
 	 */
 	private void refuseLateWork(Moment now) {
 		while (this.queue.size() > 0) {
-			AcceptedAttempt last = this.queue.last();
+			DispatchedAttempt last = this.queue.last();
 			if (this.queue.size() <= this.settings.maxQueued() && !wouldMissDeadline(now, last, last.deadline())) {
 				return;
 			}
@@ -273,7 +273,7 @@
 		}
 	}
 
-	private boolean wouldMissDeadline(Moment now, AcceptedAttempt work, long latest) {
+	private boolean wouldMissDeadline(Moment now, DispatchedAttempt work, long latest) {
 		return now.millis() + expectedWaitMillis(this.queue.countAhead(work)) + this.meanRunMillis >= latest;
 	}
 
@@ -287,7 +287,7 @@
 
 	private void startQueued(Moment now) {
 		while (true) {
-			AcceptedAttempt next = this.queue.peek().orElse(null);
+			DispatchedAttempt next = this.queue.peek().orElse(null);
 			if (next == null) {
 				return;
 			}
@@ -311,31 +311,31 @@
 	 * crashing its backend server waits until nothing else runs, and nothing starts
 	 * beside it, so that another crash affects no other attempt.
 	 */
-	private boolean canStart(AcceptedAttempt work) {
+	private boolean canStart(DispatchedAttempt work) {
 		if (this.running.isEmpty()) {
 			return true;
 		}
-		boolean isSuspectRunning = this.running.values().stream().anyMatch(AcceptedAttempt::alone);
+		boolean isSuspectRunning = this.running.values().stream().anyMatch(DispatchedAttempt::alone);
 		return !isSuspectRunning && !mustRunAlone(work) && this.running.size() < this.slots;
 	}
 
-	private boolean mustRunAlone(AcceptedAttempt work) {
+	private boolean mustRunAlone(DispatchedAttempt work) {
 		return work.dispatch().alone() || this.suspects.suspected(work.dispatch().fingerprint());
 	}
 
-	private void start(Moment now, AcceptedAttempt work) {
+	private void start(Moment now, DispatchedAttempt work) {
 		work.alone(mustRunAlone(work));
 		work.markStarted(now.millis(), now.stamp());
 		this.running.put(work.attempt(), work);
 		this.actions.add(new AdmissionAction.Start(work.dispatch(), work.deadline()));
 	}
 
-	private void refuse(AcceptedAttempt work, Refusal refusal) {
+	private void refuse(DispatchedAttempt work, Refusal refusal) {
 		this.actions.add(new AdmissionAction.Refuse(work.entry(), work.attempt(), refusal));
 	}
 
 	private void onCancelRequested(AttemptId attempt) {
-		Optional<AcceptedAttempt> waiting = this.queue.remove(attempt);
+		Optional<DispatchedAttempt> waiting = this.queue.remove(attempt);
 		if (waiting.isPresent()) {
 			refuse(waiting.get(), Refusal.notRun(RefusalReason.CALLER_GONE, 0));
 		}
@@ -352,7 +352,7 @@
 	private void onEntryDown(AdmissionEvent.EntryDown event) {
 		this.entries.remove(event.entry());
 		this.queue.removeIf((work) -> work.entry().equals(event.entry()));
-		for (AcceptedAttempt work : this.running.values()) {
+		for (DispatchedAttempt work : this.running.values()) {
 			if (work.entry().equals(event.entry()) && !work.isOrphaned()) {
 				work.markOrphaned();
 				// A call that may run only once continues: stopping it half-way helps
@@ -365,7 +365,7 @@
 	}
 
 	private void onAttemptChunk(AdmissionEvent.AttemptChunk event) {
-		AcceptedAttempt work = this.running.get(event.attempt());
+		DispatchedAttempt work = this.running.get(event.attempt());
 		if (work != null) {
 			this.actions
 				.add(new AdmissionAction.SendChunk(work.entry(), event.attempt(), work.answerLength(), event.text()));
@@ -374,7 +374,7 @@
 	}
 
 	private void onAttemptDone(Moment now, AdmissionEvent.AttemptDone event) {
-		AcceptedAttempt work = this.running.remove(event.attempt());
+		DispatchedAttempt work = this.running.remove(event.attempt());
 		if (work == null) {
 			return;
 		}
@@ -418,7 +418,7 @@
 	}
 
 	private void onAttemptFailed(Moment now, AdmissionEvent.AttemptFailed event) {
-		AcceptedAttempt work = this.running.remove(event.attempt());
+		DispatchedAttempt work = this.running.remove(event.attempt());
 		if (work == null) {
 			return;
 		}
@@ -434,7 +434,7 @@
 		startQueued(now);
 	}
 
-	private HeldLine holdLine(Moment now, AcceptedAttempt work, Verdict verdict, String outcome, Usage usage) {
+	private HeldLine holdLine(Moment now, DispatchedAttempt work, Verdict verdict, String outcome, Usage usage) {
 		Dispatch dispatch = work.dispatch();
 		// A caller that cancels pays for what ran. Failures of the backend server
 		// are free.
@@ -463,7 +463,7 @@
 
 	private void onBackendDown() {
 		this.backendAvailable = false;
-		for (AcceptedAttempt work : this.queue.removeIf((waiting) -> true)) {
+		for (DispatchedAttempt work : this.queue.removeIf((waiting) -> true)) {
 			refuse(work, Refusal.notRun(RefusalReason.NO_VERSION, RETRY_AFTER_MILLIS));
 		}
 	}
@@ -474,7 +474,7 @@
 		}
 		this.isDraining = true;
 		this.actions.add(new AdmissionAction.AnnounceLeaving());
-		for (AcceptedAttempt work : this.queue.removeIf((waiting) -> true)) {
+		for (DispatchedAttempt work : this.queue.removeIf((waiting) -> true)) {
 			refuse(work, Refusal.notRun(RefusalReason.LEAVING, RETRY_AFTER_MILLIS));
 		}
 	}
--- a/core/src/main/java/org/gullsaddle/agent/AcceptedAttempt.java
+++ b/core/src/main/java/org/gullsaddle/agent/DispatchedAttempt.java
@@ -8,7 +8,7 @@
  * An attempt that was dispatched to an agent: queued, or running on its backend server.
  * Stamps are of the hybrid clock.
  */
-final class AcceptedAttempt {
+final class DispatchedAttempt {
 
 	private final NodeId entry;
 
@@ -32,7 +32,7 @@
 
 	private boolean alone;
 
-	AcceptedAttempt(NodeId entry, Dispatch dispatch, long deadline, long arrival) {
+	DispatchedAttempt(NodeId entry, Dispatch dispatch, long deadline, long arrival) {
 		this.entry = entry;
 		this.dispatch = dispatch;
 		this.deadline = deadline;
--- a/core/src/main/java/org/gullsaddle/agent/FairQueue.java
+++ b/core/src/main/java/org/gullsaddle/agent/FairQueue.java
@@ -20,10 +20,10 @@
  */
 final class FairQueue {
 
-	private final TreeSet<AcceptedAttempt> waiting = new TreeSet<>(
-			Comparator.<AcceptedAttempt>comparingInt((work) -> -work.dispatch().rank())
-				.thenComparingDouble(AcceptedAttempt::finishTag)
-				.thenComparingLong(AcceptedAttempt::arrivalNumber));
+	private final TreeSet<DispatchedAttempt> waiting = new TreeSet<>(
+			Comparator.<DispatchedAttempt>comparingInt((work) -> -work.dispatch().rank())
+				.thenComparingDouble(DispatchedAttempt::finishTag)
+				.thenComparingLong(DispatchedAttempt::arrivalNumber));
 
 	private final Map<TeamId, Double> lastFinishTags = new HashMap<>();
 
@@ -32,34 +32,34 @@
 	/**
 	 * Sets the finish tag that an attempt gets if it is added now.
 	 */
-	void assignFinishTag(AcceptedAttempt work) {
+	void assignFinishTag(DispatchedAttempt work) {
 		double start = Math.max(this.virtualTime, this.lastFinishTags.getOrDefault(work.dispatch().team(), 0.0));
 		work.assignFinishTag(start + 1 / work.dispatch().weight());
 	}
 
-	void add(AcceptedAttempt work) {
+	void add(DispatchedAttempt work) {
 		assignFinishTag(work);
 		this.lastFinishTags.put(work.dispatch().team(), work.finishTag());
 		this.waiting.add(work);
 	}
 
-	Optional<AcceptedAttempt> peek() {
+	Optional<DispatchedAttempt> peek() {
 		return this.waiting.isEmpty() ? Optional.empty() : Optional.of(this.waiting.first());
 	}
 
-	AcceptedAttempt last() {
+	DispatchedAttempt last() {
 		return this.waiting.last();
 	}
 
 	/**
 	 * Returns whether an attempt would be placed before the last queued one.
 	 */
-	boolean wouldPrecedeLast(AcceptedAttempt work) {
+	boolean wouldPrecedeLast(DispatchedAttempt work) {
 		return !this.waiting.isEmpty() && this.waiting.headSet(work).size() < this.waiting.size();
 	}
 
-	AcceptedAttempt takeFirst() {
-		AcceptedAttempt work = this.waiting.pollFirst();
+	DispatchedAttempt takeFirst() {
+		DispatchedAttempt work = this.waiting.pollFirst();
 		this.virtualTime = Math.max(this.virtualTime, work.finishTag() - 1 / work.dispatch().weight());
 		if (this.waiting.isEmpty()) {
 			this.lastFinishTags.clear();
@@ -68,8 +68,8 @@
 		return work;
 	}
 
-	Optional<AcceptedAttempt> remove(AttemptId attempt) {
-		Optional<AcceptedAttempt> found = this.waiting.stream()
+	Optional<DispatchedAttempt> remove(AttemptId attempt) {
+		Optional<DispatchedAttempt> found = this.waiting.stream()
 			.filter((work) -> work.attempt().equals(attempt))
 			.findFirst();
 		found.ifPresent(this.waiting::remove);
@@ -79,8 +79,8 @@
 	/**
 	 * Removes all matching attempts and returns them in order.
 	 */
-	List<AcceptedAttempt> removeIf(Predicate<AcceptedAttempt> condition) {
-		List<AcceptedAttempt> removed = this.waiting.stream().filter(condition).toList();
+	List<DispatchedAttempt> removeIf(Predicate<DispatchedAttempt> condition) {
+		List<DispatchedAttempt> removed = this.waiting.stream().filter(condition).toList();
 		removed.forEach(this.waiting::remove);
 		return removed;
 	}
@@ -88,7 +88,7 @@
 	/**
 	 * Returns the number of queued attempts before the given one.
 	 */
-	int countAhead(AcceptedAttempt work) {
+	int countAhead(DispatchedAttempt work) {
 		return this.waiting.headSet(work).size();
 	}
 
