--- a/core/src/main/java/org/gullsaddle/agent/Admission.java
+++ b/core/src/main/java/org/gullsaddle/agent/Admission.java
@@ -273,8 +273,8 @@
 		}
 	}
 
-	private boolean wouldMissDeadline(Moment now, DispatchedAttempt work, long latest) {
-		return now.millis() + expectedWaitMillis(this.queue.countAhead(work)) + this.meanRunMillis >= latest;
+	private boolean wouldMissDeadline(Moment now, DispatchedAttempt work, long latestEnd) {
+		return now.millis() + expectedWaitMillis(this.queue.countAhead(work)) + this.meanRunMillis >= latestEnd;
 	}
 
 	private Refusal overloadedRefusal(int ahead) {
--- a/core/src/main/java/org/gullsaddle/route/Planner.java
+++ b/core/src/main/java/org/gullsaddle/route/Planner.java
@@ -133,27 +133,27 @@
 	private Option cascadeOption(Template template, TeamId team, TeamRule rule, List<VersionRule> stages) {
 		double threshold = passThreshold(rule);
 		double reachedRatio = 1;
-		double expected = 0;
+		double expectedQuality = 0;
 		double cost = 0;
 		VersionRule previous = null;
 		for (VersionRule stage : stages) {
-			QualityTracker.RatingKey subject = ratingKey(template, team, stage, previous);
+			QualityTracker.RatingKey key = ratingKey(template, team, stage, previous);
 			cost += reachedRatio * typicalCostMicros(stage);
 			if (stage.equals(stages.get(stages.size() - 1))) {
-				expected += reachedRatio * this.quality.lowerBound(subject, stage.quality());
+				expectedQuality += reachedRatio * this.quality.lowerBound(key, stage.quality());
 			}
 			else {
-				double passRatio = this.quality.passRatio(subject, stage.quality());
-				expected += reachedRatio * passRatio
-						* this.quality.meanPassingRating(subject, stage.quality(), threshold);
+				double passRatio = this.quality.passRatio(key, stage.quality());
+				expectedQuality += reachedRatio * passRatio
+						* this.quality.meanPassingRating(key, stage.quality(), threshold);
 				reachedRatio *= 1 - passRatio;
 			}
 			previous = stage;
 		}
 		String reason = "cascade, " + round(1 - reachedRatio) + " expected to pass at " + round(threshold)
-				+ ", expected quality " + round(expected) + " for target " + round(rule.qualityTarget());
+				+ ", expected quality " + round(expectedQuality) + " for target " + round(rule.qualityTarget());
 		List<ModelVersion> versions = stages.stream().map(VersionRule::version).toList();
-		return new Option(new Plan(versions, threshold, reason), cost, expected);
+		return new Option(new Plan(versions, threshold, reason), cost, expectedQuality);
 	}
 
 	/**
--- a/core/src/main/java/org/gullsaddle/route/RetryAfterJitter.java
+++ b/core/src/main/java/org/gullsaddle/route/RetryAfterJitter.java
@@ -18,8 +18,8 @@
 	}
 
 	/**
-	 * Returns a refusal of a request that was not run, with a retry time of the given
-	 * length to twice that.
+	 * Returns a refusal of a request that was not run, to be retried after the given time
+	 * to twice that time.
 	 */
 	Refusal notRun(RefusalReason reason, long millis) {
 		return Refusal.notRun(reason, addJitter(millis));
--- a/core/src/test/java/org/gullsaddle/agent/AdmissionTests.java
+++ b/core/src/test/java/org/gullsaddle/agent/AdmissionTests.java
@@ -124,8 +124,9 @@
 		}
 
 		/**
-		 * The queue is full of low work when high work comes. The last of the low is
-		 * refused at once, truly not run, and the high work takes its room.
+		 * The queue is full of attempts of a low rank when one of a high rank arrives.
+		 * The last of the low rank is refused at once, without having run, and the other
+		 * takes its place.
 		 */
 		@Test
 		void higherRankDisplacesTheLastOfAFullQueue() {
@@ -159,8 +160,9 @@
 		}
 
 		/**
-		 * The agent is paused, as by a stopped VM, while a dispatch lies in its socket.
-		 * It wakes after the deadline, when the caller has been told that all is over.
+		 * The agent is paused, as by a stopped VM, with a dispatch unread in its socket.
+		 * It resumes after the deadline, when the caller has already got its final
+		 * answer.
 		 */
 		@Test
 		void dispatchReadAfterItsDeadlineIsNotRun() {
@@ -183,8 +185,9 @@
 	class TemplateChecks {
 
 		/**
-		 * A version is withdrawn; an entry that has not heard of it still sends work. The
-		 * agent has the newer revision and refuses, truly not run.
+		 * A version is withdrawn, and an entry that does not know that yet still sends
+		 * attempts. The agent has the newer revision and refuses them without running
+		 * them.
 		 */
 		@Test
 		void newerRevisionOfTheAgentStopsAWithdrawnVersion() {
@@ -290,8 +293,8 @@
 	class Records {
 
 		/**
-		 * An answer's end goes to the entry only once a third node holds the line, or
-		 * after a tenth of a second without one.
+		 * The end of an answer is sent to its entry once a third node holds a copy of the
+		 * line, or after 100 ms without a copy.
 		 */
 		@Test
 		void answerEndWaitsForTheCopyOfItsLine() {
--- a/core/src/test/java/org/gullsaddle/route/RouterTests.java
+++ b/core/src/test/java/org/gullsaddle/route/RouterTests.java
@@ -131,8 +131,8 @@
 		}
 
 		/**
-		 * The cheap answer missed the bar, and no backend server takes the request for
-		 * the dear one. The caller gets the cheap one, which is worth more than none.
+		 * The first stage is rated below the threshold, and no agent accepts the second.
+		 * The caller gets the answer of the first stage, which is worth more than none.
 		 */
 		@Test
 		void answerBelowTheThresholdIsServedWhenTheNextStageFails() {
@@ -146,9 +146,10 @@
 		}
 
 		/**
-		 * The dear answer is not there at the deadline, and the caller gets the cheap
-		 * one. What ran for it ends later; the backend server is free then, and must
-		 * count as free, or it would get less work after each such end and none at last.
+		 * The second stage is still running at the deadline, and the caller gets the
+		 * answer of the first stage. When the attempt ends later, it must no longer count
+		 * as load. Otherwise its agent would get less work after each such end, and
+		 * finally none.
 		 */
 		@Test
 		void attemptThatEndsAfterItsRequestNoLongerCountsAsLoad() {
@@ -173,8 +174,8 @@
 		}
 
 		/**
-		 * Two words reached the caller, then the backend server broke off. The answer
-		 * goes on from them on another one, on the same version.
+		 * The backend server fails after a part of the answer was delivered. The answer
+		 * resumes after that part on another agent, with the same version.
 		 */
 		@Test
 		void brokenStreamResumesAfterTheDeliveredText() {
@@ -192,7 +193,8 @@
 		}
 
 		/**
-		 * Guards against a stream that is cut off beside a backend server that is free.
+		 * Guards against a stream that ends although an agent could resume it: one that
+		 * refused the request before the stream began.
 		 */
 		@Test
 		void brokenStreamResumesOnAnAgentThatRefusedEarlier() {
@@ -209,8 +211,8 @@
 		}
 
 		/**
-		 * A part of the answer is lost on the way. Splicing what follows would give the
-		 * caller a wrong answer that looks whole.
+		 * A chunk of the answer is lost. Appending the next one would give the caller a
+		 * wrong answer that looks complete.
 		 */
 		@Test
 		void missingChunkBreaksOffTheAttempt() {
@@ -275,8 +277,8 @@
 		}
 
 		/**
-		 * Every backend server fails. Without a budget each request would be sent several
-		 * times, and the load would feed itself.
+		 * Every backend server fails. Without a retry budget each request would be sent
+		 * several times, and the retries would add to the overload.
 		 */
 		@Test
 		void retryBudgetBoundsRetriesWhenEveryAttemptFails() {
@@ -317,8 +319,8 @@
 		}
 
 		/**
-		 * What the caller of an order is told, and what becomes of its key, when the
-		 * order's way is broken off at each place.
+		 * The verdict for the caller and the release of the key, for a fault at each step
+		 * of a call that may run only once.
 		 */
 		@ParameterizedTest
 		@CsvSource({ "no-link, NOT_RUN, true", "refused, NOT_RUN, true", "cut, MAY_HAVE_RUN, false",
@@ -375,8 +377,8 @@
 		}
 
 		/**
-		 * A call is sent again, and the store takes no record before its deadline. The
-		 * caller is told that it may have run, and the answer does not follow.
+		 * A call is repeated, and its record is not stored before its deadline. The
+		 * caller is told that it may have run, and gets no answer afterwards.
 		 */
 		@Test
 		void repeatedCallWhoseRecordIsNotStoredInTimeMayHaveRun() {
@@ -403,9 +405,8 @@
 		}
 
 		/**
-		 * The caller's deadline passes while the service still books; the booking's
-		 * answer comes after. It is kept whole under the key, for the caller to find when
-		 * it asks again.
+		 * The attempt ends after the caller's deadline. Its whole answer is stored under
+		 * the key, for the caller to get when it repeats the call.
 		 */
 		@Test
 		void lateAnswerIsStoredWholeForARepeatedCall() {
@@ -420,8 +421,8 @@
 		}
 
 		/**
-		 * The claim's answer comes after the caller was told that its order was not run.
-		 * The order must not be sent any more, and its key is given back.
+		 * The claim is granted after the caller was told that its request was not run.
+		 * The request must not be sent any more, and its key is released.
 		 */
 		@Test
 		void claimGrantedAfterTheRefusalSendsNothing() {
@@ -484,8 +485,8 @@
 	class Ejection {
 
 		/**
-		 * One backend server fails everything at once, and so always looks empty. Without
-		 * being left out for a while it would draw all work to itself.
+		 * One backend server fails every attempt at once and therefore always looks idle.
+		 * If it were not ejected for a while, it would attract all requests.
 		 */
 		@Test
 		void agentWithConsecutiveFailuresIsEjected() {
