--- a/core/src/main/java/org/gullsaddle/agent/Admission.java
+++ b/core/src/main/java/org/gullsaddle/agent/Admission.java
@@ -88,7 +88,7 @@
 
 	private boolean backendAvailable;
 
-	private boolean isDraining;
+	private boolean draining;
 
 	private boolean drainReported;
 
@@ -174,8 +174,8 @@
 	 * Returns whether new attempts are refused because the backend server is leaving.
 	 * @return true once it drains
 	 */
-	public boolean isDraining() {
-		return this.isDraining;
+	public boolean draining() {
+		return this.draining;
 	}
 
 	private void onDispatched(Moment now, AdmissionEvent.Dispatched event) {
@@ -206,7 +206,7 @@
 	 */
 	private Optional<Refusal> checkRunnable(Moment now, DispatchedAttempt work) {
 		Dispatch dispatch = work.dispatch();
-		if (this.isDraining) {
+		if (this.draining) {
 			return Optional.of(Refusal.notRun(RefusalReason.LEAVING, RETRY_AFTER_MILLIS));
 		}
 		if (!this.backendAvailable || !this.versions.contains(dispatch.version())) {
@@ -469,10 +469,10 @@
 	}
 
 	private void onDrainStarted() {
-		if (this.isDraining) {
+		if (this.draining) {
 			return;
 		}
-		this.isDraining = true;
+		this.draining = true;
 		this.actions.add(new AdmissionAction.AnnounceLeaving());
 		for (DispatchedAttempt work : this.queue.removeIf((waiting) -> true)) {
 			refuse(work, Refusal.notRun(RefusalReason.LEAVING, RETRY_AFTER_MILLIS));
@@ -480,7 +480,7 @@
 	}
 
 	private void reportDrained() {
-		if (this.isDraining && !this.drainReported && this.running.isEmpty() && this.pendingEnds.isEmpty()) {
+		if (this.draining && !this.drainReported && this.running.isEmpty() && this.pendingEnds.isEmpty()) {
 			this.drainReported = true;
 			this.actions.add(new AdmissionAction.Drained());
 		}
--- a/core/src/main/java/org/gullsaddle/route/RequestAdmission.java
+++ b/core/src/main/java/org/gullsaddle/route/RequestAdmission.java
@@ -27,7 +27,7 @@
 
 	private final RetryAfterJitter retryAfter;
 
-	private boolean setCutOff;
+	private boolean cutOff;
 
 	RequestAdmission(RouterSettings settings, TemplateBook templates, SuspectBook suspects,
 			RetryAfterJitter retryAfter) {
@@ -37,8 +37,8 @@
 		this.retryAfter = retryAfter;
 	}
 
-	void setCutOff(boolean isCutOff) {
-		this.setCutOff = isCutOff;
+	void cutOff(boolean isCutOff) {
+		this.cutOff = isCutOff;
 	}
 
 	/**
@@ -58,7 +58,7 @@
 		if (openCount >= this.settings.maxOpenRequests()) {
 			return Optional.of(this.retryAfter.notRun(RefusalReason.OVERLOADED, RETRY_AFTER_MILLIS));
 		}
-		if (this.setCutOff && team.cutOff() == CutOffBehaviour.REFUSE) {
+		if (this.cutOff && team.cutOff() == CutOffBehaviour.REFUSE) {
 			return Optional.of(this.retryAfter.notRun(RefusalReason.FORBIDDEN, CUT_OFF_RETRY_AFTER_MILLIS));
 		}
 		if (this.suspects.convicted(request.fingerprint())) {
