--- a/core/src/main/java/org/gullsaddle/agent/Admission.java
+++ b/core/src/main/java/org/gullsaddle/agent/Admission.java
@@ -174,7 +174,7 @@
 	 * Returns whether new attempts are refused because the backend server is leaving.
 	 * @return true once it drains
 	 */
-	public boolean draining() {
+	public boolean isDraining() {
 		return this.draining;
 	}
 
--- a/core/src/main/java/org/gullsaddle/route/RequestAdmission.java
+++ b/core/src/main/java/org/gullsaddle/route/RequestAdmission.java
@@ -37,7 +37,7 @@
 		this.retryAfter = retryAfter;
 	}
 
-	void cutOff(boolean isCutOff) {
+	void setCutOff(boolean isCutOff) {
 		this.cutOff = isCutOff;
 	}
 
--- a/core/src/main/java/org/gullsaddle/route/Router.java
+++ b/core/src/main/java/org/gullsaddle/route/Router.java
@@ -115,7 +115,7 @@
 			case RouterEvent.CallerDisconnected caller -> onCallerDisconnected(now, caller.request());
 			case RouterEvent.TemplateChanged changed -> onTemplateChanged(changed.revision());
 			case RouterEvent.HaltAnnounced announced -> this.versionGuard.learn(announced.halt());
-			case RouterEvent.FreshnessChanged freshness -> this.admission.cutOff(freshness.cutOff());
+			case RouterEvent.FreshnessChanged freshness -> this.admission.setCutOff(freshness.cutOff());
 			case RouterEvent.SuspectAnnounced announced -> onSuspectAnnounced(announced.suspicion());
 			case RouterEvent.AttemptAccepted accepted -> this.openRequests.onAttemptAccepted(accepted.attempt());
 			case RouterEvent.RecordStored stored -> onRecordStored(stored.request());
--- a/daemon/src/main/java/org/gullsaddle/backend/AgentNode.java
+++ b/daemon/src/main/java/org/gullsaddle/backend/AgentNode.java
@@ -170,7 +170,7 @@
 	 * @return true if it answers and is not leaving
 	 */
 	public synchronized boolean ready() {
-		return !this.admission.draining() && !this.admission.versions().isEmpty();
+		return !this.admission.isDraining() && !this.admission.versions().isEmpty();
 	}
 
 	@Override
@@ -404,7 +404,7 @@
 	private synchronized Frame.Status status() {
 		AgentInfo info = new AgentInfo(this.settings.node(), this.settings.region(), this.settings.dataCenter(),
 				this.admission.versions(), this.admission.load());
-		return new Frame.Status(info, this.admission.draining());
+		return new Frame.Status(info, this.admission.isDraining());
 	}
 
 	private Frame.InForce inForce() {
