--- a/core/src/main/java/org/gullsaddle/agent/AcceptedAttempt.java
+++ b/core/src/main/java/org/gullsaddle/agent/DispatchedAttempt.java
@@ -5,9 +5,10 @@
 import org.gullsaddle.base.NodeId;
 
 /**
- * An attempt that an agent has accepted.
+ * An attempt that was dispatched to an agent: queued, or running on its backend server.
+ * Stamps are of the hybrid clock.
  */
-final class AcceptedAttempt {
+final class DispatchedAttempt {
 
 	private final NodeId entry;
 
@@ -31,7 +32,7 @@
 
 	private boolean alone;
 
-	AcceptedAttempt(NodeId entry, Dispatch dispatch, long deadline, long arrival) {
+	DispatchedAttempt(NodeId entry, Dispatch dispatch, long deadline, long arrival) {
 		this.entry = entry;
 		this.dispatch = dispatch;
 		this.deadline = deadline;
@@ -92,8 +93,8 @@
 		return this.alone;
 	}
 
-	void alone(boolean nothingBeside) {
-		this.alone = nothingBeside;
+	void alone(boolean runsAlone) {
+		this.alone = runsAlone;
 	}
 
 	boolean isCancelled() {
--- a/core/src/main/java/org/gullsaddle/agent/FairQueue.java
+++ b/core/src/main/java/org/gullsaddle/agent/FairQueue.java
@@ -12,54 +12,54 @@
 import org.gullsaddle.base.TeamId;
 
 /**
- * Orders waiting attempts: a higher rank first, then teams by their weights, then
- * arrival.
+ * Orders the queued attempts by rank, the higher first, then fairly between teams by
+ * their weights, then by arrival.
  * <p>
- * Within a rank each attempt takes the finish tag of weighted fair queueing, so that one
- * team's flood delays its own requests and not those of the others.
+ * Within a rank, attempts are ordered by the finish tags of weighted fair queueing, so
+ * that a burst of one team delays its own requests and not those of other teams.
  */
 final class FairQueue {
 
-	private final TreeSet<AcceptedAttempt> waiting = new TreeSet<>(
-			Comparator.<AcceptedAttempt>comparingInt((work) -> -work.dispatch().rank())
-				.thenComparingDouble(AcceptedAttempt::finishTag)
-				.thenComparingLong(AcceptedAttempt::arrivalNumber));
+	private final TreeSet<DispatchedAttempt> waiting = new TreeSet<>(
+			Comparator.<DispatchedAttempt>comparingInt((work) -> -work.dispatch().rank())
+				.thenComparingDouble(DispatchedAttempt::finishTag)
+				.thenComparingLong(DispatchedAttempt::arrivalNumber));
 
 	private final Map<TeamId, Double> lastFinishTags = new HashMap<>();
 
 	private double virtualTime;
 
 	/**
-	 * Gives an attempt the place that it would have if it were added now.
+	 * Sets the finish tag that an attempt gets if it is added now.
 	 */
-	void assignFinishTag(AcceptedAttempt work) {
+	void assignFinishTag(DispatchedAttempt work) {
 		double start = Math.max(this.virtualTime, this.lastFinishTags.getOrDefault(work.dispatch().team(), 0.0));
 		work.assignFinishTag(start + 1 / work.dispatch().weight());
 	}
 
-	void add(AcceptedAttempt work) {
+	void add(DispatchedAttempt work) {
 		assignFinishTag(work);
 		this.lastFinishTags.put(work.dispatch().team(), work.finishTag());
 		this.waiting.add(work);
 	}
 
-	Optional<AcceptedAttempt> peek() {
+	Optional<DispatchedAttempt> peek() {
 		return this.waiting.isEmpty() ? Optional.empty() : Optional.of(this.waiting.first());
 	}
 
-	AcceptedAttempt last() {
+	DispatchedAttempt last() {
 		return this.waiting.last();
 	}
 
 	/**
-	 * Says whether an attempt would go before the last one that waits.
+	 * Returns whether an attempt would be placed before the last queued one.
 	 */
-	boolean wouldPrecedeLast(AcceptedAttempt work) {
+	boolean wouldPrecedeLast(DispatchedAttempt work) {
 		return !this.waiting.isEmpty() && this.waiting.headSet(work).size() < this.waiting.size();
 	}
 
-	AcceptedAttempt takeFirst() {
-		AcceptedAttempt work = this.waiting.pollFirst();
+	DispatchedAttempt takeFirst() {
+		DispatchedAttempt work = this.waiting.pollFirst();
 		this.virtualTime = Math.max(this.virtualTime, work.finishTag() - 1 / work.dispatch().weight());
 		if (this.waiting.isEmpty()) {
 			this.lastFinishTags.clear();
@@ -68,8 +68,8 @@
 		return work;
 	}
 
-	Optional<AcceptedAttempt> remove(AttemptId attempt) {
-		Optional<AcceptedAttempt> found = this.waiting.stream()
+	Optional<DispatchedAttempt> remove(AttemptId attempt) {
+		Optional<DispatchedAttempt> found = this.waiting.stream()
 			.filter((work) -> work.attempt().equals(attempt))
 			.findFirst();
 		found.ifPresent(this.waiting::remove);
@@ -77,18 +77,18 @@
 	}
 
 	/**
-	 * Takes out all that match, in their order.
+	 * Removes all matching attempts and returns them in order.
 	 */
-	List<AcceptedAttempt> removeIf(Predicate<AcceptedAttempt> condition) {
-		List<AcceptedAttempt> removed = this.waiting.stream().filter(condition).toList();
+	List<DispatchedAttempt> removeIf(Predicate<DispatchedAttempt> condition) {
+		List<DispatchedAttempt> removed = this.waiting.stream().filter(condition).toList();
 		removed.forEach(this.waiting::remove);
 		return removed;
 	}
 
 	/**
-	 * Returns how many waiting attempts go before one.
+	 * Returns the number of queued attempts before the given one.
 	 */
-	int countAhead(AcceptedAttempt work) {
+	int countAhead(DispatchedAttempt work) {
 		return this.waiting.headSet(work).size();
 	}
 
--- a/core/src/main/java/org/gullsaddle/route/RequestAdmission.java
+++ b/core/src/main/java/org/gullsaddle/route/RequestAdmission.java
@@ -27,7 +27,7 @@
 
 	private final RetryAfterJitter retryAfter;
 
-	private boolean setCutOff;
+	private boolean cutOff;
 
 	RequestAdmission(RouterSettings settings, TemplateTable templates, SuspectTracker suspects,
 			RetryAfterJitter retryAfter) {
@@ -38,7 +38,7 @@
 	}
 
 	void setCutOff(boolean isCutOff) {
-		this.setCutOff = isCutOff;
+		this.cutOff = isCutOff;
 	}
 
 	/**
@@ -58,7 +58,7 @@
 		if (openCount >= this.settings.maxOpenRequests()) {
 			return Optional.of(this.retryAfter.notRun(RefusalReason.OVERLOADED, RETRY_AFTER_MILLIS));
 		}
-		if (this.setCutOff && team.cutOff() == CutOffBehaviour.REFUSE) {
+		if (this.cutOff && team.cutOff() == CutOffBehaviour.REFUSE) {
 			return Optional.of(this.retryAfter.notRun(RefusalReason.FORBIDDEN, CUT_OFF_RETRY_AFTER_MILLIS));
 		}
 		if (this.suspects.isBlocked(request.fingerprint())) {
