--- a/daemon/src/main/java/org/gullsaddle/gateway/DecisionLog.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/DecisionLog.java
@@ -403,7 +403,7 @@
 	 * @param attempts how many replicas it was sent to
 	 * @param overShare whether its team sent more than its share, so that it waited
 	 * behind others of its rank
-	 * @param toldMillis retry delay sent to the caller, negative if none
+	 * @param retryAfterMillis retry delay sent to the caller, negative if none
 	 * @param objectiveMillis objective of its route, 0 if no route matched
 	 * @param configVersion version of the configuration in force
 	 * @param fleetAgeMillis time since the platform was last read
--- a/daemon/src/main/java/org/gullsaddle/gateway/Gateway.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/Gateway.java
@@ -27,7 +27,11 @@
  * One gateway node.
  *
  * <pre>
- * Gateway gateway = Gateway.builder(settings).source(source, stateWriter).store(store).codec(codec).build(vertx);
+ * Gateway gateway = Gateway.builder(settings)
+ *     .source(source, stateWriter)
+ *     .store(store)
+ *     .codec(codec)
+ *     .build(vertx);
  * gateway.start();
  * ...
  * gateway.drain();
