--- a/daemon/src/main/java/org/gullsaddle/gateway/AnswerRelay.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/AnswerRelay.java
@@ -30,10 +30,10 @@
 
 	/**
 	 * Creates a relay.
-	 * @param giveUp ends the request if its caller reads too slowly
+	 * @param onAbort ends the request if its caller reads too slowly
 	 */
-	AnswerRelay(ServedRequest request, Gateway gateway, Runnable giveUp) {
-		this.sink = gateway.buffers().newSink(request, giveUp);
+	AnswerRelay(ServedRequest request, Gateway gateway, Runnable onAbort) {
+		this.sink = gateway.buffers().newSink(request, onAbort);
 		this.writer = new CallerAnswerWriter(request.http().response(), this.sink, gateway::isStopping);
 	}
 
@@ -72,13 +72,13 @@
 	 * @return whether at least one event was written
 	 */
 	boolean relayEvents(Attempt from, Buffer bytes) {
-		Buffer whole = this.events.add(bytes);
-		if (whole.length() > 0) {
+		Buffer complete = this.events.add(bytes);
+		if (complete.length() > 0) {
 			this.writer.begin(from.answer().status(), this.headers);
-			this.writer.write(whole);
+			this.writer.write(complete);
 		}
 		this.sink.onRead(from, this.events.incompleteBytes());
-		return whole.length() > 0;
+		return complete.length() > 0;
 	}
 
 	/**
@@ -111,12 +111,12 @@
 
 	/**
 	 * Sends an error of the gateway itself instead.
-	 * @param afterMillis when the caller may retry, in milliseconds, if the request was
+	 * @param retryAfter when the caller may retry, in milliseconds, if the request was
 	 * not run
 	 */
-	void sendError(int status, Optional<Long> afterMillis, String reason) {
-		this.retryAfterMillis = afterMillis.orElse(-1L);
-		this.writer.writeError(status, afterMillis, reason);
+	void sendError(int status, Optional<Long> retryAfter, String reason) {
+		this.retryAfterMillis = retryAfter.orElse(-1L);
+		this.writer.writeError(status, retryAfter, reason);
 	}
 
 	/**
--- a/daemon/src/main/java/org/gullsaddle/gateway/AnswerSink.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/AnswerSink.java
@@ -22,11 +22,11 @@
 
 	/**
 	 * Handles bytes that were read from a replica.
-	 * @param from the attempt that received them
-	 * @param kept number of bytes buffered because they do not yet form a complete event
-	 * or answer
+	 * @param attempt the attempt that received them
+	 * @param incompleteBytes number of bytes buffered because they do not yet form a
+	 * complete event or answer
 	 */
-	void onRead(Attempt from, int kept);
+	void onRead(Attempt attempt, int incompleteBytes);
 
 	/**
 	 * Writes straight to the response; the connection buffers what the caller does not
@@ -52,7 +52,7 @@
 		}
 
 		@Override
-		public void onRead(Attempt from, int kept) {
+		public void onRead(Attempt attempt, int incompleteBytes) {
 			// No flow control: the replica is read as fast as it sends.
 		}
 
--- a/daemon/src/main/java/org/gullsaddle/gateway/BackpressureController.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/BackpressureController.java
@@ -54,13 +54,13 @@
 	/** Replicas for which a note is scheduled. */
 	private final Set<ReplicaId> scheduled = new HashSet<>();
 
-	BackpressureController(Vertx vertx, Store store, FleetState fleet, BackpressureBook book, DecisionLog log,
+	BackpressureController(Vertx vertx, Store store, FleetState fleet, BackpressureBook table, DecisionLog log,
 			Telemetry telemetry) {
 		this.vertx = vertx;
 		this.store = store;
 		this.fleet = fleet;
-		this.table = book;
-		this.news = new LimitNews(book, RandomGenerator.getDefault());
+		this.table = table;
+		this.news = new LimitNews(table, RandomGenerator.getDefault());
 		this.log = log;
 		this.telemetry = telemetry;
 		telemetry.gauge("replicas.limited", this.table::countLimited);
@@ -149,7 +149,7 @@
 			scheduleNote(RETRY_DELAY_MILLIS, id);
 			return;
 		}
-		this.news.toTell(id).ifPresent((told) -> note.write(Json.write(told), () -> {
+		this.news.toTell(id).ifPresent((limitNote) -> note.write(Json.write(limitNote), () -> {
 			this.news.notWritten(id);
 			scheduleNote(RETRY_DELAY_MILLIS, id);
 		}));
--- a/daemon/src/main/java/org/gullsaddle/gateway/BufferManager.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/BufferManager.java
@@ -57,10 +57,10 @@
 
 	/**
 	 * Creates the sink for an answer.
-	 * @param giveUp aborts the answer
+	 * @param onAbort aborts the answer
 	 */
-	AnswerSink newSink(ServedRequest request, Runnable giveUp) {
-		return isEnabled() ? new FlowControlledSink(request, this, giveUp)
+	AnswerSink newSink(ServedRequest request, Runnable onAbort) {
+		return isEnabled() ? new FlowControlledSink(request, this, onAbort)
 				: new AnswerSink.Direct(request.http().response());
 	}
 
--- a/daemon/src/main/java/org/gullsaddle/gateway/CallerAnswerWriter.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/CallerAnswerWriter.java
@@ -79,16 +79,16 @@
 
 	/**
 	 * Writes an error of the gateway itself.
-	 * @param afterMillis when the caller may retry, in milliseconds, if the request was
+	 * @param retryAfter when the caller may retry, in milliseconds, if the request was
 	 * not run
 	 */
-	void writeError(int status, Optional<Long> afterMillis, String reason) {
+	void writeError(int status, Optional<Long> retryAfter, String reason) {
 		if (this.response.closed()) {
 			return;
 		}
 		this.begun = true;
 		writeHead(status, MultiMap.caseInsensitiveMultiMap());
-		afterMillis.ifPresent((millis) -> this.response.putHeader("Retry-After",
+		retryAfter.ifPresent((millis) -> this.response.putHeader("Retry-After",
 				String.format(Locale.ROOT, "%.2f", millis / MILLIS_PER_SECOND)));
 		this.response.putHeader(HttpHeaders.CONTENT_TYPE, "application/json");
 		this.response.end("{\"error\":\"" + reason.replace('"', '\'') + "\"}\n");
--- a/daemon/src/main/java/org/gullsaddle/gateway/Cascade.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/Cascade.java
@@ -80,19 +80,19 @@
 	 * @param confidence the model's confidence in its answer
 	 * @param larger the model that would be asked instead
 	 * @param choice the replica that would run it, if any
-	 * @param left the remaining time in milliseconds
+	 * @param remainingMillis the remaining time in milliseconds
 	 * @return whether it is dropped
 	 */
-	boolean decideDrop(int confidence, String larger, Optional<Choice> choice, long left) {
-		String kept = reasonToKeep(confidence, choice, left);
+	boolean decideDrop(int confidence, String larger, Optional<Choice> choice, long remainingMillis) {
+		String reason = reasonToKeep(confidence, choice, remainingMillis);
 		this.log.answerDoubted(this.request.id(), this.model, confidence, this.decisions.models().enough(), larger,
-				kept);
-		if (kept.isEmpty()) {
+				reason);
+		if (reason.isEmpty()) {
 			this.doubtedModel = this.model;
 			this.doubtedConfidence = confidence;
 			this.nextModel = larger;
 		}
-		return kept.isEmpty();
+		return reason.isEmpty();
 	}
 
 	/**
@@ -105,35 +105,35 @@
 	/**
 	 * Returns why an answer of low confidence is kept, empty if it is dropped.
 	 */
-	private String reasonToKeep(int confidence, Optional<Choice> choice, long left) {
-		if (!this.rule.mayDrop(left)) {
+	private String reasonToKeep(int confidence, Optional<Choice> choice, long remainingMillis) {
+		if (!this.rule.mayDrop(remainingMillis)) {
 			return "no attempt or time left";
 		}
 		if (choice.isEmpty()) {
 			return "no replica";
 		}
-		String tooLong = reasonTooSlow(confidence, choice.get(), left);
-		if (!tooLong.isEmpty()) {
-			return tooLong;
+		String tooSlow = reasonTooSlow(confidence, choice.get(), remainingMillis);
+		if (!tooSlow.isEmpty()) {
+			return tooSlow;
 		}
 		return this.decisions.spendRetry() ? "" : "no retry left";
 	}
 
-	private String reasonTooSlow(int confidence, Choice choice, long left) {
+	private String reasonTooSlow(int confidence, Choice choice, long remainingMillis) {
 		ModelChooser models = this.decisions.models();
 		if (models.isBounded()) {
-			return reasonNotToQueue(choice, left);
+			return reasonNotToQueue(choice, remainingMillis);
 		}
 		Delay delay = choice.delay();
-		return models.worthAsking(this.route, confidence, delay, left) ? ""
-				: "in " + Math.round(delay.expectedMillis()) + " of " + left + " ms";
+		return models.worthAsking(this.route, confidence, delay, remainingMillis) ? ""
+				: "in " + Math.round(delay.expectedMillis()) + " of " + remainingMillis + " ms";
 	}
 
-	private String reasonNotToQueue(Choice choice, long left) {
+	private String reasonNotToQueue(Choice choice, long remainingMillis) {
 		QueueBounds bounds = this.decisions.bounds(this.request.config());
 		// Requests beyond a team's share queue behind the other requests of their rank.
 		int rank = this.request.rank() + (this.priority.isOverShare() ? 1 : 0);
-		boolean joined = this.decisions.models().mayQueue(bounds, rank, choice, left);
+		boolean joined = this.decisions.models().mayQueue(bounds, rank, choice, remainingMillis);
 		this.telemetry.count(joined ? "larger.model.queues.joined" : "larger.model.queues.too.long");
 		return joined ? "" : "queue of " + Math.round(choice.queueMillis()) + " ms, " + Math.round(bounds.millis(rank))
 				+ " ms for rank " + rank;
--- a/daemon/src/main/java/org/gullsaddle/gateway/ChannelPool.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/ChannelPool.java
@@ -59,9 +59,9 @@
 	 * connection that is just being closed
 	 */
 	Future<Channel> acquire(Replica replica, boolean fresh) {
-		Deque<Channel> kept = this.idle.get(replica.id());
-		while (!fresh && kept != null && !kept.isEmpty()) {
-			Channel channel = kept.pollLast();
+		Deque<Channel> idleChannels = this.idle.get(replica.id());
+		while (!fresh && idleChannels != null && !idleChannels.isEmpty()) {
+			Channel channel = idleChannels.pollLast();
 			if (channel.isUsable(replica, MonotonicClock.millis())) {
 				return Future.succeededFuture(channel);
 			}
@@ -87,16 +87,16 @@
 	/**
 	 * Returns a connection to the pool after a complete answer.
 	 * @param channel the connection
-	 * @param keepMillis how long the replica keeps it open, in milliseconds
+	 * @param keepAliveMillis how long the replica keeps it open, in milliseconds
 	 */
-	void release(Channel channel, long keepMillis) {
-		Deque<Channel> kept = this.idle.computeIfAbsent(channel.replica.id(), (id) -> new ArrayDeque<>());
-		if (channel.closed || kept.size() >= MAX_IDLE_PER_REPLICA || keepMillis <= 0) {
+	void release(Channel channel, long keepAliveMillis) {
+		Deque<Channel> idleChannels = this.idle.computeIfAbsent(channel.replica.id(), (id) -> new ArrayDeque<>());
+		if (channel.closed || idleChannels.size() >= MAX_IDLE_PER_REPLICA || keepAliveMillis <= 0) {
 			channel.close();
 			return;
 		}
-		channel.idleUntil = MonotonicClock.millis() + Math.min(MAX_IDLE_MILLIS, keepMillis / 2);
-		kept.addLast(channel);
+		channel.idleUntil = MonotonicClock.millis() + Math.min(MAX_IDLE_MILLIS, keepAliveMillis / 2);
+		idleChannels.addLast(channel);
 	}
 
 	/**
@@ -105,15 +105,15 @@
 	 */
 	void closeExpired(Set<ReplicaId> known) {
 		for (ReplicaId id : new HashSet<>(this.idle.keySet())) {
-			Deque<Channel> kept = this.idle.get(id);
-			kept.removeIf((channel) -> {
-				boolean over = channel.closed || MonotonicClock.millis() > channel.idleUntil || !known.contains(id);
-				if (over) {
+			Deque<Channel> idleChannels = this.idle.get(id);
+			idleChannels.removeIf((channel) -> {
+				boolean expired = channel.closed || MonotonicClock.millis() > channel.idleUntil || !known.contains(id);
+				if (expired) {
 					channel.close();
 				}
-				return over;
+				return expired;
 			});
-			if (kept.isEmpty()) {
+			if (idleChannels.isEmpty()) {
 				this.idle.remove(id);
 			}
 		}
--- a/daemon/src/main/java/org/gullsaddle/gateway/ConfigRefresher.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/ConfigRefresher.java
@@ -89,10 +89,10 @@
 	 * Adds the time for which the machine was suspended to the age of what is known.
 	 */
 	void checkForSuspension(long now) {
-		long slept = this.suspendDetector.check(now, System.currentTimeMillis());
-		if (slept > 0) {
-			this.log.nodeSuspended(slept);
-			this.state.onSuspended(slept);
+		long suspendedMillis = this.suspendDetector.check(now, System.currentTimeMillis());
+		if (suspendedMillis > 0) {
+			this.log.nodeSuspended(suspendedMillis);
+			this.state.onSuspended(suspendedMillis);
 		}
 	}
 
--- a/daemon/src/main/java/org/gullsaddle/gateway/CrashController.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/CrashController.java
@@ -342,11 +342,11 @@
 
 	private void onPeerNote(FleetChange.Noted noted, boolean own) {
 		try {
-			CrashNote told = Json.read(noted.value(), CrashNote.class);
+			CrashNote crashNote = Json.read(noted.value(), CrashNote.class);
 			long now = MonotonicClock.millis();
 			long timeOfDay = System.currentTimeMillis();
-			CrashBook.Learned learned = own ? this.crashTable.learnOwn(now, timeOfDay, told)
-					: this.crashTable.learn(now, timeOfDay, told);
+			CrashBook.Learned learned = own ? this.crashTable.learnOwn(now, timeOfDay, crashNote)
+					: this.crashTable.learn(now, timeOfDay, crashNote);
 			logBlocked(learned.refused(), noted.key());
 			learned.cleared().forEach((trait) -> this.log.traitUnblocked(trait, noted.key()));
 			if (this.crashTable.toldRefused(learned.cleared())) {
@@ -375,10 +375,10 @@
 			scheduleNote(COLLECT_MILLIS);
 			return;
 		}
-		Optional<CrashNote> told = this.crashTable.note(MonotonicClock.millis(), System.currentTimeMillis());
-		if (told.isPresent()) {
+		Optional<CrashNote> crashNote = this.crashTable.note(MonotonicClock.millis(), System.currentTimeMillis());
+		if (crashNote.isPresent()) {
 			this.hasWritten = true;
-			this.note.write(Json.write(told.get()), () -> scheduleNote(RETRY_DELAY_MILLIS));
+			this.note.write(Json.write(crashNote.get()), () -> scheduleNote(RETRY_DELAY_MILLIS));
 		}
 	}
 
--- a/daemon/src/main/java/org/gullsaddle/gateway/CrashTrials.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/CrashTrials.java
@@ -42,10 +42,10 @@
 
 	private final Set<Trait> pending = new HashSet<>();
 
-	CrashTrials(Store store, String node, CrashBook book, DecisionLog log, Telemetry telemetry) {
+	CrashTrials(Store store, String node, CrashBook crashTable, DecisionLog log, Telemetry telemetry) {
 		this.store = store;
 		this.node = node;
-		this.crashTable = book;
+		this.crashTable = crashTable;
 		this.log = log;
 		this.telemetry = telemetry;
 	}
@@ -98,10 +98,10 @@
 		}
 	}
 
-	private void onDecided(CrashBook.Trial trial, boolean mine, ServedRequest request, Runnable then) {
+	private void onDecided(CrashBook.Trial trial, boolean admitted, ServedRequest request, Runnable then) {
 		this.pending.remove(trial.trait());
 		this.crashTable.tried(MonotonicClock.millis(), trial);
-		if (mine) {
+		if (admitted) {
 			this.telemetry.count("crash.trials");
 			this.log.trialAdmitted(trial, request.id());
 			request.markTrial();
--- a/daemon/src/main/java/org/gullsaddle/gateway/DecisionLog.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/DecisionLog.java
@@ -183,7 +183,7 @@
 			boolean failure) {
 		if (shouldWrite(failure)) {
 			Choice choice = attempt.choice();
-			Optional<LoadReport> told = Optional.ofNullable(attempt.answer()).flatMap(ReplicaAnswer::load);
+			Optional<LoadReport> reportedLoad = Optional.ofNullable(attempt.answer()).flatMap(ReplicaAnswer::load);
 			LOG.atInfo()
 				.addKeyValue("id", request.id())
 				.addKeyValue("parts", request.caller().prompt().sharedParts())
@@ -201,8 +201,8 @@
 				.addKeyValue("expectedLoss", Math.round(PERCENT * choice.loss()))
 				.addKeyValue("pacePercent", Math.round(PERCENT * choice.pace().factor()))
 				.addKeyValue("load", choice.load().requests())
-				.addKeyValue("toldRunning", told.map(LoadReport::running).orElse(-1))
-				.addKeyValue("toldWaiting", told.map(LoadReport::waiting).orElse(-1))
+				.addKeyValue("toldRunning", reportedLoad.map(LoadReport::running).orElse(-1))
+				.addKeyValue("toldWaiting", reportedLoad.map(LoadReport::waiting).orElse(-1))
 				.addKeyValue("end", end)
 				.addKeyValue("millis", millis)
 				.addKeyValue("firstEventMillis", stream.hasBegun() ? stream.firstEventMillis(0) : -1)
@@ -211,7 +211,7 @@
 		}
 	}
 
-	void answerDoubted(String id, String model, int confidence, double enough, String larger, String kept) {
+	void answerDoubted(String id, String model, int confidence, double enough, String larger, String reasonKept) {
 		if (shouldWrite(false)) {
 			LOG.atInfo()
 				.addKeyValue("id", id)
@@ -219,8 +219,8 @@
 				.addKeyValue("confidence", confidence)
 				.addKeyValue("enough", Math.round(enough))
 				.addKeyValue("larger", larger)
-				.addKeyValue("outcome", kept.isEmpty() ? "dropped" : "kept")
-				.addKeyValue("reason", kept)
+				.addKeyValue("outcome", reasonKept.isEmpty() ? "dropped" : "kept")
+				.addKeyValue("reason", reasonKept)
 				.log("answer doubted");
 		}
 	}
@@ -316,13 +316,13 @@
 		}
 	}
 
-	void traitBlocked(Trait trait, CrashBook book, String source) {
+	void traitBlocked(Trait trait, CrashBook crashTable, String source) {
 		if (shouldWrite(true)) {
 			LOG.atInfo()
 				.addKeyValue("trait", trait.value())
 				.addKeyValue("source", source)
-				.addKeyValue("crashes", book.crashesWith(trait))
-				.addKeyValue("soundBefore", book.everSound(List.of(trait)))
+				.addKeyValue("crashes", crashTable.crashesWith(trait))
+				.addKeyValue("soundBefore", crashTable.everSound(List.of(trait)))
 				.log("refused for crashes");
 		}
 	}
--- a/daemon/src/main/java/org/gullsaddle/gateway/FleetPoller.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/FleetPoller.java
@@ -127,14 +127,14 @@
 		if (this.stopped) {
 			return;
 		}
-		boolean whole = this.revision < 0;
+		boolean fullRead = this.revision < 0;
 		this.requestedAt = MonotonicClock.millis();
-		Single<FleetSource.Update> call = whole ? this.source.readAll()
+		Single<FleetSource.Update> call = fullRead ? this.source.readAll()
 				: this.source.awaitChanges(this.revision, POLL_WAIT_MILLIS);
-		call.subscribe((news) -> onUpdate(news, whole), this::onFailure);
+		call.subscribe((update) -> onUpdate(update, fullRead), this::onFailure);
 	}
 
-	void onUpdate(FleetSource.Update news, boolean whole) {
+	void onUpdate(FleetSource.Update update, boolean fullRead) {
 		long now = MonotonicClock.millis();
 		if (this.failures >= FAILURES_UNTIL_UNAVAILABLE) {
 			this.log.dependencyRegained("store", now);
@@ -142,30 +142,30 @@
 		this.failures = 0;
 		this.state.directory().storeAway(now, false);
 		this.state.onUpdate(this.requestedAt);
-		if (whole) {
+		if (fullRead) {
 			this.readAllAt = now;
-			this.state.retain(now, news.changes());
+			this.state.retain(now, update.changes());
 		}
-		for (FleetChange change : news.changes()) {
+		for (FleetChange change : update.changes()) {
 			if (this.state.apply(now, change)) {
-				this.log.fleetChange(change, news.revision(), now - this.requestedAt);
+				this.log.fleetChange(change, update.revision(), now - this.requestedAt);
 			}
 			this.listener.accept(change);
 		}
-		logIfSlow(news, now);
-		this.revision = news.revision();
-		long pause = whole ? 0 : delayMillis(this.requestedAt, now, intervalMillis(now));
-		if (pause == 0) {
+		logIfSlow(update, now);
+		this.revision = update.revision();
+		long delay = fullRead ? 0 : delayMillis(this.requestedAt, now, intervalMillis(now));
+		if (delay == 0) {
 			poll();
 			return;
 		}
-		this.vertx.setTimer(pause, (timer) -> poll());
+		this.vertx.setTimer(delay, (timer) -> poll());
 	}
 
-	private void logIfSlow(FleetSource.Update news, long now) {
-		long took = MonotonicClock.millis() - now;
-		if (took >= SLOW_MILLIS || now - this.requestedAt >= POLL_WAIT_MILLIS + SLOW_MILLIS) {
-			this.log.slowUpdate(news.changes().size(), news.revision(), now - this.requestedAt, took);
+	private void logIfSlow(FleetSource.Update update, long now) {
+		long appliedMillis = MonotonicClock.millis() - now;
+		if (appliedMillis >= SLOW_MILLIS || now - this.requestedAt >= POLL_WAIT_MILLIS + SLOW_MILLIS) {
+			this.log.slowUpdate(update.changes().size(), update.revision(), now - this.requestedAt, appliedMillis);
 		}
 	}
 
@@ -191,8 +191,8 @@
 	/**
 	 * Returns the delay before the next call, in milliseconds.
 	 */
-	static long delayMillis(long askedAt, long now, long every) {
-		return Math.max(0, askedAt + every - now);
+	static long delayMillis(long askedAt, long now, long interval) {
+		return Math.max(0, askedAt + interval - now);
 	}
 
 	private void onFailure(Throwable failure) {
@@ -214,8 +214,8 @@
 			poll();
 			return;
 		}
-		long pause = Math.min(MAX_RETRY_DELAY_MILLIS, RETRY_DELAY_MILLIS * this.failures);
-		this.vertx.setTimer(pause, (timer) -> poll());
+		long delay = Math.min(MAX_RETRY_DELAY_MILLIS, RETRY_DELAY_MILLIS * this.failures);
+		this.vertx.setTimer(delay, (timer) -> poll());
 	}
 
 }
--- a/daemon/src/main/java/org/gullsaddle/gateway/FlowControlledSink.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/FlowControlledSink.java
@@ -52,12 +52,13 @@
 	/** Whether the answer was aborted: nothing may make it look complete. */
 	private boolean discarded;
 
-	FlowControlledSink(ServedRequest request, BufferManager holdings, Runnable giveUp) {
+	FlowControlledSink(ServedRequest request, BufferManager buffers, Runnable abortHandler) {
 		this.response = request.http().response();
-		this.buffers = holdings;
-		this.onAbort = giveUp;
-		long pace = Math.max(MAX_PAUSE_MILLIS, Math.max(request.route().gapMillis(), request.route().targetMillis()));
-		this.holder = holdings.open(request.id(), pace, this);
+		this.buffers = buffers;
+		this.onAbort = abortHandler;
+		long maxPauseMillis = Math.max(MAX_PAUSE_MILLIS,
+				Math.max(request.route().gapMillis(), request.route().targetMillis()));
+		this.holder = buffers.open(request.id(), maxPauseMillis, this);
 		this.response.setWriteQueueMaxSize(CONNECTION_QUEUE_BYTES);
 		this.response.drainHandler((nothing) -> pump());
 	}
@@ -130,12 +131,12 @@
 	}
 
 	@Override
-	public void onRead(Attempt attempt, int keptBytes) {
+	public void onRead(Attempt attempt, int newIncompleteBytes) {
 		if (this.source != attempt) {
 			this.source = attempt;
 			this.paused = false;
 		}
-		this.incompleteBytes = keptBytes;
+		this.incompleteBytes = newIncompleteBytes;
 		updateHolder();
 		boolean full = !this.queued.isEmpty() && !this.readingAhead;
 		if ((full || !this.holder.mayRead()) && !this.paused) {
--- a/daemon/src/main/java/org/gullsaddle/gateway/Gateway.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/Gateway.java
@@ -117,15 +117,15 @@
 		this.pool = new ChannelPool(vertx);
 		this.nodeRegistry = new NodeRegistry(vertx, builder.store, this.settings,
 				() -> this.fleet.directory().storeAway());
-		BackpressureBook book = new BackpressureBook(new NodeId(this.settings.node()), this.settings.place(),
-				this.nodeRegistry::peers, RandomGenerator.getDefault());
-		this.backpressure = new BackpressureController(vertx, builder.store, this.fleet, book, this.log,
+		BackpressureBook backpressureTable = new BackpressureBook(new NodeId(this.settings.node()),
+				this.settings.place(), this.nodeRegistry::peers, RandomGenerator.getDefault());
+		this.backpressure = new BackpressureController(vertx, builder.store, this.fleet, backpressureTable, this.log,
 				this.telemetry);
 		this.loadProbe = new LoadProbe(vertx, this.pool, this.codec, this.routingState.picker(), this.backpressure,
 				this.log);
 		this.crashes = new CrashController(vertx, builder.store, this.settings.node(), this.pool, this.routingState,
 				this.nodeRegistry, this.log, this.telemetry);
-		this.rules = new ReplicaRules(this.fleet.directory(), this.settings.place(), this.coldPace, book,
+		this.rules = new ReplicaRules(this.fleet.directory(), this.settings.place(), this.coldPace, backpressureTable,
 				this.crashes.crashTable());
 		this.rollouts = new RolloutController(vertx, builder.board, builder.store, this.settings.node(), this.fleet,
 				this.log);
--- a/daemon/src/main/java/org/gullsaddle/gateway/LoadProbe.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/LoadProbe.java
@@ -66,13 +66,13 @@
 			.map((replica) -> probe(replica, TIMEOUT_MILLIS).map(Optional::isPresent))
 			.toList();
 		Future.join(answers).onComplete((all) -> {
-			List<Replica> told = new ArrayList<>();
+			List<Replica> reported = new ArrayList<>();
 			for (int i = 0; i < answers.size(); i++) {
 				if (answers.get(i).result()) {
-					told.add(replicas.get(i));
+					reported.add(replicas.get(i));
 				}
 			}
-			then.accept(told);
+			then.accept(reported);
 		});
 	}
 
--- a/daemon/src/main/java/org/gullsaddle/gateway/ReplicaChooser.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/ReplicaChooser.java
@@ -43,8 +43,8 @@
 	 * Returns whether there is a usable replica that the request was not sent to yet.
 	 */
 	boolean hasUntried(Set<ReplicaId> tried, String model) {
-		Set<ReplicaId> leftOut = excluded(tried, model);
-		return usable(leftOut, model).stream().anyMatch((replica) -> !leftOut.contains(replica.id()));
+		Set<ReplicaId> excluded = excluded(tried, model);
+		return usable(excluded, model).stream().anyMatch((replica) -> !excluded.contains(replica.id()));
 	}
 
 	/**
@@ -65,12 +65,12 @@
 	/**
 	 * Returns the retry delay for the caller if there is no replica, in milliseconds.
 	 */
-	long retryAfterMillis(ReplicaRules.NoReplica why, String model) {
-		if (REASONS_WITH_KNOWN_DELAY.contains(why)) {
+	long retryAfterMillis(ReplicaRules.NoReplica reason, String model) {
+		if (REASONS_WITH_KNOWN_DELAY.contains(reason)) {
 			return this.gateway.routingState()
 				.retryAfterMillis(rules().backMillis(MonotonicClock.millis(), requirements(model)));
 		}
-		return this.gateway.routingState().retryAfterMillis(why);
+		return this.gateway.routingState().retryAfterMillis(reason);
 	}
 
 	/**
@@ -106,8 +106,8 @@
 		return rules().leftOut(MonotonicClock.millis(), requirements(model), tried);
 	}
 
-	private List<Replica> usable(Set<ReplicaId> leftOut, String model) {
-		return rules().usable(MonotonicClock.millis(), requirements(model), leftOut);
+	private List<Replica> usable(Set<ReplicaId> excluded, String model) {
+		return rules().usable(MonotonicClock.millis(), requirements(model), excluded);
 	}
 
 	private ReplicaRules.Wanted requirements(String model) {
@@ -126,31 +126,31 @@
 	 * @param then receives the choice, at once or after the probes
 	 */
 	void choose(Task task, Set<ReplicaId> tried, Consumer<Optional<Choice>> then) {
-		Set<ReplicaId> leftOut = excluded(tried, task.model());
-		List<Replica> usable = usable(leftOut, task.model());
+		Set<ReplicaId> excluded = excluded(tried, task.model());
+		List<Replica> usable = usable(excluded, task.model());
 		if (this.request.isTrial()) {
-			then.accept(chooseLeastLoaded(task, usable, leftOut));
+			then.accept(chooseLeastLoaded(task, usable, excluded));
 			return;
 		}
-		List<Replica> asked = replicasToProbe(usable, task, leftOut);
-		if (asked.isEmpty()) {
-			then.accept(picker().pick(MonotonicClock.millis(), usable, leftOut, task));
+		List<Replica> probed = replicasToProbe(usable, task, excluded);
+		if (probed.isEmpty()) {
+			then.accept(picker().pick(MonotonicClock.millis(), usable, excluded, task));
 			return;
 		}
-		this.gateway.loadProbe().probe(asked, (told) -> {
-			Set<ReplicaId> leftOutNow = excluded(tried, task.model());
-			List<Replica> stillUsable = usable(leftOutNow, task.model());
-			List<Replica> left = withoutUnanswered(stillUsable, asked, told);
-			then.accept(picker().pick(MonotonicClock.millis(), left, leftOutNow, task)
-				.or(() -> picker().pick(MonotonicClock.millis(), stillUsable, leftOutNow, task)));
+		this.gateway.loadProbe().probe(probed, (reported) -> {
+			Set<ReplicaId> excludedNow = excluded(tried, task.model());
+			List<Replica> stillUsable = usable(excludedNow, task.model());
+			List<Replica> candidates = withoutUnanswered(stillUsable, probed, reported);
+			then.accept(picker().pick(MonotonicClock.millis(), candidates, excludedNow, task)
+				.or(() -> picker().pick(MonotonicClock.millis(), stillUsable, excludedNow, task)));
 		});
 	}
 
 	/**
 	 * Chooses the replica with the fewest requests, since they are lost if it crashes.
 	 */
-	private Optional<Choice> chooseLeastLoaded(Task task, List<Replica> usable, Set<ReplicaId> leftOut) {
-		return picker().best(MonotonicClock.millis(), usable, leftOut, task, usable.size())
+	private Optional<Choice> chooseLeastLoaded(Task task, List<Replica> usable, Set<ReplicaId> excluded) {
+		return picker().best(MonotonicClock.millis(), usable, excluded, task, usable.size())
 			.stream()
 			.min(Comparator.comparingDouble((choice) -> choice.load().requests()));
 	}
@@ -161,12 +161,12 @@
 	 */
 	Optional<Choice> chooseAmongReported(Task task, Set<ReplicaId> tried) {
 		long now = MonotonicClock.millis();
-		Set<ReplicaId> leftOut = new HashSet<>(excluded(tried, task.model()));
-		List<Replica> usable = usable(leftOut, task.model());
+		Set<ReplicaId> excluded = new HashSet<>(excluded(tried, task.model()));
+		List<Replica> usable = usable(excluded, task.model());
 		usable.stream()
 			.filter((replica) -> !picker().toldLately(now, replica))
-			.forEach((replica) -> leftOut.add(replica.id()));
-		return picker().pick(now, usable, leftOut, task);
+			.forEach((replica) -> excluded.add(replica.id()));
+		return picker().pick(now, usable, excluded, task);
 	}
 
 	/**
@@ -182,9 +182,9 @@
 	 * Returns whether no replica that may run the request's smallest model would begin in
 	 * time. Never true if there are cold replicas, whose delay is unknown.
 	 */
-	boolean wouldMissDeadline(Task task, Choice choice, long left) {
+	boolean wouldMissDeadline(Task task, Choice choice, long remainingMillis) {
 		if (!this.gateway.settings().load().pressure() || this.request.engine().isEmpty()
-				|| !Hopeless.lost(choice, left)) {
+				|| !Hopeless.lost(choice, remainingMillis)) {
 			return false;
 		}
 		long now = MonotonicClock.millis();
@@ -192,7 +192,7 @@
 		List<Replica> usable = usable(Set.of(), task.model());
 		List<Choice> all = picker().best(now, usable, Set.of(), task, usable.size());
 		boolean refused = !rules().anyCold(now, requirements(task.model()))
-				&& this.gateway.routingState().hopeless().refuses(now, this.request.service(), all, left);
+				&& this.gateway.routingState().hopeless().refuses(now, this.request.service(), all, remainingMillis);
 		if (refused) {
 			this.gateway.telemetry().count("would.not.begin");
 		}
@@ -204,8 +204,8 @@
 	 * rate-limited replicas is kept for requests, and a replica in back-off is not
 	 * probed.
 	 */
-	private List<Replica> replicasToProbe(List<Replica> usable, Task task, Set<ReplicaId> leftOut) {
-		return picker().toAsk(MonotonicClock.millis(), usable, leftOut, task).stream().filter(this::canProbe).toList();
+	private List<Replica> replicasToProbe(List<Replica> usable, Task task, Set<ReplicaId> excluded) {
+		return picker().toAsk(MonotonicClock.millis(), usable, excluded, task).stream().filter(this::canProbe).toList();
 	}
 
 	/**
@@ -216,10 +216,10 @@
 				&& this.gateway.backpressure().canProbe(replica);
 	}
 
-	private static List<Replica> withoutUnanswered(List<Replica> usable, List<Replica> asked, List<Replica> told) {
-		Set<ReplicaId> silent = asked.stream().map(Replica::id).collect(Collectors.toSet());
-		told.forEach((replica) -> silent.remove(replica.id()));
-		return usable.stream().filter((replica) -> !silent.contains(replica.id())).toList();
+	private static List<Replica> withoutUnanswered(List<Replica> usable, List<Replica> probed, List<Replica> reported) {
+		Set<ReplicaId> unanswered = probed.stream().map(Replica::id).collect(Collectors.toSet());
+		reported.forEach((replica) -> unanswered.remove(replica.id()));
+		return usable.stream().filter((replica) -> !unanswered.contains(replica.id())).toList();
 	}
 
 	private ReplicaRules rules() {
--- a/daemon/src/main/java/org/gullsaddle/gateway/RequestBodyReader.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/RequestBodyReader.java
@@ -79,10 +79,10 @@
 		if (this.holder.isEmpty()) {
 			this.holder = Optional.of(this.gateway.buffers().open(id, RATE_WINDOW_MILLIS, this));
 		}
-		Holder mine = this.holder.get();
-		mine.holds(this.body.length(), true, MonotonicClock.millis());
-		mine.moved(bytes, MonotonicClock.millis());
-		if (this.gateway.buffers().isExhausted() && !mine.mayRead()) {
+		Holder bodyHolder = this.holder.get();
+		bodyHolder.holds(this.body.length(), true, MonotonicClock.millis());
+		bodyHolder.moved(bytes, MonotonicClock.millis());
+		if (this.gateway.buffers().isExhausted() && !bodyHolder.mayRead()) {
 			this.paused = true;
 			this.request.pause();
 		}
@@ -130,10 +130,10 @@
 	 * Answers a request that is not read to its end and closes its connection, since
 	 * later requests on it could not be told apart from the unread body.
 	 */
-	private void reject(int status, Optional<Long> after, String reason) {
+	private void reject(int status, Optional<Long> retryAfter, String reason) {
 		this.done = true;
 		CallerAnswerWriter writer = new CallerAnswerWriter(this.request.response(), () -> true);
-		this.gateway.dispatcher().sendRefusal(writer, CallerRequest.unreadable(), status, after, reason);
+		this.gateway.dispatcher().sendRefusal(writer, CallerRequest.unreadable(), status, retryAfter, reason);
 	}
 
 }
--- a/daemon/src/main/java/org/gullsaddle/gateway/RequestDispatcher.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/RequestDispatcher.java
@@ -110,9 +110,9 @@
 		}
 		if (!this.gateway.drainPolicy().accepts(route.get(), MonotonicClock.millis())) {
 			boolean noNodeReady = this.lateConnections.contains(request.connection());
-			long after = noNodeReady ? this.gateway.drainPolicy().retryAfterMillis(MonotonicClock.millis()) : 0;
+			long restartMillis = noNodeReady ? this.gateway.drainPolicy().retryAfterMillis(MonotonicClock.millis()) : 0;
 			sendRefusal(writer, caller, HttpStatuses.SERVICE_UNAVAILABLE,
-					Optional.of(after + this.gateway.routingState().retryAfterMillis()), "stopping");
+					Optional.of(restartMillis + this.gateway.routingState().retryAfterMillis()), "stopping");
 			return;
 		}
 		ServedRequest served = ServedRequest.of(request)
@@ -149,14 +149,15 @@
 
 	/**
 	 * Refuses a request that no route accepted.
-	 * @param after when the caller may retry, in milliseconds
+	 * @param retryAfter when the caller may retry, in milliseconds
 	 */
-	void sendRefusal(CallerAnswerWriter writer, CallerRequest caller, int status, Optional<Long> after, String reason) {
-		writer.writeError(status, after, reason);
+	void sendRefusal(CallerAnswerWriter writer, CallerRequest caller, int status, Optional<Long> retryAfter,
+			String reason) {
+		writer.writeError(status, retryAfter, reason);
 		long version = this.gateway.fleet().config().map(FleetConfig::version).orElse(0L);
 		this.gateway.log()
 			.request(new DecisionLog.RequestLine(caller.attemptId().orElse(""), "", "", "", "refused", status, reason,
-					"not-run", 0, false, after.orElse(-1L), 0, version,
+					"not-run", 0, false, retryAfter.orElse(-1L), 0, version,
 					this.gateway.fleet().ageMillis(MonotonicClock.millis()), 0));
 		this.gateway.telemetry().count("refused." + status);
 	}
--- a/daemon/src/main/java/org/gullsaddle/gateway/RequestExecution.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/RequestExecution.java
@@ -98,8 +98,8 @@
 
 	private void startNextAttempt() {
 		long now = MonotonicClock.millis();
-		long left = this.request.remainingMillis(now);
-		if (left <= 0) {
+		long remainingMillis = this.request.remainingMillis(now);
+		if (remainingMillis <= 0) {
 			refuse("no time left");
 			return;
 		}
@@ -107,7 +107,7 @@
 		if (this.nextChoice.isPresent()) {
 			Choice choice = this.nextChoice.get();
 			this.nextChoice = Optional.empty();
-			send(choice, left);
+			send(choice, remainingMillis);
 			return;
 		}
 		this.replicas.choose(this.task, this.tried, this::onChoice);
@@ -120,28 +120,28 @@
 		if (this.done) {
 			return;
 		}
-		long left = this.request.remainingMillis(MonotonicClock.millis());
-		if (left <= 0) {
+		long remainingMillis = this.request.remainingMillis(MonotonicClock.millis());
+		if (remainingMillis <= 0) {
 			refuse("no time left");
 		}
 		else if (choice.isEmpty()) {
 			refuseWithoutReplica();
 		}
-		else if (this.attempts == 0 && this.replicas.wouldMissDeadline(this.task, choice.get(), left)) {
+		else if (this.attempts == 0 && this.replicas.wouldMissDeadline(this.task, choice.get(), remainingMillis)) {
 			refuse("would not begin in its time");
 		}
 		else {
-			send(choice.get(), left);
+			send(choice.get(), remainingMillis);
 		}
 	}
 
 	private void refuseWithoutReplica() {
-		ReplicaRules.NoReplica why = this.replicas.noReplicaReason(model());
-		this.gateway.telemetry().count("no.replica." + why.name().toLowerCase(Locale.ROOT));
-		refuse(why.reason(), this.replicas.retryAfterMillis(why, model()));
+		ReplicaRules.NoReplica reason = this.replicas.noReplicaReason(model());
+		this.gateway.telemetry().count("no.replica." + reason.name().toLowerCase(Locale.ROOT));
+		refuse(reason.reason(), this.replicas.retryAfterMillis(reason, model()));
 	}
 
-	private void send(Choice choice, long left) {
+	private void send(Choice choice, long remainingMillis) {
 		this.attempts++;
 		this.tried.add(choice.replica().id());
 		this.promptReadRecorded = false;
@@ -151,9 +151,9 @@
 		this.gateway.rollouts().recordSent(choice.replica());
 		Admission admission = this.replicas.admit(choice.replica());
 		Optional<String> lastEvent = this.relay.lastEventId().or(this.request.caller()::lastEventId);
-		ForwardingContext handover = ForwardingContext.of(this.request, choice.replica().id(), left, model(),
+		ForwardingContext context = ForwardingContext.of(this.request, choice.replica().id(), remainingMillis, model(),
 				this.priority.recordSent(MonotonicClock.millis(), choice, this.task), lastEvent);
-		MultiMap headers = this.gateway.codec().replicaHeaders(this.request.http().headers(), handover);
+		MultiMap headers = this.gateway.codec().replicaHeaders(this.request.http().headers(), context);
 		this.attempt = new Attempt(choice, admission, this.replicas.coldMillis(choice.replica()), id(),
 				this.gateway.pool(), this.gateway.codec(), this);
 		this.attempt.send(this.request.http().method(), this.request.http().uri(), headers, this.request.body(),
@@ -325,7 +325,7 @@
 		refuse(reason, this.gateway.routingState().retryAfterMillis());
 	}
 
-	private void refuse(String reason, long comeBackMillis) {
+	private void refuse(String reason, long retryAfterMillis) {
 		if (this.done) {
 			return;
 		}
@@ -336,10 +336,10 @@
 		}
 		boolean notRun = this.rule.verdict() == Verdict.NOT_RUN;
 		int status = notRun ? HttpStatuses.SERVICE_UNAVAILABLE : HttpStatuses.BAD_GATEWAY;
-		Optional<Long> after = notRun
-				? Optional.of(this.gateway.retryAfterAdvisor().retryAfterMillis(this.request, comeBackMillis))
+		Optional<Long> retryAfter = notRun
+				? Optional.of(this.gateway.retryAfterAdvisor().retryAfterMillis(this.request, retryAfterMillis))
 				: Optional.empty();
-		this.relay.sendError(status, after, reason);
+		this.relay.sendError(status, retryAfter, reason);
 		close(notRun ? "refused" : "failed", status, reason);
 	}
 
--- a/daemon/src/main/java/org/gullsaddle/gateway/RetryAfterAdvisor.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/RetryAfterAdvisor.java
@@ -42,15 +42,15 @@
 
 	/**
 	 * Returns the retry delay for a refused caller, in milliseconds.
-	 * @param soonest the shortest delay allowed, in milliseconds
+	 * @param minMillis the shortest delay allowed, in milliseconds
 	 */
-	long retryAfterMillis(ServedRequest request, long soonest) {
+	long retryAfterMillis(ServedRequest request, long minMillis) {
 		if (!this.pressure) {
-			return soonest;
+			return minMillis;
 		}
 		long now = MonotonicClock.millis();
 		Refused refused = new Refused(request.service(), request.rank(), request.teamName(), request.contentHash());
-		ReturnTime time = this.times.next(now, refused, soonest, request.timeLeft(now));
+		ReturnTime time = this.times.next(now, refused, minMillis, request.timeLeft(now));
 		this.telemetry.count(time.hope() ? "returns.told" : "returns.told.without.hope");
 		return time.millis();
 	}
--- a/daemon/src/main/java/org/gullsaddle/gateway/RolloutController.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/RolloutController.java
@@ -203,10 +203,10 @@
 		last.lowestEvidence = Math.min(last.lowestEvidence, note.evidence());
 		boolean urgent = note.evidence() - last.lowestEvidence >= URGENT_EVIDENCE
 				&& now - last.writtenAt >= MIN_URGENT_INTERVAL_MILLIS;
-		boolean news = note.provedMillis() != last.provedMillis;
-		long every = Math.min(MAX_NOTE_INTERVAL_MILLIS,
+		boolean newlyProved = note.provedMillis() != last.provedMillis;
+		long intervalMillis = Math.min(MAX_NOTE_INTERVAL_MILLIS,
 				Math.round(NOTE_INTERVAL_RATIO * rollout.order().durationMillis()));
-		boolean due = news || (note.answers() != last.answers && now - last.writtenAt >= every);
+		boolean due = newlyProved || (note.answers() != last.answers && now - last.writtenAt >= intervalMillis);
 		if (last.writer.isBusy() || !(urgent || due)) {
 			return;
 		}
--- a/daemon/src/main/java/org/gullsaddle/gateway/ServerSentEventSplitter.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/ServerSentEventSplitter.java
@@ -32,9 +32,9 @@
 			end = next;
 			next = findEventEnd(end);
 		}
-		Buffer whole = this.incomplete.getBuffer(0, end);
+		Buffer complete = this.incomplete.getBuffer(0, end);
 		this.incomplete = this.incomplete.getBuffer(end, this.incomplete.length());
-		return whole;
+		return complete;
 	}
 
 	/**
--- a/daemon/src/main/java/org/gullsaddle/gateway/SharedRoutingState.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/SharedRoutingState.java
@@ -137,8 +137,8 @@
 	 * Returns the retry delay for a caller that may be served after some time, in
 	 * milliseconds, with jitter.
 	 */
-	long retryAfterMillis(long soonest) {
-		return Math.max(MIN_RETRY_AFTER_MILLIS, soonest) + this.random.nextLong(MIN_RETRY_AFTER_MILLIS);
+	long retryAfterMillis(long minMillis) {
+		return Math.max(MIN_RETRY_AFTER_MILLIS, minMillis) + this.random.nextLong(MIN_RETRY_AFTER_MILLIS);
 	}
 
 	/**
@@ -146,12 +146,12 @@
 	 * the time until there may be one again, with jitter.
 	 */
 	long retryAfterMillis(ReplicaRules.NoReplica why) {
-		long soonest = switch (why) {
+		long minMillis = switch (why) {
 			case NONE, TRIED, LIMITED, RESTING, CRASHES -> MIN_RETRY_AFTER_MILLIS;
 			case COLD -> COLD_RETRY_AFTER_MILLIS;
 			case EVACUATED, OTHER_REGION -> EVACUATION_RETRY_AFTER_MILLIS;
 		};
-		return soonest + this.random.nextLong(soonest);
+		return minMillis + this.random.nextLong(minMillis);
 	}
 
 	/**
@@ -189,8 +189,8 @@
 	/**
 	 * Records the timing of a stream that has ended.
 	 */
-	void streamed(Route route, String model, StreamTiming clock) {
-		this.models.answered(route, model, clock.firstEventMillis(MonotonicClock.millis()), clock.longestGapMillis());
+	void streamed(Route route, String model, StreamTiming timing) {
+		this.models.answered(route, model, timing.firstEventMillis(MonotonicClock.millis()), timing.longestGapMillis());
 	}
 
 	/**
--- a/daemon/src/main/java/org/gullsaddle/gateway/SilentReplicaHandler.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/SilentReplicaHandler.java
@@ -107,7 +107,7 @@
 		this.gateway.telemetry().count("silent.replicas.asked");
 		this.gateway.loadProbe()
 			.probe(replica, SilencePatience.ANSWER_MILLIS)
-			.onSuccess((told) -> told.ifPresentOrElse(
+			.onSuccess((answer) -> answer.ifPresentOrElse(
 					(report) -> patience.told(MonotonicClock.millis(), replica.id(), report),
 					() -> patience.notTold(MonotonicClock.millis(), replica.id())));
 	}
@@ -125,9 +125,9 @@
 		Delay here = this.replicas.expectedDelay(attempt.choice().replica(), task);
 		Optional<Delay> there = other.map((choice) -> this.replicas.expectedDelay(choice.replica(), task));
 		if (there.isPresent() && SilencePatience.sooner(here, there.get())) {
-			String why = "begins in " + Math.round(there.get().expectedMillis()) + " ms elsewhere, in "
+			String reason = "begins in " + Math.round(there.get().expectedMillis()) + " ms elsewhere, in "
 					+ Math.round(here.expectedMillis()) + " ms here";
-			leave(attempt, new AttemptEnd.Withdrawn(why), other);
+			leave(attempt, new AttemptEnd.Withdrawn(reason), other);
 		}
 		else if (this.queuedAttempt != attempt) {
 			this.queuedAttempt = attempt;
@@ -137,9 +137,9 @@
 
 	private void leave(long now, Attempt attempt, Set<ReplicaId> tried, Task task) {
 		this.nextCheckAt = now + RECHECK_DELAY_MILLIS;
-		String why = reasonToStay(tried);
-		if (!why.isEmpty()) {
-			stay(attempt, SILENT, why);
+		String reason = reasonToStay(tried);
+		if (!reason.isEmpty()) {
+			stay(attempt, SILENT, reason);
 			return;
 		}
 		this.replicas.choose(task, tried, (choice) -> leave(attempt, SILENT, choice));
@@ -168,13 +168,13 @@
 	 * Stays because no other attempt could follow. The silent replica counts as failing
 	 * nevertheless, so that it gets no more requests.
 	 */
-	private void stay(Attempt attempt, AttemptEnd end, String why) {
+	private void stay(Attempt attempt, AttemptEnd end, String reason) {
 		if (this.keptAttempt != attempt) {
 			this.keptAttempt = attempt;
 			if (end instanceof AttemptEnd.Broken) {
 				picker().silent(MonotonicClock.millis(), attempt.choice().replica());
 			}
-			recordOutcome(attempt, "kept", why);
+			recordOutcome(attempt, "kept", reason);
 		}
 	}
 
--- a/daemon/src/main/java/org/gullsaddle/gateway/SuspendDetector.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/SuspendDetector.java
@@ -28,11 +28,11 @@
 		long before = this.started ? this.offsetMillis : timeOfDay - steady;
 		this.started = true;
 		this.offsetMillis = timeOfDay - steady;
-		long slept = this.offsetMillis - before;
-		if (slept >= MIN_SUSPEND_MILLIS) {
-			return slept;
+		long suspendedMillis = this.offsetMillis - before;
+		if (suspendedMillis >= MIN_SUSPEND_MILLIS) {
+			return suspendedMillis;
 		}
-		if (slept > 0) {
+		if (suspendedMillis > 0) {
 			// Keeps the old offset, so that small differences (clock drift) add up.
 			this.offsetMillis = before;
 		}
