--- a/daemon/src/main/java/org/gullsaddle/gateway/BackpressureController.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/BackpressureController.java
@@ -43,7 +43,7 @@
 
 	private final BackpressureBook table;
 
-	private final LimitNews news;
+	private final LimitNews limitNews;
 
 	private final DecisionLog log;
 
@@ -60,7 +60,7 @@
 		this.store = store;
 		this.fleet = fleet;
 		this.table = table;
-		this.news = new LimitNews(table, RandomGenerator.getDefault());
+		this.limitNews = new LimitNews(table, RandomGenerator.getDefault());
 		this.log = log;
 		this.telemetry = telemetry;
 		telemetry.gauge("replicas.limited", this.table::countLimited);
@@ -86,7 +86,7 @@
 				this.telemetry.count("replica.rests.asked");
 			}
 			applyAndLog(replica, "answer",
-					() -> this.news.heard(MonotonicClock.millis(), replica, answer.backpressure())
+					() -> this.limitNews.heard(MonotonicClock.millis(), replica, answer.backpressure())
 						.ifPresent((millis) -> scheduleNote(millis, replica.id())));
 		}
 	}
@@ -104,7 +104,7 @@
 	}
 
 	private void onListed(Replica replica) {
-		applyAndLog(replica, "note", () -> this.news.listed(MonotonicClock.millis(), replica));
+		applyAndLog(replica, "note", () -> this.limitNews.listed(MonotonicClock.millis(), replica));
 	}
 
 	private void onPeerNote(FleetChange.Noted noted) {
@@ -112,7 +112,7 @@
 		Optional<Replica> listed = this.fleet.directory().find(id);
 		try {
 			LimitNote note = Json.read(noted.value(), LimitNote.class);
-			Runnable learn = () -> this.news.learned(MonotonicClock.millis(), id, note, listed)
+			Runnable learn = () -> this.limitNews.learned(MonotonicClock.millis(), id, note, listed)
 				.ifPresent((millis) -> this.vertx.setTimer(millis,
 						(timer) -> this.fleet.directory().find(id).ifPresent(this::onListed)));
 			listed.ifPresentOrElse((replica) -> applyAndLog(replica, "note", learn), learn);
@@ -149,8 +149,8 @@
 			scheduleNote(RETRY_DELAY_MILLIS, id);
 			return;
 		}
-		this.news.toTell(id).ifPresent((limitNote) -> note.write(Json.write(limitNote), () -> {
-			this.news.notWritten(id);
+		this.limitNews.toTell(id).ifPresent((limitNote) -> note.write(Json.write(limitNote), () -> {
+			this.limitNews.notWritten(id);
 			scheduleNote(RETRY_DELAY_MILLIS, id);
 		}));
 	}
@@ -167,7 +167,7 @@
 	 */
 	void retain(Set<ReplicaId> known) {
 		this.table.retain(known);
-		this.news.retain(known);
+		this.limitNews.retain(known);
 		this.notes.keySet().retainAll(known);
 	}
 
--- a/daemon/src/main/java/org/gullsaddle/gateway/Cascade.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/Cascade.java
@@ -17,7 +17,7 @@
  */
 final class Cascade {
 
-	private final SharedRoutingState decisions;
+	private final SharedRoutingState routingState;
 
 	private final DecisionLog log;
 
@@ -43,7 +43,7 @@
 	 * Begins with the model that the caller names, or with the first model of the route.
 	 */
 	Cascade(Gateway gateway, ServedRequest request, RetryRule rule, RequestPriority turn) {
-		this.decisions = gateway.routingState();
+		this.routingState = gateway.routingState();
 		this.log = gateway.log();
 		this.telemetry = gateway.telemetry();
 		this.request = request;
@@ -51,7 +51,7 @@
 		this.rule = rule;
 		this.priority = turn;
 		this.model = this.route.models().isEmpty() ? request.caller().model()
-				: this.decisions.models().first(this.route);
+				: this.routingState.models().first(this.route);
 	}
 
 	/**
@@ -67,7 +67,7 @@
 	 * @return the larger model, or empty if the answer is good enough
 	 */
 	Optional<String> findLargerModel(OptionalInt confidence) {
-		ModelChooser models = this.decisions.models();
+		ModelChooser models = this.routingState.models();
 		if (this.doubtedConfidence >= 0) {
 			models.compared(this.doubtedModel, this.doubtedConfidence, this.model, confidence.orElse(-1));
 		}
@@ -85,7 +85,7 @@
 	 */
 	boolean decideDrop(int confidence, String larger, Optional<Choice> choice, long remainingMillis) {
 		String reason = reasonToKeep(confidence, choice, remainingMillis);
-		this.log.answerDoubted(this.request.id(), this.model, confidence, this.decisions.models().enough(), larger,
+		this.log.answerDoubted(this.request.id(), this.model, confidence, this.routingState.models().enough(), larger,
 				reason);
 		if (reason.isEmpty()) {
 			this.doubtedModel = this.model;
@@ -116,11 +116,11 @@
 		if (!tooSlow.isEmpty()) {
 			return tooSlow;
 		}
-		return this.decisions.spendRetry() ? "" : "no retry left";
+		return this.routingState.spendRetry() ? "" : "no retry left";
 	}
 
 	private String reasonTooSlow(int confidence, Choice choice, long remainingMillis) {
-		ModelChooser models = this.decisions.models();
+		ModelChooser models = this.routingState.models();
 		if (models.isBounded()) {
 			return reasonNotToQueue(choice, remainingMillis);
 		}
@@ -130,10 +130,10 @@
 	}
 
 	private String reasonNotToQueue(Choice choice, long remainingMillis) {
-		QueueBounds bounds = this.decisions.bounds(this.request.config());
+		QueueBounds bounds = this.routingState.bounds(this.request.config());
 		// Requests beyond a team's share queue behind the other requests of their rank.
 		int rank = this.request.rank() + (this.priority.isOverShare() ? 1 : 0);
-		boolean joined = this.decisions.models().mayQueue(bounds, rank, choice, remainingMillis);
+		boolean joined = this.routingState.models().mayQueue(bounds, rank, choice, remainingMillis);
 		this.telemetry.count(joined ? "larger.model.queues.joined" : "larger.model.queues.too.long");
 		return joined ? "" : "queue of " + Math.round(choice.queueMillis()) + " ms, " + Math.round(bounds.millis(rank))
 				+ " ms for rank " + rank;
--- a/daemon/src/main/java/org/gullsaddle/gateway/CrashController.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/CrashController.java
@@ -72,9 +72,9 @@
 
 	private final ChannelPool pool;
 
-	private final SharedRoutingState decisions;
+	private final SharedRoutingState routingState;
 
-	private final NodeRegistry nodes;
+	private final NodeRegistry nodeRegistry;
 
 	private final DecisionLog log;
 
@@ -86,7 +86,7 @@
 
 	private final CrashTrials trials;
 
-	private final CrashWatch watch = new CrashWatch();
+	private final CrashWatch crashWatch = new CrashWatch();
 
 	private final CrashBook crashTable = new CrashBook();
 
@@ -105,8 +105,8 @@
 			NodeRegistry nodes, DecisionLog log, Telemetry telemetry) {
 		this.vertx = vertx;
 		this.pool = pool;
-		this.decisions = decisions;
-		this.nodes = nodes;
+		this.routingState = decisions;
+		this.nodeRegistry = nodes;
 		this.log = log;
 		this.telemetry = telemetry;
 		this.key = NOTE_PREFIX + node;
@@ -149,7 +149,7 @@
 	void onHead(Attempt attempt) {
 		Replica replica = attempt.choice().replica();
 		this.crashTable.alive(Crash.process(replica), attempt.startedAt());
-		onConfirmedWhole(this.watch.answered(replica, attempt.startedAt()));
+		onConfirmedWhole(this.crashWatch.answered(replica, attempt.startedAt()));
 	}
 
 	/**
@@ -183,7 +183,7 @@
 		}
 		if (attempt.hasEndedWithConnection()) {
 			onEnded(request, model, attempt, CrashWatch.Manner.CLOSED);
-			boolean again = this.watch.closedAgain(Trait.content(request.contentHash()));
+			boolean again = this.crashWatch.closedAgain(Trait.content(request.contentHash()));
 			if (again || !this.crashTable.everSound(request.partTraits(model))) {
 				checkLiveness(attempt.choice().replica());
 			}
@@ -195,7 +195,7 @@
 
 	private void onEnded(ServedRequest request, String model, Attempt attempt, CrashWatch.Manner manner) {
 		Replica replica = attempt.choice().replica();
-		this.watch.ended(MonotonicClock.millis(), replica, attempt.startedAt(), manner, request.traits(model))
+		this.crashWatch.ended(MonotonicClock.millis(), replica, attempt.startedAt(), manner, request.traits(model))
 			.ifPresent((crash) -> onCrash(crash, "more that ran there"));
 		if (manner == CrashWatch.Manner.BROKEN) {
 			checkLiveness(replica);
@@ -222,10 +222,10 @@
 			return;
 		}
 		connectAfter(LIVENESS_CHECK_DELAY_MILLIS, replica, (askedAt) -> {
-			if (this.watch.awaitsProof(replica)) {
+			if (this.crashWatch.awaitsProof(replica)) {
 				connectAfter(SECOND_CHECK_DELAY_MILLIS, replica, (again) -> {
 					this.livenessChecks.remove(process);
-					onConfirmedWhole(this.watch.accepts(replica, askedAt));
+					onConfirmedWhole(this.crashWatch.accepts(replica, askedAt));
 				});
 			}
 			else {
@@ -249,7 +249,7 @@
 				}
 				this.livenessChecks.remove(Crash.process(replica));
 				if (ChannelPool.isConnectionRefused(failure)) {
-					this.decisions.picker().unreachable(MonotonicClock.millis(), replica);
+					this.routingState.picker().unreachable(MonotonicClock.millis(), replica);
 					onProcessGone(replica.id(), "refuses connections");
 				}
 			});
@@ -283,7 +283,7 @@
 	}
 
 	private long spreadMillis() {
-		return 1 + this.random.nextLong(SPREAD_PER_NODE_MILLIS * this.nodes.knownCount().orElse(1));
+		return 1 + this.random.nextLong(SPREAD_PER_NODE_MILLIS * this.nodeRegistry.knownCount().orElse(1));
 	}
 
 	/**
@@ -293,9 +293,9 @@
 		switch (change) {
 			case FleetChange.Unlisted unlisted -> {
 				onProcessGone(unlisted.id(), "is not listed any more");
-				this.watch.leaves(MonotonicClock.millis(), unlisted.id());
+				this.crashWatch.leaves(MonotonicClock.millis(), unlisted.id());
 			}
-			case FleetChange.Listed listed -> this.watch.listed(MonotonicClock.millis(), listed.replica())
+			case FleetChange.Listed listed -> this.crashWatch.listed(MonotonicClock.millis(), listed.replica())
 				.ifPresent((crash) -> onCrash(crash, "another process has its id"));
 			case FleetChange.Noted noted -> {
 				// A note that an earlier process of this node wrote is new to this one.
@@ -310,7 +310,7 @@
 	}
 
 	private void onProcessGone(ReplicaId replica, String how) {
-		this.watch.down(MonotonicClock.millis(), replica).ifPresent((crash) -> onCrash(crash, how));
+		this.crashWatch.down(MonotonicClock.millis(), replica).ifPresent((crash) -> onCrash(crash, how));
 	}
 
 	private void onCrash(Crash crash, String how) {
--- a/daemon/src/main/java/org/gullsaddle/gateway/RequestExecution.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/RequestExecution.java
@@ -245,7 +245,7 @@
 		}
 		if (this.request.isStream() && !(counted instanceof AttemptEnd.Dropped)
 				&& !(counted instanceof AttemptEnd.NotRun)) {
-			this.gateway.routingState().streamed(route(), model(), this.timing);
+			this.gateway.routingState().recordStream(route(), model(), this.timing);
 		}
 		this.priority.onEnded(now, from.choice(), this.task, counted);
 		this.rule.ended(counted);
--- a/daemon/src/main/java/org/gullsaddle/gateway/RequestPriority.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/RequestPriority.java
@@ -13,14 +13,14 @@
  */
 final class RequestPriority {
 
-	private final SharedRoutingState decisions;
+	private final SharedRoutingState routingState;
 
 	private final ServedRequest request;
 
 	private boolean overShare;
 
 	RequestPriority(SharedRoutingState decisions, ServedRequest request) {
-		this.decisions = decisions;
+		this.routingState = decisions;
 		this.request = request;
 	}
 
@@ -28,10 +28,10 @@
 	 * Handles the arrival of the request.
 	 */
 	void onArrival(long now) {
-		if (this.request.engine().isEmpty() || this.decisions.workShares().isPresent()) {
+		if (this.request.engine().isEmpty() || this.routingState.workShares().isPresent()) {
 			return;
 		}
-		this.overShare = this.request.team().map((id) -> this.decisions.recordRequest(id, now)).orElse(false);
+		this.overShare = this.request.team().map((id) -> this.routingState.recordRequest(id, now)).orElse(false);
 	}
 
 	/**
@@ -42,7 +42,7 @@
 		if (this.request.engine().isEmpty()) {
 			return OptionalInt.empty();
 		}
-		this.decisions.workShares().ifPresent((shares) -> this.request.team().ifPresent((id) -> {
+		this.routingState.workShares().ifPresent((shares) -> this.request.team().ifPresent((id) -> {
 			double work = WorkShares.work(choice.unreadTokens(), task);
 			this.overShare = shares.sent(now, id, this.request.rank(), work);
 		}));
@@ -55,7 +55,7 @@
 	void onEnded(long now, Choice choice, Task task, AttemptEnd end) {
 		boolean counted = this.request.engine().isPresent() && this.request.team().isPresent();
 		if (counted && !(end instanceof AttemptEnd.NotRun)) {
-			this.decisions.workShares()
+			this.routingState.workShares()
 				.ifPresent((shares) -> shares.ended(now, WorkShares.work(choice.unreadTokens(), task)));
 		}
 	}
--- a/daemon/src/main/java/org/gullsaddle/gateway/SharedRoutingState.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/SharedRoutingState.java
@@ -189,7 +189,7 @@
 	/**
 	 * Records the timing of a stream that has ended.
 	 */
-	void streamed(Route route, String model, StreamTiming timing) {
+	void recordStream(Route route, String model, StreamTiming timing) {
 		this.models.answered(route, model, timing.firstEventMillis(MonotonicClock.millis()), timing.longestGapMillis());
 	}
 
