--- a/daemon/src/main/java/org/gullsaddle/gateway/CrashController.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/CrashController.java
@@ -101,12 +101,12 @@
 
 	private boolean spreadScheduled;
 
-	CrashController(Vertx vertx, Store store, String node, ChannelPool pool, SharedRoutingState decisions,
-			NodeRegistry nodes, DecisionLog log, Telemetry telemetry) {
+	CrashController(Vertx vertx, Store store, String node, ChannelPool pool, SharedRoutingState routingState,
+			NodeRegistry nodeRegistry, DecisionLog log, Telemetry telemetry) {
 		this.vertx = vertx;
 		this.pool = pool;
-		this.routingState = decisions;
-		this.nodeRegistry = nodes;
+		this.routingState = routingState;
+		this.nodeRegistry = nodeRegistry;
 		this.log = log;
 		this.telemetry = telemetry;
 		this.key = NOTE_PREFIX + node;
--- a/daemon/src/main/java/org/gullsaddle/gateway/RequestPriority.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/RequestPriority.java
@@ -19,8 +19,8 @@
 
 	private boolean overShare;
 
-	RequestPriority(SharedRoutingState decisions, ServedRequest request) {
-		this.routingState = decisions;
+	RequestPriority(SharedRoutingState routingState, ServedRequest request) {
+		this.routingState = routingState;
 		this.request = request;
 	}
 
