--- a/daemon/src/main/java/org/gullsaddle/gateway/BackpressureController.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/BackpressureController.java
@@ -43,7 +43,7 @@
 
 	private final BackpressureTable table;
 
-	private final LimitNoteExchange news;
+	private final LimitNoteExchange limitNews;
 
 	private final DecisionLog log;
 
@@ -54,13 +54,13 @@
 	/** Replicas for which a note is scheduled. */
 	private final Set<ReplicaId> scheduled = new HashSet<>();
 
-	BackpressureController(Vertx vertx, Store store, FleetState fleet, BackpressureTable book, DecisionLog log,
+	BackpressureController(Vertx vertx, Store store, FleetState fleet, BackpressureTable table, DecisionLog log,
 			Telemetry telemetry) {
 		this.vertx = vertx;
 		this.store = store;
 		this.fleet = fleet;
-		this.table = book;
-		this.news = new LimitNoteExchange(book, RandomGenerator.getDefault());
+		this.table = table;
+		this.limitNews = new LimitNoteExchange(table, RandomGenerator.getDefault());
 		this.log = log;
 		this.telemetry = telemetry;
 		telemetry.gauge("replicas.limited", this.table::countLimited);
@@ -86,7 +86,7 @@
 				this.telemetry.count("replica.rests.asked");
 			}
 			applyAndLog(replica, "answer",
-					() -> this.news.onAnswer(MonotonicClock.millis(), replica, answer.backpressure())
+					() -> this.limitNews.onAnswer(MonotonicClock.millis(), replica, answer.backpressure())
 						.ifPresent((millis) -> scheduleNote(millis, replica.id())));
 		}
 	}
@@ -104,7 +104,7 @@
 	}
 
 	private void onListed(Replica replica) {
-		applyAndLog(replica, "note", () -> this.news.onReplicaListed(MonotonicClock.millis(), replica));
+		applyAndLog(replica, "note", () -> this.limitNews.onReplicaListed(MonotonicClock.millis(), replica));
 	}
 
 	private void onPeerNote(FleetChange.NoteWritten noted) {
@@ -112,7 +112,7 @@
 		Optional<Replica> listed = this.fleet.directory().find(id);
 		try {
 			LimitNote note = Json.read(noted.value(), LimitNote.class);
-			Runnable learn = () -> this.news.onNote(MonotonicClock.millis(), id, note, listed)
+			Runnable learn = () -> this.limitNews.onNote(MonotonicClock.millis(), id, note, listed)
 				.ifPresent((millis) -> this.vertx.setTimer(millis,
 						(timer) -> this.fleet.directory().find(id).ifPresent(this::onListed)));
 			listed.ifPresentOrElse((replica) -> applyAndLog(replica, "note", learn), learn);
@@ -149,8 +149,8 @@
 			scheduleNote(RETRY_DELAY_MILLIS, id);
 			return;
 		}
-		this.news.findNoteToWrite(id).ifPresent((told) -> note.write(Json.write(told), () -> {
-			this.news.onWriteFailed(id);
+		this.limitNews.findNoteToWrite(id).ifPresent((limitNote) -> note.write(Json.write(limitNote), () -> {
+			this.limitNews.onWriteFailed(id);
 			scheduleNote(RETRY_DELAY_MILLIS, id);
 		}));
 	}
@@ -167,7 +167,7 @@
 	 */
 	void retain(Set<ReplicaId> known) {
 		this.table.retain(known);
-		this.news.retain(known);
+		this.limitNews.retain(known);
 		this.notes.keySet().retainAll(known);
 	}
 
--- a/daemon/src/main/java/org/gullsaddle/gateway/Cascade.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/Cascade.java
@@ -17,7 +17,7 @@
  */
 final class Cascade {
 
-	private final SharedRoutingState decisions;
+	private final SharedRoutingState routingState;
 
 	private final DecisionLog log;
 
@@ -43,7 +43,7 @@
 	 * Begins with the model that the caller names, or with the first model of the route.
 	 */
 	Cascade(Gateway gateway, ServedRequest request, RetryPolicy rule, RequestPriority turn) {
-		this.decisions = gateway.routingState();
+		this.routingState = gateway.routingState();
 		this.log = gateway.log();
 		this.telemetry = gateway.telemetry();
 		this.request = request;
@@ -51,7 +51,7 @@
 		this.rule = rule;
 		this.priority = turn;
 		this.model = this.route.models().isEmpty() ? request.caller().model()
-				: this.decisions.models().firstModel(this.route);
+				: this.routingState.models().firstModel(this.route);
 	}
 
 	/**
@@ -67,7 +67,7 @@
 	 * @return the larger model, or empty if the answer is good enough
 	 */
 	Optional<String> findLargerModel(OptionalInt confidence) {
-		ModelSelector models = this.decisions.models();
+		ModelSelector models = this.routingState.models();
 		if (this.doubtedConfidence >= 0) {
 			models.recordComparison(this.doubtedModel, this.doubtedConfidence, this.model, confidence.orElse(-1));
 		}
@@ -80,20 +80,20 @@
 	 * @param confidence the model's confidence in its answer
 	 * @param larger the model that would be asked instead
 	 * @param choice the replica that would run it, if any
-	 * @param left the remaining time in milliseconds
+	 * @param remainingMillis the remaining time in milliseconds
 	 * @return whether it is dropped
 	 */
-	boolean decideDrop(int confidence, String larger, Optional<ReplicaChoice> choice, long left) {
-		String kept = reasonToKeep(confidence, choice, left);
-		this.log.answerDoubted(this.request.id(), this.model, confidence, this.decisions.models().sufficientConfidence(),
+	boolean decideDrop(int confidence, String larger, Optional<ReplicaChoice> choice, long remainingMillis) {
+		String reason = reasonToKeep(confidence, choice, remainingMillis);
+		this.log.answerDoubted(this.request.id(), this.model, confidence, this.routingState.models().sufficientConfidence(),
 				larger,
-				kept);
-		if (kept.isEmpty()) {
+				reason);
+		if (reason.isEmpty()) {
 			this.doubtedModel = this.model;
 			this.doubtedConfidence = confidence;
 			this.nextModel = larger;
 		}
-		return kept.isEmpty();
+		return reason.isEmpty();
 	}
 
 	/**
@@ -106,35 +106,35 @@
 	/**
 	 * Returns why an answer of low confidence is kept, empty if it is dropped.
 	 */
-	private String reasonToKeep(int confidence, Optional<ReplicaChoice> choice, long left) {
-		if (!this.rule.canDropAnswer(left)) {
+	private String reasonToKeep(int confidence, Optional<ReplicaChoice> choice, long remainingMillis) {
+		if (!this.rule.canDropAnswer(remainingMillis)) {
 			return "no attempt or time left";
 		}
 		if (choice.isEmpty()) {
 			return "no replica";
 		}
-		String tooLong = reasonTooSlow(confidence, choice.get(), left);
-		if (!tooLong.isEmpty()) {
-			return tooLong;
+		String tooSlow = reasonTooSlow(confidence, choice.get(), remainingMillis);
+		if (!tooSlow.isEmpty()) {
+			return tooSlow;
 		}
-		return this.decisions.spendRetry() ? "" : "no retry left";
+		return this.routingState.spendRetry() ? "" : "no retry left";
 	}
 
-	private String reasonTooSlow(int confidence, ReplicaChoice choice, long left) {
-		ModelSelector models = this.decisions.models();
+	private String reasonTooSlow(int confidence, ReplicaChoice choice, long remainingMillis) {
+		ModelSelector models = this.routingState.models();
 		if (models.hasQueueBounds()) {
-			return reasonNotToQueue(choice, left);
+			return reasonNotToQueue(choice, remainingMillis);
 		}
 		DelayEstimate delay = choice.delay();
-		return models.isWorthAsking(this.route, confidence, delay, left) ? ""
-				: "in " + Math.round(delay.expectedMillis()) + " of " + left + " ms";
+		return models.isWorthAsking(this.route, confidence, delay, remainingMillis) ? ""
+				: "in " + Math.round(delay.expectedMillis()) + " of " + remainingMillis + " ms";
 	}
 
-	private String reasonNotToQueue(ReplicaChoice choice, long left) {
-		QueueBounds bounds = this.decisions.bounds(this.request.config());
+	private String reasonNotToQueue(ReplicaChoice choice, long remainingMillis) {
+		QueueBounds bounds = this.routingState.bounds(this.request.config());
 		// Requests beyond a team's share queue behind the other requests of their rank.
 		int rank = this.request.rank() + (this.priority.isOverShare() ? 1 : 0);
-		boolean joined = this.decisions.models().canJoinQueue(bounds, rank, choice, left);
+		boolean joined = this.routingState.models().canJoinQueue(bounds, rank, choice, remainingMillis);
 		this.telemetry.count(joined ? "larger.model.queues.joined" : "larger.model.queues.too.long");
 		return joined ? "" : "queue of " + Math.round(choice.queueMillis()) + " ms, "
 				+ Math.round(bounds.maxQueueMillis(rank)) + " ms for rank " + rank;
--- a/daemon/src/main/java/org/gullsaddle/gateway/CrashController.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/CrashController.java
@@ -72,9 +72,9 @@
 
 	private final ChannelPool pool;
 
-	private final SharedRoutingState decisions;
+	private final SharedRoutingState routingState;
 
-	private final NodeRegistry nodes;
+	private final NodeRegistry nodeRegistry;
 
 	private final DecisionLog log;
 
@@ -86,7 +86,7 @@
 
 	private final CrashTrials trials;
 
-	private final CrashDetector watch = new CrashDetector();
+	private final CrashDetector crashWatch = new CrashDetector();
 
 	private final CrashTracker crashTable = new CrashTracker();
 
@@ -101,12 +101,12 @@
 
 	private boolean spreadScheduled;
 
-	CrashController(Vertx vertx, Store store, String node, ChannelPool pool, SharedRoutingState decisions,
-			NodeRegistry nodes, DecisionLog log, Telemetry telemetry) {
+	CrashController(Vertx vertx, Store store, String node, ChannelPool pool, SharedRoutingState routingState,
+			NodeRegistry nodeRegistry, DecisionLog log, Telemetry telemetry) {
 		this.vertx = vertx;
 		this.pool = pool;
-		this.decisions = decisions;
-		this.nodes = nodes;
+		this.routingState = routingState;
+		this.nodeRegistry = nodeRegistry;
 		this.log = log;
 		this.telemetry = telemetry;
 		this.key = NOTE_PREFIX + node;
@@ -149,7 +149,7 @@
 	void onHead(Attempt attempt) {
 		Replica replica = attempt.choice().replica();
 		this.crashTable.onAlive(Crash.processName(replica), attempt.startedAt());
-		onConfirmedWhole(this.watch.onAnswer(replica, attempt.startedAt()));
+		onConfirmedWhole(this.crashWatch.onAnswer(replica, attempt.startedAt()));
 	}
 
 	/**
@@ -183,7 +183,7 @@
 		}
 		if (attempt.hasEndedWithConnection()) {
 			onEnded(request, model, attempt, CrashDetector.EndKind.CLOSE_DELIMITED);
-			boolean again = this.watch.recordCloseDelimited(Trait.content(request.contentHash()));
+			boolean again = this.crashWatch.recordCloseDelimited(Trait.content(request.contentHash()));
 			if (again || !this.crashTable.hasSuccessWithEach(request.partTraits(model))) {
 				checkLiveness(attempt.choice().replica());
 			}
@@ -195,7 +195,7 @@
 
 	private void onEnded(ServedRequest request, String model, Attempt attempt, CrashDetector.EndKind manner) {
 		Replica replica = attempt.choice().replica();
-		this.watch.onAttemptEnd(MonotonicClock.millis(), replica, attempt.startedAt(), manner, request.traits(model))
+		this.crashWatch.onAttemptEnd(MonotonicClock.millis(), replica, attempt.startedAt(), manner, request.traits(model))
 			.ifPresent((crash) -> onCrash(crash, "more that ran there"));
 		if (manner == CrashDetector.EndKind.BROKEN) {
 			checkLiveness(replica);
@@ -222,10 +222,10 @@
 			return;
 		}
 		connectAfter(LIVENESS_CHECK_DELAY_MILLIS, replica, (askedAt) -> {
-			if (this.watch.hasUnconfirmedAnswers(replica)) {
+			if (this.crashWatch.hasUnconfirmedAnswers(replica)) {
 				connectAfter(SECOND_CHECK_DELAY_MILLIS, replica, (again) -> {
 					this.livenessChecks.remove(process);
-					onConfirmedWhole(this.watch.onConnectionAccepted(replica, askedAt));
+					onConfirmedWhole(this.crashWatch.onConnectionAccepted(replica, askedAt));
 				});
 			}
 			else {
@@ -249,7 +249,7 @@
 				}
 				this.livenessChecks.remove(Crash.processName(replica));
 				if (ChannelPool.isConnectionRefused(failure)) {
-					this.decisions.picker().onUnreachable(MonotonicClock.millis(), replica);
+					this.routingState.picker().onUnreachable(MonotonicClock.millis(), replica);
 					onProcessGone(replica.id(), "refuses connections");
 				}
 			});
@@ -283,7 +283,7 @@
 	}
 
 	private long spreadMillis() {
-		return 1 + this.random.nextLong(SPREAD_PER_NODE_MILLIS * this.nodes.knownCount().orElse(1));
+		return 1 + this.random.nextLong(SPREAD_PER_NODE_MILLIS * this.nodeRegistry.knownCount().orElse(1));
 	}
 
 	/**
@@ -293,9 +293,9 @@
 		switch (change) {
 			case FleetChange.Unlisted unlisted -> {
 				onProcessGone(unlisted.id(), "is not listed any more");
-				this.watch.onLeaving(MonotonicClock.millis(), unlisted.id());
+				this.crashWatch.onLeaving(MonotonicClock.millis(), unlisted.id());
 			}
-			case FleetChange.Listed listed -> this.watch.onListed(MonotonicClock.millis(), listed.replica())
+			case FleetChange.Listed listed -> this.crashWatch.onListed(MonotonicClock.millis(), listed.replica())
 				.ifPresent((crash) -> onCrash(crash, "another process has its id"));
 			case FleetChange.NoteWritten noted -> {
 				// A note that an earlier process of this node wrote is new to this one.
@@ -310,7 +310,7 @@
 	}
 
 	private void onProcessGone(ReplicaId replica, String how) {
-		this.watch.onDead(MonotonicClock.millis(), replica).ifPresent((crash) -> onCrash(crash, how));
+		this.crashWatch.onDead(MonotonicClock.millis(), replica).ifPresent((crash) -> onCrash(crash, how));
 	}
 
 	private void onCrash(Crash crash, String how) {
@@ -342,11 +342,11 @@
 
 	private void onPeerNote(FleetChange.NoteWritten noted, boolean own) {
 		try {
-			CrashNote told = Json.read(noted.value(), CrashNote.class);
+			CrashNote crashNote = Json.read(noted.value(), CrashNote.class);
 			long now = MonotonicClock.millis();
 			long timeOfDay = System.currentTimeMillis();
-			CrashTracker.NoteEffect learned = own ? this.crashTable.onOwnNote(now, timeOfDay, told)
-					: this.crashTable.onNote(now, timeOfDay, told);
+			CrashTracker.NoteEffect learned = own ? this.crashTable.onOwnNote(now, timeOfDay, crashNote)
+					: this.crashTable.onNote(now, timeOfDay, crashNote);
 			logBlocked(learned.blocked(), noted.key());
 			learned.unblocked().forEach((trait) -> this.log.traitUnblocked(trait, noted.key()));
 			if (this.crashTable.hasReportedAnyBlocked(learned.unblocked())) {
@@ -375,10 +375,10 @@
 			scheduleNote(COLLECT_MILLIS);
 			return;
 		}
-		Optional<CrashNote> told = this.crashTable.buildNote(MonotonicClock.millis(), System.currentTimeMillis());
-		if (told.isPresent()) {
+		Optional<CrashNote> crashNote = this.crashTable.buildNote(MonotonicClock.millis(), System.currentTimeMillis());
+		if (crashNote.isPresent()) {
 			this.hasWritten = true;
-			this.note.write(Json.write(told.get()), () -> scheduleNote(RETRY_DELAY_MILLIS));
+			this.note.write(Json.write(crashNote.get()), () -> scheduleNote(RETRY_DELAY_MILLIS));
 		}
 	}
 
--- a/daemon/src/main/java/org/gullsaddle/gateway/ReplicaChooser.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/ReplicaChooser.java
@@ -45,8 +45,8 @@
 	 * Returns whether there is a usable replica that the request was not sent to yet.
 	 */
 	boolean hasUntried(Set<ReplicaId> tried, String model) {
-		Set<ReplicaId> leftOut = excluded(tried, model);
-		return usable(leftOut, model).stream().anyMatch((replica) -> !leftOut.contains(replica.id()));
+		Set<ReplicaId> excluded = excluded(tried, model);
+		return usable(excluded, model).stream().anyMatch((replica) -> !excluded.contains(replica.id()));
 	}
 
 	/**
@@ -67,12 +67,12 @@
 	/**
 	 * Returns the retry delay for the caller if there is no replica, in milliseconds.
 	 */
-	long retryAfterMillis(ReplicaEligibility.NoReplica why, String model) {
-		if (REASONS_WITH_KNOWN_DELAY.contains(why)) {
+	long retryAfterMillis(ReplicaEligibility.NoReplica reason, String model) {
+		if (REASONS_WITH_KNOWN_DELAY.contains(reason)) {
 			return this.gateway.routingState()
 				.retryAfterMillis(rules().retryAfterMillis(MonotonicClock.millis(), requirements(model)));
 		}
-		return this.gateway.routingState().retryAfterMillis(why);
+		return this.gateway.routingState().retryAfterMillis(reason);
 	}
 
 	/**
@@ -108,8 +108,8 @@
 		return rules().excludedReplicas(MonotonicClock.millis(), requirements(model), tried);
 	}
 
-	private List<Replica> usable(Set<ReplicaId> leftOut, String model) {
-		return rules().eligibleReplicas(MonotonicClock.millis(), requirements(model), leftOut);
+	private List<Replica> usable(Set<ReplicaId> excluded, String model) {
+		return rules().eligibleReplicas(MonotonicClock.millis(), requirements(model), excluded);
 	}
 
 	private ReplicaEligibility.Requirements requirements(String model) {
@@ -128,31 +128,31 @@
 	 * @param then receives the choice, at once or after the probes
 	 */
 	void choose(ReplicaTask task, Set<ReplicaId> tried, Consumer<Optional<ReplicaChoice>> then) {
-		Set<ReplicaId> leftOut = excluded(tried, task.model());
-		List<Replica> usable = usable(leftOut, task.model());
+		Set<ReplicaId> excluded = excluded(tried, task.model());
+		List<Replica> usable = usable(excluded, task.model());
 		if (this.request.isTrial()) {
-			then.accept(chooseLeastLoaded(task, usable, leftOut));
+			then.accept(chooseLeastLoaded(task, usable, excluded));
 			return;
 		}
-		List<Replica> asked = replicasToProbe(usable, task, leftOut);
-		if (asked.isEmpty()) {
-			then.accept(picker().chooseReplica(MonotonicClock.millis(), usable, leftOut, task));
+		List<Replica> probed = replicasToProbe(usable, task, excluded);
+		if (probed.isEmpty()) {
+			then.accept(picker().chooseReplica(MonotonicClock.millis(), usable, excluded, task));
 			return;
 		}
-		this.gateway.loadProbe().probe(asked, (told) -> {
-			Set<ReplicaId> leftOutNow = excluded(tried, task.model());
-			List<Replica> stillUsable = usable(leftOutNow, task.model());
-			List<Replica> left = withoutUnanswered(stillUsable, asked, told);
-			then.accept(picker().chooseReplica(MonotonicClock.millis(), left, leftOutNow, task)
-				.or(() -> picker().chooseReplica(MonotonicClock.millis(), stillUsable, leftOutNow, task)));
+		this.gateway.loadProbe().probe(probed, (reported) -> {
+			Set<ReplicaId> excludedNow = excluded(tried, task.model());
+			List<Replica> stillUsable = usable(excludedNow, task.model());
+			List<Replica> candidates = withoutUnanswered(stillUsable, probed, reported);
+			then.accept(picker().chooseReplica(MonotonicClock.millis(), candidates, excludedNow, task)
+				.or(() -> picker().chooseReplica(MonotonicClock.millis(), stillUsable, excludedNow, task)));
 		});
 	}
 
 	/**
 	 * Chooses the replica with the fewest requests, since they are lost if it crashes.
 	 */
-	private Optional<ReplicaChoice> chooseLeastLoaded(ReplicaTask task, List<Replica> usable, Set<ReplicaId> leftOut) {
-		return picker().bestChoices(MonotonicClock.millis(), usable, leftOut, task, usable.size())
+	private Optional<ReplicaChoice> chooseLeastLoaded(ReplicaTask task, List<Replica> usable, Set<ReplicaId> excluded) {
+		return picker().bestChoices(MonotonicClock.millis(), usable, excluded, task, usable.size())
 			.stream()
 			.min(Comparator.comparingDouble((choice) -> choice.load().requests()));
 	}
@@ -163,12 +163,12 @@
 	 */
 	Optional<ReplicaChoice> chooseAmongReported(ReplicaTask task, Set<ReplicaId> tried) {
 		long now = MonotonicClock.millis();
-		Set<ReplicaId> leftOut = new HashSet<>(excluded(tried, task.model()));
-		List<Replica> usable = usable(leftOut, task.model());
+		Set<ReplicaId> excluded = new HashSet<>(excluded(tried, task.model()));
+		List<Replica> usable = usable(excluded, task.model());
 		usable.stream()
 			.filter((replica) -> !picker().hasRecentReport(now, replica))
-			.forEach((replica) -> leftOut.add(replica.id()));
-		return picker().chooseReplica(now, usable, leftOut, task);
+			.forEach((replica) -> excluded.add(replica.id()));
+		return picker().chooseReplica(now, usable, excluded, task);
 	}
 
 	/**
@@ -184,9 +184,9 @@
 	 * Returns whether no replica that may run the request's smallest model would begin in
 	 * time. Never true if there are cold replicas, whose delay is unknown.
 	 */
-	boolean wouldMissDeadline(ReplicaTask task, ReplicaChoice choice, long left) {
+	boolean wouldMissDeadline(ReplicaTask task, ReplicaChoice choice, long remainingMillis) {
 		if (!this.gateway.settings().load().pressure() || this.request.engine().isEmpty()
-				|| !DeadlineCheck.isTooLate(choice, left)) {
+				|| !DeadlineCheck.isTooLate(choice, remainingMillis)) {
 			return false;
 		}
 		long now = MonotonicClock.millis();
@@ -194,7 +194,7 @@
 		List<Replica> usable = usable(Set.of(), task.model());
 		List<ReplicaChoice> all = picker().bestChoices(now, usable, Set.of(), task, usable.size());
 		boolean refused = !rules().hasColdReplica(now, requirements(task.model()))
-				&& this.gateway.routingState().hopeless().shouldRefuse(now, this.request.service(), all, left);
+				&& this.gateway.routingState().hopeless().shouldRefuse(now, this.request.service(), all, remainingMillis);
 		if (refused) {
 			this.gateway.telemetry().count("would.not.begin");
 		}
@@ -206,8 +206,8 @@
 	 * rate-limited replicas is kept for requests, and a replica in back-off is not
 	 * probed.
 	 */
-	private List<Replica> replicasToProbe(List<Replica> usable, ReplicaTask task, Set<ReplicaId> leftOut) {
-		return picker().replicasToQuery(MonotonicClock.millis(), usable, leftOut, task).stream().filter(this::canProbe).toList();
+	private List<Replica> replicasToProbe(List<Replica> usable, ReplicaTask task, Set<ReplicaId> excluded) {
+		return picker().replicasToQuery(MonotonicClock.millis(), usable, excluded, task).stream().filter(this::canProbe).toList();
 	}
 
 	/**
@@ -218,10 +218,10 @@
 				&& this.gateway.backpressure().canProbe(replica);
 	}
 
-	private static List<Replica> withoutUnanswered(List<Replica> usable, List<Replica> asked, List<Replica> told) {
-		Set<ReplicaId> silent = asked.stream().map(Replica::id).collect(Collectors.toSet());
-		told.forEach((replica) -> silent.remove(replica.id()));
-		return usable.stream().filter((replica) -> !silent.contains(replica.id())).toList();
+	private static List<Replica> withoutUnanswered(List<Replica> usable, List<Replica> probed, List<Replica> reported) {
+		Set<ReplicaId> unanswered = probed.stream().map(Replica::id).collect(Collectors.toSet());
+		reported.forEach((replica) -> unanswered.remove(replica.id()));
+		return usable.stream().filter((replica) -> !unanswered.contains(replica.id())).toList();
 	}
 
 	private ReplicaEligibility rules() {
--- a/daemon/src/main/java/org/gullsaddle/gateway/RetryAfterAdvisor.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/RetryAfterAdvisor.java
@@ -42,16 +42,16 @@
 
 	/**
 	 * Returns the retry delay for a refused caller, in milliseconds.
-	 * @param soonest the shortest delay allowed, in milliseconds
+	 * @param minMillis the shortest delay allowed, in milliseconds
 	 */
-	long retryAfterMillis(ServedRequest request, long soonest) {
+	long retryAfterMillis(ServedRequest request, long minMillis) {
 		if (!this.pressure) {
-			return soonest;
+			return minMillis;
 		}
 		long now = MonotonicClock.millis();
 		RefusedRequest refused = new RefusedRequest(request.service(), request.rank(), request.teamName(),
 				request.contentHash());
-		RetryAfter time = this.times.schedule(now, refused, soonest, request.timeLeft(now));
+		RetryAfter time = this.times.schedule(now, refused, minMillis, request.timeLeft(now));
 		this.telemetry.count(time.capacityExpected() ? "returns.told" : "returns.told.without.hope");
 		return time.retryAfterMillis();
 	}
