--- a/core/src/main/java/org/gullsaddle/serve/DelayModel.java
+++ b/core/src/main/java/org/gullsaddle/serve/DelayModel.java
@@ -42,8 +42,8 @@
 	/** The unit that a backlog is counted in. */
 	private final double backlogUnit;
 
-	private DelayModel(OnlineRegression relation, double backlogUnit) {
-		this.regression = relation;
+	private DelayModel(OnlineRegression regression, double backlogUnit) {
+		this.regression = regression;
 		this.backlogUnit = backlogUnit;
 	}
 
--- a/core/src/main/java/org/gullsaddle/serve/ModelSelector.java
+++ b/core/src/main/java/org/gullsaddle/serve/ModelSelector.java
@@ -95,8 +95,8 @@
 		this(false);
 	}
 
-	private ModelSelector(boolean bounded) {
-		this.queueBounded = bounded;
+	private ModelSelector(boolean queueBounded) {
+		this.queueBounded = queueBounded;
 	}
 
 	/**
--- a/core/src/main/java/org/gullsaddle/serve/ModelSizePartition.java
+++ b/core/src/main/java/org/gullsaddle/serve/ModelSizePartition.java
@@ -21,8 +21,9 @@
  * with a fixed quarter of the replicas, they queued for seconds beside idle ones.
  * <p>
  * If capacity is short, separation is strict: a fixed share of the replicas is for small
- * models, and no model uses the others. Nodes that learn their partitions disagree about
- * some replicas, and an engine that runs both sizes reads at full speed for neither.
+ * models, and no model spills over to replicas of the other size. Nodes that learn their
+ * partitions disagree about some replicas, and an engine that runs both sizes reads at
+ * full speed for neither.
  */
 final class ModelSizePartition {
 
--- a/core/src/main/java/org/gullsaddle/serve/NodeLocation.java
+++ b/core/src/main/java/org/gullsaddle/serve/NodeLocation.java
@@ -25,8 +25,8 @@
 
 	/**
 	 * Returns the distance between two data centers.
-	 * @param one the one
-	 * @param other the other
+	 * @param one the first data center
+	 * @param other the second data center
 	 * @return the distance
 	 */
 	public Distance distance(String one, String other) {
