--- a/core/src/main/java/org/gullsaddle/route/Router.java
+++ b/core/src/main/java/org/gullsaddle/route/Router.java
@@ -408,7 +408,8 @@
 		if (score.isPresent()) {
 			double expected = state.expectedRating(version);
 			this.quality.recordRating(state.ratingKey(), expected, score.getAsDouble(), threshold);
-			announceHalt(this.versionGuard.onRating(state.request().template(), version, expected, score.getAsDouble()));
+			announceHalt(
+					this.versionGuard.onRating(state.request().template(), version, expected, score.getAsDouble()));
 		}
 		else {
 			this.cascadesPausedUntilMillis = now.millis() + CASCADE_PAUSE_MILLIS;
--- a/core/src/main/java/org/gullsaddle/serve/DeadlineCheck.java
+++ b/core/src/main/java/org/gullsaddle/serve/DeadlineCheck.java
@@ -70,7 +70,8 @@
 	 * @return true if the replica is not idle and a start in time is improbable
 	 */
 	public static boolean isTooLate(ReplicaChoice choice, long remainingMillis) {
-		return choice.load().requests() >= 1 && choice.delay().probabilityWithin(remainingMillis) < MIN_START_PROBABILITY;
+		return choice.load().requests() >= 1
+				&& choice.delay().probabilityWithin(remainingMillis) < MIN_START_PROBABILITY;
 	}
 
 	private static final class ServiceAnswers {
--- a/core/src/main/java/org/gullsaddle/serve/LimitNoteExchange.java
+++ b/core/src/main/java/org/gullsaddle/serve/LimitNoteExchange.java
@@ -147,7 +147,8 @@
 			return OptionalLong.empty();
 		}
 		Observation known = this.observations.get(replica.id());
-		if (known != null && known.replica.isSameProcess(replica) && now - known.observedAt < OBSERVATION_VALID_MILLIS) {
+		if (known != null && known.replica.isSameProcess(replica)
+				&& now - known.observedAt < OBSERVATION_VALID_MILLIS) {
 			return OptionalLong.of(known.observedAt + OBSERVATION_VALID_MILLIS - now);
 		}
 		this.observations.remove(replica.id());
--- a/core/src/main/java/org/gullsaddle/serve/Loss.java
+++ b/core/src/main/java/org/gullsaddle/serve/Loss.java
@@ -135,7 +135,8 @@
 		@Override
 		public double estimate(ReplicaCandidate candidate) {
 			List<PromptPart> parts = candidate.task().prompt().parts();
-			return parts.isEmpty() ? 0 : MAX_LOSS * KeyHash.toUnitInterval(parts.get(0).id() + '/' + candidate.replica().id());
+			return parts.isEmpty() ? 0
+					: MAX_LOSS * KeyHash.toUnitInterval(parts.get(0).id() + '/' + candidate.replica().id());
 		}
 
 	}
--- a/core/src/main/java/org/gullsaddle/serve/ReplicaEligibility.java
+++ b/core/src/main/java/org/gullsaddle/serve/ReplicaEligibility.java
@@ -42,8 +42,8 @@
 	 * @param backpressure limits what it sends to replicas that ask for fewer requests
 	 * @param crashes the traits that are blocked because they crash replicas
 	 */
-	public ReplicaEligibility(ReplicaDirectory directory, NodeLocation location, ColdReplicaLimiter coldLimiter, BackpressureTable backpressure,
-			CrashTracker crashes) {
+	public ReplicaEligibility(ReplicaDirectory directory, NodeLocation location, ColdReplicaLimiter coldLimiter,
+			BackpressureTable backpressure, CrashTracker crashes) {
 		this.directory = directory;
 		this.location = location;
 		this.coldLimiter = coldLimiter;
@@ -132,7 +132,8 @@
 		if (!areAllExcluded(allowed, excluded)) {
 			return NoReplica.TRIED;
 		}
-		boolean allBackingOff = allowed.stream().allMatch((replica) -> this.backpressure.backOffMillis(now, replica) > 0);
+		boolean allBackingOff = allowed.stream()
+			.allMatch((replica) -> this.backpressure.backOffMillis(now, replica) > 0);
 		return allBackingOff ? NoReplica.RESTING : NoReplica.LIMITED;
 	}
 
@@ -184,8 +185,8 @@
 	}
 
 	private boolean hasColdCapacity(long now, Requirements required, Replica replica) {
-		return required.nodeCount().isPresent()
-				&& this.coldLimiter.canSend(now, replica, required.coldStart().requestsPerSecond(), required.nodeCount().get());
+		return required.nodeCount().isPresent() && this.coldLimiter.canSend(now, replica,
+				required.coldStart().requestsPerSecond(), required.nodeCount().get());
 	}
 
 	private List<Replica> openReplicas(long now, Requirements required) {
--- a/core/src/main/java/org/gullsaddle/serve/WorkShares.java
+++ b/core/src/main/java/org/gullsaddle/serve/WorkShares.java
@@ -112,8 +112,8 @@
 	 * @return the work, at least 1
 	 */
 	public static double workOf(int unreadTokens, ReplicaTask task) {
-		return Math.max(1,
-				(unreadTokens + PROMPT_TOKENS_PER_OUTPUT_TOKEN * task.prompt().expectedOutputTokens()) * task.slowdown());
+		return Math.max(1, (unreadTokens + PROMPT_TOKENS_PER_OUTPUT_TOKEN * task.prompt().expectedOutputTokens())
+				* task.slowdown());
 	}
 
 	/**
--- a/core/src/test/java/org/gullsaddle/serve/ReplicaEligibilityTests.java
+++ b/core/src/test/java/org/gullsaddle/serve/ReplicaEligibilityTests.java
@@ -125,8 +125,7 @@
 		@Test
 		void emptyDirectoryIsTheReason() {
 			List.of("a", "b", "c")
-				.forEach(
-						(dataCenter) -> ReplicaEligibilityTests.this.directory.onUnlisted(0,
+				.forEach((dataCenter) -> ReplicaEligibilityTests.this.directory.onUnlisted(0,
 						replica(dataCenter, "v1").id()));
 			assertThat(reasonFor(RegionLimit.ANYWHERE)).isEqualTo(NoReplica.NONE);
 		}
--- a/daemon/src/main/java/org/gullsaddle/gateway/BufferManager.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/BufferManager.java
@@ -93,7 +93,8 @@
 
 	private void abort(BufferAccount holder, long now) {
 		Transfer party = this.transfers.get(holder);
-		this.log.transferAborted(holder, party.kind(), holder.secondsToEmpty(now), this.budget.orElseThrow().bufferedBytes());
+		this.log.transferAborted(holder, party.kind(), holder.secondsToEmpty(now),
+				this.budget.orElseThrow().bufferedBytes());
 		this.telemetry.count("given.up." + party.kind());
 		close(holder);
 		party.abort();
--- a/daemon/src/main/java/org/gullsaddle/gateway/Cascade.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/Cascade.java
@@ -85,9 +85,8 @@
 	 */
 	boolean decideDrop(int confidence, String larger, Optional<ReplicaChoice> choice, long remainingMillis) {
 		String reason = reasonToKeep(confidence, choice, remainingMillis);
-		this.log.answerDoubted(this.request.id(), this.model, confidence, this.routingState.models().sufficientConfidence(),
-				larger,
-				reason);
+		this.log.answerDoubted(this.request.id(), this.model, confidence,
+				this.routingState.models().sufficientConfidence(), larger, reason);
 		if (reason.isEmpty()) {
 			this.doubtedModel = this.model;
 			this.doubtedConfidence = confidence;
--- a/daemon/src/main/java/org/gullsaddle/gateway/CrashController.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/CrashController.java
@@ -195,7 +195,8 @@
 
 	private void onEnded(ServedRequest request, String model, Attempt attempt, CrashDetector.EndKind manner) {
 		Replica replica = attempt.choice().replica();
-		this.crashWatch.onAttemptEnd(MonotonicClock.millis(), replica, attempt.startedAt(), manner, request.traits(model))
+		this.crashWatch
+			.onAttemptEnd(MonotonicClock.millis(), replica, attempt.startedAt(), manner, request.traits(model))
 			.ifPresent((crash) -> onCrash(crash, "more that ran there"));
 		if (manner == CrashDetector.EndKind.BROKEN) {
 			checkLiveness(replica);
--- a/daemon/src/main/java/org/gullsaddle/gateway/FlowControlledSink.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/FlowControlledSink.java
@@ -154,7 +154,8 @@
 	}
 
 	private void updateHolder() {
-		this.holder.recordBuffered(this.queuedBytes + this.incompleteBytes, !this.queued.isEmpty(), MonotonicClock.millis());
+		this.holder.recordBuffered(this.queuedBytes + this.incompleteBytes, !this.queued.isEmpty(),
+				MonotonicClock.millis());
 	}
 
 	@Override
--- a/daemon/src/main/java/org/gullsaddle/gateway/Gateway.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/Gateway.java
@@ -125,8 +125,8 @@
 				this.log);
 		this.crashes = new CrashController(vertx, builder.store, this.settings.node(), this.pool, this.routingState,
 				this.nodeRegistry, this.log, this.telemetry);
-		this.rules = new ReplicaEligibility(this.fleet.directory(), this.settings.place(), this.coldPace, backpressureTable,
-				this.crashes.crashTable());
+		this.rules = new ReplicaEligibility(this.fleet.directory(), this.settings.place(), this.coldPace,
+				backpressureTable, this.crashes.crashTable());
 		this.rollouts = new RolloutController(vertx, builder.board, builder.store, this.settings.node(), this.fleet,
 				this.log);
 		this.dispatcher = new RequestDispatcher(vertx, this);
--- a/daemon/src/main/java/org/gullsaddle/gateway/ReplicaChooser.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/ReplicaChooser.java
@@ -27,8 +27,7 @@
 final class ReplicaChooser {
 
 	/** Reasons for which the rules know how long there is no replica. */
-	private static final Set<ReplicaEligibility.NoReplica> REASONS_WITH_KNOWN_DELAY = EnumSet
-		.of(
+	private static final Set<ReplicaEligibility.NoReplica> REASONS_WITH_KNOWN_DELAY = EnumSet.of(
 			ReplicaEligibility.NoReplica.LIMITED, ReplicaEligibility.NoReplica.RESTING,
 			ReplicaEligibility.NoReplica.CRASHES);
 
@@ -193,8 +192,9 @@
 		// Rate-limited replicas are included: they may still accept the request.
 		List<Replica> usable = usable(Set.of(), task.model());
 		List<ReplicaChoice> all = picker().bestChoices(now, usable, Set.of(), task, usable.size());
-		boolean refused = !rules().hasColdReplica(now, requirements(task.model()))
-				&& this.gateway.routingState().hopeless().shouldRefuse(now, this.request.service(), all, remainingMillis);
+		boolean refused = !rules().hasColdReplica(now, requirements(task.model())) && this.gateway.routingState()
+			.hopeless()
+			.shouldRefuse(now, this.request.service(), all, remainingMillis);
 		if (refused) {
 			this.gateway.telemetry().count("would.not.begin");
 		}
@@ -207,7 +207,10 @@
 	 * probed.
 	 */
 	private List<Replica> replicasToProbe(List<Replica> usable, ReplicaTask task, Set<ReplicaId> excluded) {
-		return picker().replicasToQuery(MonotonicClock.millis(), usable, excluded, task).stream().filter(this::canProbe).toList();
+		return picker().replicasToQuery(MonotonicClock.millis(), usable, excluded, task)
+			.stream()
+			.filter(this::canProbe)
+			.toList();
 	}
 
 	/**
--- a/daemon/src/main/java/org/gullsaddle/gateway/RequestBodyReader.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/RequestBodyReader.java
@@ -55,7 +55,8 @@
 		this.request.endHandler((nothing) -> {
 			if (!this.done) {
 				this.done = true;
-				this.holder.ifPresent((each) -> each.recordBuffered(this.body.length(), false, MonotonicClock.millis()));
+				this.holder
+					.ifPresent((each) -> each.recordBuffered(this.body.length(), false, MonotonicClock.millis()));
 				this.gateway.dispatcher().dispatch(this.request, caller, this.body, this.startedAt);
 			}
 		});
--- a/daemon/src/main/java/org/gullsaddle/gateway/RolloutController.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/RolloutController.java
@@ -114,7 +114,8 @@
 		Replica replica = attempt.choice().replica();
 		this.fleet.rollout(replica.service()).ifPresent((rollout) -> {
 			answer.load()
-				.ifPresent((load) -> rollout.onLoadReported(MonotonicClock.millis(), replica, load, attempt.startedAt()));
+				.ifPresent(
+						(load) -> rollout.onLoadReported(MonotonicClock.millis(), replica, load, attempt.startedAt()));
 			rollout.onAnswerStarted(replica, kind, new AttemptEnd.Answered(answer.status()).hasFailed(),
 					attempt.startedAt(), attempt.headAt() - attempt.startedAt());
 		});
--- a/daemon/src/main/java/org/gullsaddle/gateway/SharedRoutingState.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/SharedRoutingState.java
@@ -190,7 +190,8 @@
 	 * Records the timing of a stream that has ended.
 	 */
 	void recordStream(Route route, String model, StreamTiming timing) {
-		this.models.recordAnswer(route, model, timing.firstEventMillis(MonotonicClock.millis()), timing.longestGapMillis());
+		this.models.recordAnswer(route, model, timing.firstEventMillis(MonotonicClock.millis()),
+				timing.longestGapMillis());
 	}
 
 	/**
