--- a/core/src/main/java/org/gullsaddle/ledger/Bills.java
+++ b/core/src/main/java/org/gullsaddle/ledger/Bills.java
@@ -45,10 +45,11 @@
 	 */
 	public void add(LedgerEntry entry) {
 		switch (entry) {
-			case LedgerEntry.RequestEntry whole -> this.requestRecords.putIfAbsent(whole.request(), whole.record());
-			case LedgerEntry.AttemptEntry part ->
-				this.agentRecords.computeIfAbsent(part.request(), (id) -> new TreeMap<>(ORDER))
-					.putIfAbsent(part.agentRecord().line().attempt(), part.agentRecord());
+			case LedgerEntry.RequestEntry requestEntry ->
+				this.requestRecords.putIfAbsent(requestEntry.request(), requestEntry.record());
+			case LedgerEntry.AttemptEntry attemptEntry ->
+				this.agentRecords.computeIfAbsent(attemptEntry.request(), (id) -> new TreeMap<>(ORDER))
+					.putIfAbsent(attemptEntry.agentRecord().line().attempt(), attemptEntry.agentRecord());
 		}
 	}
 
@@ -77,10 +78,10 @@
 
 	private static Bill fromAgentRecords(RequestId id, Map<AttemptId, AgentRecord> records) {
 		AgentRecord first = records.values().iterator().next();
-		long cost = records.values().stream().mapToLong((held) -> held.line().costMicros()).sum();
+		long cost = records.values().stream().mapToLong((agentRecord) -> agentRecord.line().costMicros()).sum();
 		Verdict verdict = records.values()
 			.stream()
-			.map((held) -> held.line().verdict())
+			.map((agentRecord) -> agentRecord.line().verdict())
 			.reduce(Verdict.NOT_RUN, Verdict::combine);
 		return new Bill(id, first.team(), first.template(), cost, verdict, "entry-lost");
 	}
--- a/core/src/main/java/org/gullsaddle/ledger/LedgerEntry.java
+++ b/core/src/main/java/org/gullsaddle/ledger/LedgerEntry.java
@@ -38,7 +38,7 @@
 		if (tree.has("line")) {
 			return new AttemptEntry(Json.convert(tree, AgentRecord.class));
 		}
-		throw new IOException("a ledger entry is neither a request's record nor an attempt's line");
+		throw new IOException("a ledger entry is neither a request's nor an agent's record");
 	}
 
 	/**
--- a/core/src/main/java/org/gullsaddle/ledger/LedgerVerifier.java
+++ b/core/src/main/java/org/gullsaddle/ledger/LedgerVerifier.java
@@ -34,11 +34,11 @@
 		Map<String, LedgerHead> headOf = new HashMap<>();
 		heads.forEach((head) -> headOf.put(head.writer(), head));
 		List<LedgerFlaw> flaws = new ArrayList<>();
-		byWriter.forEach((writer, own) -> {
-			own.sort(Comparator.comparingLong(Segment::sequence));
-			LedgerFlaw flaw = checkChain(own);
+		byWriter.forEach((writer, ownSegments) -> {
+			ownSegments.sort(Comparator.comparingLong(Segment::sequence));
+			LedgerFlaw flaw = checkChain(ownSegments);
 			if (flaw == null) {
-				flaw = checkHead(own.get(own.size() - 1), headOf.get(writer));
+				flaw = checkHead(ownSegments.get(ownSegments.size() - 1), headOf.get(writer));
 			}
 			if (flaw != null) {
 				flaws.add(flaw);
--- a/core/src/main/java/org/gullsaddle/ledger/ServingOrder.java
+++ b/core/src/main/java/org/gullsaddle/ledger/ServingOrder.java
@@ -27,39 +27,40 @@
 	/**
 	 * Orders the requests that ran by when they were sent to the backend server that
 	 * served them.
-	 * @param written the records with their writers
+	 * @param records the records with their writers
 	 * @param uncertaintyMillis how far two clocks may differ, in milliseconds
 	 * @return the places, from the first served
 	 */
-	public static List<Place> of(Collection<WriterRecord> written, long uncertaintyMillis) {
+	public static List<Place> of(Collection<WriterRecord> records, long uncertaintyMillis) {
 		Check.that(uncertaintyMillis >= 0, "uncertaintyMillis must not be negative");
 		List<Served> served = new ArrayList<>();
-		for (WriterRecord each : written) {
+		for (WriterRecord each : records) {
 			each.record()
 				.attempts()
 				.stream()
-				.filter((line) -> line.verdict() == Verdict.RAN)
+				.filter((attempt) -> attempt.verdict() == Verdict.RAN)
 				.reduce((first, second) -> second)
-				.ifPresent((line) -> served.add(new Served(each, line)));
+				.ifPresent((attempt) -> served.add(new Served(each, attempt)));
 		}
 		served.sort(Comparator.comparingLong((each) -> each.attemptRecord().start()));
 		List<Place> places = new ArrayList<>();
-		Served before = null;
+		Served previous = null;
 		for (Served each : served) {
 			places.add(new Place(places.size() + 1, each.writerRecord().record().request(),
 					each.writerRecord().record().team(), each.attemptRecord().version(), each.attemptRecord().start(),
-					each.writerRecord().writer(), before == null || isOrderCertain(before, each, uncertaintyMillis)));
-			before = each;
+					each.writerRecord().writer(),
+					previous == null || isOrderCertain(previous, each, uncertaintyMillis)));
+			previous = each;
 		}
 		return places;
 	}
 
-	private static boolean isOrderCertain(Served before, Served after, long uncertaintyMillis) {
-		if (before.writerRecord().writer().equals(after.writerRecord().writer())) {
+	private static boolean isOrderCertain(Served previous, Served after, long uncertaintyMillis) {
+		if (previous.writerRecord().writer().equals(after.writerRecord().writer())) {
 			return true;
 		}
 		long differenceMillis = HybridClock.millis(after.attemptRecord().start())
-				- HybridClock.millis(before.attemptRecord().start());
+				- HybridClock.millis(previous.attemptRecord().start());
 		return differenceMillis > uncertaintyMillis;
 	}
 
--- a/core/src/main/java/org/gullsaddle/register/RegisterShard.java
+++ b/core/src/main/java/org/gullsaddle/register/RegisterShard.java
@@ -72,10 +72,10 @@
 	public List<RegisterAction> handle(long now, long wallMillis, RegisterEvent event) {
 		switch (event) {
 			case RegisterEvent.Submitted submitted -> onSubmitted(submitted);
-			case RegisterEvent.Loaded read -> onRead(read);
+			case RegisterEvent.Loaded loaded -> onRead(loaded);
 			case RegisterEvent.ReadFailed failed -> onReadFailed(now);
-			case RegisterEvent.Written done -> onWritten(done.revision());
-			case RegisterEvent.Conflicted conflict -> retryBatch();
+			case RegisterEvent.Written written -> onWritten(written.revision());
+			case RegisterEvent.Conflicted conflicted -> retryBatch();
 			case RegisterEvent.WriteUnknown unknown -> retryBatch();
 			case RegisterEvent.Tick tick -> expireDeadlines(now);
 		}
@@ -116,8 +116,8 @@
 		this.storeCallPending = false;
 		this.revision = newRevision;
 		this.entries = this.batchEntries;
-		for (Pending done : this.batch) {
-			answer(done);
+		for (Pending written : this.batch) {
+			answer(written);
 		}
 		this.batch = List.of();
 	}
--- a/core/src/main/java/org/gullsaddle/suspect/CrashEvidence.java
+++ b/core/src/main/java/org/gullsaddle/suspect/CrashEvidence.java
@@ -169,9 +169,9 @@
 		if (trait.isPart()) {
 			return false;
 		}
-		List<Crash> with = crashesWith(trait);
-		return with.stream().anyMatch((crash) -> explainedSince(crash, trait).isPresent())
-				&& !isSufficient(weigh(trait, with));
+		List<Crash> crashesWithTrait = crashesWith(trait);
+		return crashesWithTrait.stream().anyMatch((crash) -> explainedSince(crash, trait).isPresent())
+				&& !isSufficient(weigh(trait, crashesWithTrait));
 	}
 
 	private List<Crash> crashesWith(Trait trait) {
@@ -257,34 +257,34 @@
 
 	/**
 	 * Weighs the evidence against a trait.
-	 * @param with the crashes at which it was, in order of time
+	 * @param crashesWithTrait the crashes at which it was, in order of time
 	 */
-	private TraitEvidence weigh(Trait trait, List<Crash> with) {
-		long soundAt = this.successes.lastSuccessAt(trait);
-		boolean soundBefore = this.successes.hasSuccess(trait) || trait.kind() == Trait.Kind.PART_UNDER_MODEL;
-		List<Crash> against = with.stream()
-			.filter((crash) -> crash.at() > soundAt && (!trait.isPart() || crash.at() >= this.observingSince))
+	private TraitEvidence weigh(Trait trait, List<Crash> crashesWithTrait) {
+		long lastSuccessAt = this.successes.lastSuccessAt(trait);
+		boolean hadSuccess = this.successes.hasSuccess(trait) || trait.kind() == Trait.Kind.PART_UNDER_MODEL;
+		List<Crash> against = crashesWithTrait.stream()
+			.filter((crash) -> crash.at() > lastSuccessAt && (!trait.isPart() || crash.at() >= this.observingSince))
 			.toList();
 		List<Crash> counted = countedCrashes(trait, against);
 		int count = 0;
 		long first = Long.MAX_VALUE;
 		long last = Long.MIN_VALUE / 2;
 		long totalRunMillis = 0;
-		boolean copies = false;
+		boolean areCopies = false;
 		for (Crash crash : counted) {
 			if (crash.at() - last >= MIN_CRASH_GAP_MILLIS || crash.lastRequestAt(trait) >= last) {
 				count++;
 				last = crash.at();
 				first = Math.min(first, last);
-				copies = false;
+				areCopies = false;
 			}
-			else if (!copies && !soundBefore && allCrashesHave(trait, last, crash.at())) {
+			else if (!areCopies && !hadSuccess && allCrashesHave(trait, last, crash.at())) {
 				count++;
-				copies = true;
+				areCopies = true;
 			}
 			totalRunMillis += crash.at() - crash.lastRequestAt(trait);
 		}
-		return new TraitEvidence(trait, soundBefore, count, first, last, totalRunMillis,
+		return new TraitEvidence(trait, hadSuccess, count, first, last, totalRunMillis,
 				trait.isPart() && shareOneContent(counted));
 	}
 
@@ -328,11 +328,11 @@
 			.anyMatch((trait) -> !trait.isPart() && crashes.stream().allMatch((crash) -> crash.hasTrait(trait)));
 	}
 
-	private static int crashThreshold(Trait trait, boolean soundBefore) {
+	private static int crashThreshold(Trait trait, boolean hadSuccess) {
 		if (!trait.isPart()) {
 			return CONTENT_CRASH_THRESHOLD;
 		}
-		return soundBefore ? PRIOR_SUCCESS_CRASH_THRESHOLD : PART_CRASH_THRESHOLD;
+		return hadSuccess ? PRIOR_SUCCESS_CRASH_THRESHOLD : PART_CRASH_THRESHOLD;
 	}
 
 	/**
--- a/core/src/main/java/org/gullsaddle/suspect/CrashTracker.java
+++ b/core/src/main/java/org/gullsaddle/suspect/CrashTracker.java
@@ -181,11 +181,11 @@
 	 * @return whether to report the blocks to peers again
 	 */
 	public boolean onRequest(long now, Collection<Trait> traits) {
-		boolean due = false;
+		boolean shouldReport = false;
 		for (BlockedTrait blockedTrait : findBlocked(traits)) {
-			due |= blockedTrait.onRequest(now);
+			shouldReport |= blockedTrait.onRequest(now);
 		}
-		return due;
+		return shouldReport;
 	}
 
 	/**
--- a/core/src/test/java/org/gullsaddle/allowance/GrantCoordinatorTests.java
+++ b/core/src/test/java/org/gullsaddle/allowance/GrantCoordinatorTests.java
@@ -66,11 +66,11 @@
 	private void write(Node node, Random random, long now) {
 		GrantDocument next = node.coordinator.propose(node.read, node.askedAt, now, now);
 		// Compare-and-swap: only a proposal made from the current document is accepted.
-		boolean taken = next != null && node.read == this.document;
-		if (taken) {
+		boolean accepted = next != null && node.read == this.document;
+		if (accepted) {
 			this.document = next;
 		}
-		if (taken && random.nextInt(4) > 0) {
+		if (accepted && random.nextInt(4) > 0) {
 			node.coordinator.onAccepted(now);
 		}
 		else {
@@ -108,16 +108,16 @@
 
 	@Test
 	void shareOfADeadEntryIsReassigned() {
-		Node lives = new Node(1);
-		Node dies = new Node(2);
-		round(dies, 1);
-		round(lives, 2);
-		double before = lives.allowances.share(KEY, 2);
+		Node alive = new Node(1);
+		Node dead = new Node(2);
+		round(dead, 1);
+		round(alive, 2);
+		double before = alive.allowances.share(KEY, 2);
 		for (long now = 100; now < 4 * TTL_MILLIS; now += 100) {
-			lives.allowances.acquire(Templates.ASSISTANT_NAME, BASIC, 1, now, now);
-			round(lives, now);
+			alive.allowances.acquire(Templates.ASSISTANT_NAME, BASIC, 1, now, now);
+			round(alive, now);
 		}
-		assertThat(lives.allowances.share(KEY, 4 * TTL_MILLIS)).isGreaterThan(before).isGreaterThan(0.9);
+		assertThat(alive.allowances.share(KEY, 4 * TTL_MILLIS)).isGreaterThan(before).isGreaterThan(0.9);
 	}
 
 	@Test
@@ -125,7 +125,7 @@
 		Node one = new Node(1);
 		Node two = new Node(2);
 		long spent = 0;
-		long most = 100_000_000;
+		long maxMicros = 100_000_000;
 		for (long now = 1; now < 20_000; now += 20) {
 			Node node = (now % 40 == 1) ? one : two;
 			round(node, now);
@@ -133,7 +133,7 @@
 				spent += 300_000;
 			}
 		}
-		assertThat(spent).isLessThanOrEqualTo(most);
+		assertThat(spent).isLessThanOrEqualTo(maxMicros);
 	}
 
 	@Test
--- a/core/src/test/java/org/gullsaddle/hold/BufferBudgetTests.java
+++ b/core/src/test/java/org/gullsaddle/hold/BufferBudgetTests.java
@@ -20,9 +20,9 @@
 	private final BufferBudget budget = new BufferBudget(LIMIT);
 
 	private BufferAccount accountWith(String id, long bytes, long now) {
-		BufferAccount holder = this.budget.openAccount(id, WINDOW_MILLIS);
-		holder.recordBuffered(bytes, true, now);
-		return holder;
+		BufferAccount account = this.budget.openAccount(id, WINDOW_MILLIS);
+		account.recordBuffered(bytes, true, now);
+		return account;
 	}
 
 	private Optional<String> aborted(long now) {
@@ -42,18 +42,18 @@
 
 		private long maxBytes;
 
-		private void step(List<BufferAccount> holders, long now) {
-			for (BufferAccount each : List.copyOf(holders)) {
-				long held = each.bufferedBytes() + (each.canRead() ? ANSWER_PART : 0);
-				long taken = each.id().startsWith("slow") ? Math.min(SLOW_PART, held) : held;
-				each.recordBuffered(held, true, now);
+		private void step(List<BufferAccount> accounts, long now) {
+			for (BufferAccount each : List.copyOf(accounts)) {
+				long buffered = each.bufferedBytes() + (each.canRead() ? ANSWER_PART : 0);
+				long transferred = each.id().startsWith("slow") ? Math.min(SLOW_PART, buffered) : buffered;
+				each.recordBuffered(buffered, true, now);
 				this.maxBytes = Math.max(this.maxBytes, BufferBudgetTests.this.budget.bufferedBytes());
-				each.recordBuffered(held - taken, true, now);
-				each.recordTransferred(taken, now);
+				each.recordBuffered(buffered - transferred, true, now);
+				each.recordTransferred(transferred, now);
 			}
 			BufferBudgetTests.this.budget.findToAbort(now).ifPresent((each) -> {
 				this.abortedIds.add(each.id());
-				holders.remove(each);
+				accounts.remove(each);
 				each.close();
 			});
 		}
@@ -64,18 +64,18 @@
 		 */
 		@Test
 		void onlySlowReadersAreAbortedAndMemoryStaysBounded() {
-			List<BufferAccount> holders = new ArrayList<>();
+			List<BufferAccount> accounts = new ArrayList<>();
 			for (int i = 0; i < CALLERS; i++) {
-				holders.add(BufferBudgetTests.this.budget.openAccount("slow-" + i, WINDOW_MILLIS));
-				holders.add(BufferBudgetTests.this.budget.openAccount("quick-" + i, WINDOW_MILLIS));
+				accounts.add(BufferBudgetTests.this.budget.openAccount("slow-" + i, WINDOW_MILLIS));
+				accounts.add(BufferBudgetTests.this.budget.openAccount("quick-" + i, WINDOW_MILLIS));
 			}
 			for (long now = 0; now < 60_000; now += STEP_MILLIS) {
-				step(holders, now);
+				step(accounts, now);
 			}
 			assertThat(this.abortedIds).isNotEmpty().allMatch((id) -> id.startsWith("slow"));
 			assertThat(this.maxBytes).isLessThan(LIMIT + LIMIT / 4);
-			assertThat(holders).filteredOn((each) -> each.id().startsWith("quick")).hasSize(CALLERS);
-			assertThat(holders).filteredOn((each) -> each.id().startsWith("slow")).isNotEmpty();
+			assertThat(accounts).filteredOn((each) -> each.id().startsWith("quick")).hasSize(CALLERS);
+			assertThat(accounts).filteredOn((each) -> each.id().startsWith("slow")).isNotEmpty();
 		}
 
 	}
@@ -108,9 +108,9 @@
 
 		@Test
 		void completeBodyIsNotAborted() {
-			BufferAccount whole = accountWith("whole", LIMIT, 0);
+			BufferAccount complete = accountWith("whole", LIMIT, 0);
 			assertThat(aborted(5000)).contains("whole");
-			whole.recordBuffered(LIMIT, false, 5000);
+			complete.recordBuffered(LIMIT, false, 5000);
 			assertThat(aborted(5000)).isEmpty();
 		}
 
@@ -119,8 +119,8 @@
 	@Nested
 	class WithAnExhaustedBudget {
 
-		private void transfer(BufferAccount holder, long bytes) {
-			holder.recordTransferred(bytes, 2000);
+		private void transfer(BufferAccount account, long bytes) {
+			account.recordTransferred(bytes, 2000);
 		}
 
 		@Test
@@ -162,21 +162,21 @@
 		@Test
 		void smallAccountsCanStillRead() {
 			BufferAccount large = accountWith("large", 900_000, 0);
-			BufferAccount little = accountWith("little", 100_000, 0);
+			BufferAccount small = accountWith("little", 100_000, 0);
 			assertThat(large.canRead()).isFalse();
-			assertThat(little.canRead()).isTrue();
+			assertThat(small.canRead()).isTrue();
 			assertThat(BufferBudgetTests.this.budget.openAccount("new", WINDOW_MILLIS).canRead()).isTrue();
 		}
 
 		@Test
 		void readingResumesOnlyOnceThereIsCapacityAgain() {
 			accountWith("other", 860_000, 0);
-			BufferAccount holder = accountWith("one", 240_000, 0);
-			holder.recordBuffered(100_000, true, 0);
+			BufferAccount account = accountWith("one", 240_000, 0);
+			account.recordBuffered(100_000, true, 0);
 			assertThat(BufferBudgetTests.this.budget.isExhausted()).isTrue();
-			holder.recordBuffered(10_000, true, 0);
+			account.recordBuffered(10_000, true, 0);
 			assertThat(BufferBudgetTests.this.budget.isExhausted()).isFalse();
-			holder.recordBuffered(100_000, true, 0);
+			account.recordBuffered(100_000, true, 0);
 			assertThat(BufferBudgetTests.this.budget.isExhausted()).isFalse();
 		}
 
@@ -199,10 +199,10 @@
 
 		@Test
 		void closingReleasesBytesOnce() {
-			BufferAccount holder = accountWith("one", 300, 0);
-			holder.close();
-			holder.close();
-			holder.recordBuffered(500, true, 0);
+			BufferAccount account = accountWith("one", 300, 0);
+			account.close();
+			account.close();
+			account.recordBuffered(500, true, 0);
 			assertThat(BufferBudgetTests.this.budget.bufferedBytes()).isZero();
 		}
 
--- a/core/src/test/java/org/gullsaddle/ledger/LedgerTests.java
+++ b/core/src/test/java/org/gullsaddle/ledger/LedgerTests.java
@@ -179,11 +179,11 @@
 	class Order {
 
 		private static ServingOrder.WriterRecord served(String request, String writer, long millis) {
-			AttemptRecord line = new AttemptRecord(new AttemptId(new RequestId(request), 1),
+			AttemptRecord attempt = new AttemptRecord(new AttemptId(new RequestId(request), 1),
 					ModelVersion.of("small@v1"), new NodeId("agent-1"), 1, Verdict.RAN, "done", Usage.NONE, 1,
 					HybridClock.stamp(millis, 0), 0);
 			return new ServingOrder.WriterRecord(writer, new RequestRecord(new RequestId(request), TEAM, TEMPLATE, null,
-					1, "direct", List.of(line), Verdict.RAN, "served", 1, 2));
+					1, "direct", List.of(attempt), Verdict.RAN, "served", 1, 2));
 		}
 
 		@Test
--- a/core/src/test/java/org/gullsaddle/suspect/CrashModel.java
+++ b/core/src/test/java/org/gullsaddle/suspect/CrashModel.java
@@ -187,7 +187,7 @@
 		}
 		Run run = new Run(node, traits, this.now, attempt);
 		this.replicas.get(replica).add(run);
-		int life = this.processNumbers[replica];
+		int processNumber = this.processNumbers[replica];
 		long begins = this.now + 40 + this.random.nextInt(400);
 		boolean poison = traits.contains(POISON);
 		boolean deadly = poison || traits.contains(DEADLY);
@@ -195,7 +195,7 @@
 			(poison ? this.poisonSent : this.deadlySent).add(this.now);
 		}
 		at(begins, () -> {
-			if (deadly && isRunning(replica, life, run)) {
+			if (deadly && isRunning(replica, processNumber, run)) {
 				if (poison) {
 					this.poisonCrashes.add(this.now);
 				}
@@ -203,21 +203,22 @@
 			}
 		});
 		at(begins + SUCCESS_MILLIS, () -> {
-			if (isRunning(replica, life, run)) {
+			if (isRunning(replica, processNumber, run)) {
 				onSuccess(run);
 			}
 		});
 		at(begins + SUCCESS_MILLIS + this.random.nextInt(2000), () -> this.replicas.get(replica).remove(run));
 	}
 
-	private boolean isRunning(int replica, int life, Run run) {
-		return this.alive[replica] && this.processNumbers[replica] == life && this.replicas.get(replica).contains(run);
+	private boolean isRunning(int replica, int processNumber, Run run) {
+		return this.alive[replica] && this.processNumbers[replica] == processNumber
+				&& this.replicas.get(replica).contains(run);
 	}
 
 	private void onSuccess(Run run) {
-		CrashTracker book = this.trackers.get(run.node);
-		boolean cleared = !book.onSuccess(this.now, run.traits).isEmpty();
-		if (cleared || book.shouldReportSuccess(run.traits)) {
+		CrashTracker tracker = this.trackers.get(run.node);
+		boolean unblocked = !tracker.onSuccess(this.now, run.traits).isEmpty();
+		if (unblocked || tracker.shouldReportSuccess(run.traits)) {
 			sendNote(run.node);
 		}
 	}
@@ -290,7 +291,7 @@
 	}
 
 	boolean isBlockedByAll(Trait trait) {
-		return this.trackers.stream().allMatch((book) -> book.isBlocked(List.of(trait)));
+		return this.trackers.stream().allMatch((tracker) -> tracker.isBlocked(List.of(trait)));
 	}
 
 	private record Run(int node, List<Trait> traits, long startedAt, int attempt) {
--- a/core/src/test/java/org/gullsaddle/suspect/CrashTrackerTests.java
+++ b/core/src/test/java/org/gullsaddle/suspect/CrashTrackerTests.java
@@ -38,10 +38,10 @@
 		return crash(this.tracker, now, 20, "process-" + this.processes++, traits);
 	}
 
-	private static List<Trait> crash(CrashTracker book, long now, long ranMillis, String process, Trait... traits) {
+	private static List<Trait> crash(CrashTracker tracker, long now, long ranMillis, String process, Trait... traits) {
 		Map<Trait, Long> ran = new LinkedHashMap<>();
 		Arrays.asList(traits).forEach((trait) -> ran.put(trait, ranMillis));
-		return book.onCrash(now, new Crash(process, now, ran));
+		return tracker.onCrash(now, new Crash(process, now, ran));
 	}
 
 	private boolean isBlocked(Trait... traits) {
