--- a/daemon/src/main/java/org/gullsaddle/gateway/Gateway.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/Gateway.java
@@ -127,8 +127,8 @@
 				this.nodeRegistry, this.log, this.telemetry);
 		this.rules = new ReplicaRules(this.fleet.directory(), this.settings.place(), this.coldPace, backpressureTable,
 				this.crashes.crashTable());
-		this.rollouts = new RolloutController(vertx, builder.board, builder.store, this.settings.node(), this.fleet,
-				this.log);
+		this.rollouts = new RolloutController(vertx, builder.stateWriter, builder.store, this.settings.node(),
+				this.fleet, this.log);
 		this.dispatcher = new RequestDispatcher(vertx, this);
 		this.poller = new FleetPoller(vertx, builder.source, this.fleet, this.log, this::onFleetChange,
 				this.settings.maxPropagationMillis(), this.crashes::awaitsCrashNotes);
@@ -439,7 +439,7 @@
 
 		private Store store;
 
-		private RolloutStateWriter board;
+		private RolloutStateWriter stateWriter;
 
 		private HeaderCodec codec;
 
@@ -455,7 +455,7 @@
 		 */
 		public Builder source(FleetSource newSource, RolloutStateWriter newBoard) {
 			this.source = newSource;
-			this.board = newBoard;
+			this.stateWriter = newBoard;
 			return this;
 		}
 
--- a/daemon/src/main/java/org/gullsaddle/gateway/RolloutController.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/RolloutController.java
@@ -58,7 +58,7 @@
 
 	private final Vertx vertx;
 
-	private final RolloutStateWriter board;
+	private final RolloutStateWriter stateWriter;
 
 	private final Store store;
 
@@ -82,7 +82,7 @@
 	RolloutController(Vertx vertx, RolloutStateWriter board, Store store, String node, FleetState fleet,
 			DecisionLog log) {
 		this.vertx = vertx;
-		this.board = board;
+		this.stateWriter = board;
 		this.store = store;
 		this.node = node;
 		this.turns = new RolloutTurns(node);
@@ -174,7 +174,7 @@
 		if (!this.writing.add(service)) {
 			return;
 		}
-		this.board.write(rollout.order(), state, rollout.stateRevision()).subscribe((written) -> {
+		this.stateWriter.write(rollout.order(), state, rollout.stateRevision()).subscribe((written) -> {
 			this.writing.remove(service);
 			this.turns.answered(MonotonicClock.millis(), rollout, state);
 			logStateWrite(rollout, state, written ? "written" : "another node was first");
