--- a/daemon/src/main/java/org/gullsaddle/gateway/BackpressureController.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/BackpressureController.java
@@ -112,10 +112,10 @@
 		Optional<Replica> listed = this.fleet.directory().find(id);
 		try {
 			LimitNote note = Json.read(noted.value(), LimitNote.class);
-			Runnable learn = () -> this.limitNews.learned(MonotonicClock.millis(), id, note, listed)
+			Runnable update = () -> this.limitNews.learned(MonotonicClock.millis(), id, note, listed)
 				.ifPresent((millis) -> this.vertx.setTimer(millis,
 						(timer) -> this.fleet.directory().find(id).ifPresent(this::onListed)));
-			listed.ifPresentOrElse((replica) -> applyAndLog(replica, "note", learn), learn);
+			listed.ifPresentOrElse((replica) -> applyAndLog(replica, "note", update), update);
 		}
 		catch (IOException ex) {
 			this.log.unreadableRecord(noted.key(), ex.getMessage());
--- a/daemon/src/main/java/org/gullsaddle/gateway/ConfigRefresher.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/ConfigRefresher.java
@@ -56,15 +56,16 @@
 
 	/**
 	 * Creates a refresher.
-	 * @param newsMillis time within which a change must take effect here, in milliseconds
-	 * @param learned receives what was read, after the state was updated
+	 * @param maxPropagationMillis time within which a change must take effect here, in
+	 * milliseconds
+	 * @param changeListener receives what was read, after the state was updated
 	 */
-	ConfigRefresher(FleetSource source, FleetState state, long newsMillis, Consumer<FleetChange> learned,
-			DecisionLog log, Telemetry telemetry) {
+	ConfigRefresher(FleetSource source, FleetState state, long maxPropagationMillis,
+			Consumer<FleetChange> changeListener, DecisionLog log, Telemetry telemetry) {
 		this.source = source;
 		this.state = state;
-		this.maxPropagationMillis = newsMillis;
-		this.changeListener = learned;
+		this.maxPropagationMillis = maxPropagationMillis;
+		this.changeListener = changeListener;
 		this.log = log;
 		this.telemetry = telemetry;
 	}
--- a/daemon/src/main/java/org/gullsaddle/gateway/DrainPolicy.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/DrainPolicy.java
@@ -53,11 +53,11 @@
 	/**
 	 * Begins to stop.
 	 * @param now the time in milliseconds
-	 * @param stopMillis the stop timeout in milliseconds
+	 * @param stopTimeoutMillis the stop timeout in milliseconds
 	 */
-	void begin(long now, long stopMillis) {
+	void begin(long now, long stopTimeoutMillis) {
 		this.beganAt = now;
-		this.endsAt = now + stopMillis - EXIT_MARGIN_MILLIS;
+		this.endsAt = now + stopTimeoutMillis - EXIT_MARGIN_MILLIS;
 	}
 
 	/**
--- a/daemon/src/main/java/org/gullsaddle/gateway/FleetPoller.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/FleetPoller.java
@@ -101,18 +101,20 @@
 
 	/**
 	 * Creates a poller.
-	 * @param newsMillis time within which a change must take effect here, in milliseconds
-	 * @param crashes tells whether crash notes of peers are awaited
+	 * @param maxPropagationMillis time within which a change must take effect here, in
+	 * milliseconds
+	 * @param crashNotesAwaited tells whether crash notes of peers are awaited
 	 */
 	FleetPoller(Vertx vertx, FleetSource source, FleetState state, DecisionLog log, Consumer<FleetChange> listener,
-			long newsMillis, BooleanSupplier crashes) {
+			long maxPropagationMillis, BooleanSupplier crashNotesAwaited) {
 		this.vertx = vertx;
 		this.source = source;
 		this.state = state;
 		this.log = log;
 		this.listener = listener;
-		this.intervalMillis = Math.max(SETTLING_INTERVAL_MILLIS, Math.round(PROPAGATION_INTERVAL_RATIO * newsMillis));
-		this.crashNotesAwaited = crashes;
+		this.intervalMillis = Math.max(SETTLING_INTERVAL_MILLIS,
+				Math.round(PROPAGATION_INTERVAL_RATIO * maxPropagationMillis));
+		this.crashNotesAwaited = crashNotesAwaited;
 	}
 
 	void start() {
--- a/daemon/src/main/java/org/gullsaddle/gateway/Gateway.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/Gateway.java
@@ -450,12 +450,12 @@
 		/**
 		 * Sets the source of information about the deployment.
 		 * @param newSource the source
-		 * @param newBoard the writer of roll-out states
+		 * @param newStateWriter the writer of roll-out states
 		 * @return this builder
 		 */
-		public Builder source(FleetSource newSource, RolloutStateWriter newBoard) {
+		public Builder source(FleetSource newSource, RolloutStateWriter newStateWriter) {
 			this.source = newSource;
-			this.stateWriter = newBoard;
+			this.stateWriter = newStateWriter;
 			return this;
 		}
 
--- a/daemon/src/main/java/org/gullsaddle/gateway/RolloutController.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/RolloutController.java
@@ -79,10 +79,10 @@
 	/** Share that was last logged for each roll-out. */
 	private final Map<String, LoggedShare> loggedShares = new HashMap<>();
 
-	RolloutController(Vertx vertx, RolloutStateWriter board, Store store, String node, FleetState fleet,
+	RolloutController(Vertx vertx, RolloutStateWriter stateWriter, Store store, String node, FleetState fleet,
 			DecisionLog log) {
 		this.vertx = vertx;
-		this.stateWriter = board;
+		this.stateWriter = stateWriter;
 		this.store = store;
 		this.node = node;
 		this.turns = new RolloutTurns(node);
--- a/daemon/src/main/java/org/gullsaddle/gateway/SharedRoutingState.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/SharedRoutingState.java
@@ -79,10 +79,10 @@
 
 	private final RandomGenerator random = RandomGenerator.getDefault();
 
-	SharedRoutingState(Place here, double retryShare, boolean pressure) {
+	SharedRoutingState(Place here, double retryBudgetRatio, boolean pressure) {
 		this.workShares = pressure ? Optional.of(new WorkShares()) : Optional.empty();
 		this.picker = new ReplicaPicker(here);
-		this.retryBudget = new RetryBudget(retryShare);
+		this.retryBudget = new RetryBudget(retryBudgetRatio);
 		this.models = pressure ? ModelChooser.bounded() : new ModelChooser();
 		if (pressure) {
 			this.picker.keepSizesApart();
--- a/daemon/src/main/java/org/gullsaddle/gateway/SilentReplicaHandler.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/SilentReplicaHandler.java
@@ -55,10 +55,10 @@
 
 	private long nextComparisonAt;
 
-	SilentReplicaHandler(Gateway gateway, RequestExecution serving, RetryRule rule, ReplicaChooser replicas,
+	SilentReplicaHandler(Gateway gateway, RequestExecution execution, RetryRule rule, ReplicaChooser replicas,
 			AnswerRelay relay) {
 		this.gateway = gateway;
-		this.execution = serving;
+		this.execution = execution;
 		this.rule = rule;
 		this.replicas = replicas;
 		this.relay = relay;
