--- a/daemon/src/main/java/org/gullsaddle/gateway/RolloutController.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/RolloutController.java
@@ -58,7 +58,7 @@
 
 	private final Vertx vertx;
 
-	private final RolloutStateWriter board;
+	private final RolloutStateWriter stateWriter;
 
 	private final Store store;
 
@@ -79,10 +79,10 @@
 	/** Share that was last logged for each roll-out. */
 	private final Map<String, LoggedShare> loggedShares = new HashMap<>();
 
-	RolloutController(Vertx vertx, RolloutStateWriter board, Store store, String node, FleetState fleet,
+	RolloutController(Vertx vertx, RolloutStateWriter stateWriter, Store store, String node, FleetState fleet,
 			DecisionLog log) {
 		this.vertx = vertx;
-		this.board = board;
+		this.stateWriter = stateWriter;
 		this.store = store;
 		this.node = node;
 		this.turns = new RolloutWriteSchedule(node);
@@ -175,7 +175,7 @@
 		if (!this.writing.add(service)) {
 			return;
 		}
-		this.board.write(rollout.order(), state, rollout.stateRevision()).subscribe((written) -> {
+		this.stateWriter.write(rollout.order(), state, rollout.stateRevision()).subscribe((written) -> {
 			this.writing.remove(service);
 			this.turns.onWriteAnswered(MonotonicClock.millis(), rollout, state);
 			logStateWrite(rollout, state, written ? "written" : "another node was first");
--- a/daemon/src/main/java/org/gullsaddle/gateway/SharedRoutingState.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/SharedRoutingState.java
@@ -79,10 +79,10 @@
 
 	private final RandomGenerator random = RandomGenerator.getDefault();
 
-	SharedRoutingState(NodeLocation here, double retryShare, boolean pressure) {
+	SharedRoutingState(NodeLocation here, double retryBudgetRatio, boolean pressure) {
 		this.workShares = pressure ? Optional.of(new WorkShares()) : Optional.empty();
 		this.picker = new ReplicaSelector(here);
-		this.retryBudget = new RetryBudget(retryShare);
+		this.retryBudget = new RetryBudget(retryBudgetRatio);
 		this.models = pressure ? ModelSelector.withQueueBounds() : new ModelSelector();
 		if (pressure) {
 			this.picker.separateModelSizes();
--- a/daemon/src/main/java/org/gullsaddle/gateway/SilentReplicaHandler.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/SilentReplicaHandler.java
@@ -55,10 +55,10 @@
 
 	private long nextComparisonAt;
 
-	SilentReplicaHandler(Gateway gateway, RequestExecution serving, RetryPolicy rule, ReplicaChooser replicas,
+	SilentReplicaHandler(Gateway gateway, RequestExecution execution, RetryPolicy rule, ReplicaChooser replicas,
 			AnswerRelay relay) {
 		this.gateway = gateway;
-		this.execution = serving;
+		this.execution = execution;
 		this.rule = rule;
 		this.replicas = replicas;
 		this.relay = relay;
