--- a/daemon/src/main/java/org/gullsaddle/backend/AgentNode.java
+++ b/daemon/src/main/java/org/gullsaddle/backend/AgentNode.java
@@ -56,13 +56,13 @@
 
 	private static final long HOLD_MILLIS = 60_000;
 
-	private static final long CRASH_CHECK_MILLIS = 50;
+	private static final long CRASH_CHECK_DELAY_MILLIS = 50;
 
-	private static final long LATE_MILLIS = 30_000;
+	private static final long NON_REPEATABLE_GRACE_MILLIS = 30_000;
 
 	private static final int MAX_COPIES = 20_000;
 
-	private static final int FAILED_PROBES_DOWN = 2;
+	private static final int FAILED_PROBES_UNTIL_DOWN = 2;
 
 	private final Settings settings;
 
@@ -78,9 +78,9 @@
 
 	private final LedgerController ledger;
 
-	private final HeldLines held = new HeldLines(HOLD_MILLIS);
+	private final HeldLines heldLines = new HeldLines(HOLD_MILLIS);
 
-	private final Map<RequestId, NodeId> copies = new LinkedHashMap<>() {
+	private final Map<RequestId, NodeId> copyHolders = new LinkedHashMap<>() {
 		@Override
 		protected boolean removeEldestEntry(Map.Entry<RequestId, NodeId> eldest) {
 			return size() > MAX_COPIES;
@@ -89,11 +89,11 @@
 
 	private final Map<NodeId, PeerLink> entries = new ConcurrentHashMap<>();
 
-	private final Map<AttemptId, Run> runs = new HashMap<>();
+	private final Map<AttemptId, AttemptSubscriber> runs = new HashMap<>();
 
 	private final Queue<AdmissionEvent> events = new ArrayDeque<>();
 
-	private final CompositeDisposable loops = new CompositeDisposable();
+	private final CompositeDisposable subscriptions = new CompositeDisposable();
 
 	private final CompletableSubject drained = CompletableSubject.create();
 
@@ -124,7 +124,7 @@
 		this.backend = (agent.kind() == TemplateKind.CHAT) ? new EngineBackend(http)
 				: new ServiceBackend(http, agent.versions());
 		this.admission = new Admission(AdmissionSettings.of(settings.node()).withMaxQueued(agent.maxQueued()));
-		templates.listen(this::templateChanged);
+		templates.listen(this::onTemplateChanged);
 	}
 
 	/**
@@ -132,17 +132,18 @@
 	 */
 	public void start() {
 		long probe = this.settings.agent().orElseThrow().probeMillis();
-		this.loops.add(Flowable.interval(0, probe, TimeUnit.MILLISECONDS)
+		this.subscriptions.add(Flowable.interval(0, probe, TimeUnit.MILLISECONDS)
 			.onBackpressureDrop()
 			.concatMapSingle((tick) -> probe())
-			.subscribe(this::probed));
-		this.loops.add(
-				Flowable.interval(TICK_MILLIS, TimeUnit.MILLISECONDS).onBackpressureDrop().subscribe((tick) -> tick()));
-		this.loops.add(this.ledger.run(Flowable.interval(1, TimeUnit.SECONDS)).subscribe());
-		this.loops.add(this.templates.load().ignoreElement().onErrorComplete().subscribe());
-		this.telemetry.gauge("queue.running", () -> load().running());
-		this.telemetry.gauge("queue.waiting", () -> load().waiting());
-		this.telemetry.gauge("ledger.held", this::heldLines);
+			.subscribe(this::onProbeResult));
+		this.subscriptions.add(Flowable.interval(TICK_MILLIS, TimeUnit.MILLISECONDS)
+			.onBackpressureDrop()
+			.subscribe((tick) -> onTick()));
+		this.subscriptions.add(this.ledger.run(Flowable.interval(1, TimeUnit.SECONDS)).subscribe());
+		this.subscriptions.add(this.templates.load().ignoreElement().onErrorComplete().subscribe());
+		this.telemetry.gauge("queue.running", () -> loadReport().running());
+		this.telemetry.gauge("queue.waiting", () -> loadReport().waiting());
+		this.telemetry.gauge("ledger.held", this::heldRequestCount);
 	}
 
 	/**
@@ -154,7 +155,7 @@
 		return Completable.fromAction(() -> handle(new AdmissionEvent.DrainStarted()))
 			.andThen(this.drained)
 			.andThen(awaitRecorded())
-			.andThen(Completable.fromAction(this::writeAllHeld))
+			.andThen(Completable.fromAction(this::appendHeldLines))
 			.andThen(Completable.defer(this.ledger::flushUntilWritten));
 	}
 
@@ -162,14 +163,14 @@
 	 * Stops at once.
 	 */
 	public void stop() {
-		this.loops.dispose();
+		this.subscriptions.dispose();
 	}
 
 	/**
 	 * Says whether the backend server can be given work.
 	 * @return true if it answers and is not leaving
 	 */
-	public synchronized boolean ready() {
+	public synchronized boolean isReady() {
 		return !this.admission.isDraining() && !this.admission.versions().isEmpty();
 	}
 
@@ -184,15 +185,15 @@
 			earlier.close();
 		}
 		handle(new AdmissionEvent.EntryUp(link.peer()));
-		suspects().forEach((suspicion) -> link.send(new Frame.Suspect(suspicion)));
-		this.announcer.tell(link.peer(), status(), link::send);
-		link.send(inForce());
+		suspectContents().forEach((suspicion) -> link.send(new Frame.Suspect(suspicion)));
+		this.announcer.sendStatus(link.peer(), statusFrame(), link::send);
+		link.send(inForceFrame());
 	}
 
 	@Override
 	public void down(PeerLink link) {
 		if (this.entries.remove(link.peer(), link)) {
-			this.announcer.forget(link.peer());
+			this.announcer.onEntryDown(link.peer());
 			handle(new AdmissionEvent.EntryDown(link.peer()));
 		}
 	}
@@ -203,19 +204,19 @@
 			case Frame.Dispatched sent -> handle(new AdmissionEvent.Dispatched(link.peer(), sent.dispatch(),
 					link.toLocal(sent.dispatch().deadline())));
 			case Frame.Cancel cancel -> handle(new AdmissionEvent.CancelRequested(cancel.attempt()));
-			case Frame.Credit credit -> credit(credit);
+			case Frame.Credit credit -> onCredit(credit);
 			case Frame.Suspect suspect -> handle(new AdmissionEvent.SuspectAnnounced(suspect.suspicion()));
 			case Frame.CopyHeld copy -> handle(new AdmissionEvent.CopyHeld(copy.attempt()));
-			case Frame.Recorded recorded -> recorded(recorded);
+			case Frame.Recorded recorded -> onRecorded(recorded);
 			case Frame.Templates pushed -> {
 				pushed.revisions().forEach(this.templates::apply);
-				link.send(inForce());
+				link.send(inForceFrame());
 			}
 			default -> LOG.atDebug().addKeyValue("frame", frame.getClass().getSimpleName()).log("frame ignored");
 		}
 	}
 
-	private void templateChanged(TemplateRevision revision) {
+	private void onTemplateChanged(TemplateRevision revision) {
 		handle(new AdmissionEvent.TemplateChanged(revision));
 	}
 
@@ -228,14 +229,14 @@
 			this.handling = true;
 			while (!this.events.isEmpty()) {
 				for (AdmissionAction action : this.admission.handle(this.clock.now(), this.events.poll())) {
-					carryOut(action);
+					execute(action);
 				}
 			}
 			this.handling = false;
 		}
 	}
 
-	private void carryOut(AdmissionAction action) {
+	private void execute(AdmissionAction action) {
 		switch (action) {
 			case AdmissionAction.Start start -> start(start);
 			case AdmissionAction.Abort abort -> abort(abort.attempt());
@@ -251,9 +252,9 @@
 				send(done.entry(), new Frame.Done(done.attempt(), done.completion(), done.length()));
 			case AdmissionAction.SendFailed failed -> send(failed.entry(),
 					new Frame.Failed(failed.attempt(), failed.verdict(), failed.crashed(), failed.usage()));
-			case AdmissionAction.HoldLine hold -> this.held.hold(hold.line(), this.clock.millis());
+			case AdmissionAction.HoldLine hold -> this.heldLines.hold(hold.line(), this.clock.millis());
 			case AdmissionAction.CopyLine copy -> {
-				this.copies.put(copy.line().line().attempt().request(), copy.holder());
+				this.copyHolders.put(copy.line().line().attempt().request(), copy.holder());
 				send(copy.holder(), new Frame.Copy(copy.line()));
 			}
 			case AdmissionAction.AnnounceSuspect suspect ->
@@ -273,12 +274,12 @@
 
 	private void start(AdmissionAction.Start start) {
 		AttemptId attempt = start.dispatch().attempt();
-		Run run = new Run(start.dispatch(), (outcome) -> outcome(attempt, outcome));
+		AttemptSubscriber run = new AttemptSubscriber(start.dispatch(), (outcome) -> onOutcome(attempt, outcome));
 		this.runs.put(attempt, run);
 		long left = start.deadline() - this.clock.millis();
 		// A call that must not be repeated may outlive its deadline, so that its end is
 		// known.
-		long limit = start.dispatch().repeatable() ? left : left + LATE_MILLIS;
+		long limit = start.dispatch().repeatable() ? left : left + NON_REPEATABLE_GRACE_MILLIS;
 		this.backend.run(start.dispatch())
 			.mergeWith(Completable.timer(Math.min(limit, TimeUnit.DAYS.toMillis(1)), TimeUnit.MILLISECONDS)
 				.andThen(Completable.error(new BackendException("deadline passed", Verdict.MAY_HAVE_RUN, null))))
@@ -287,32 +288,32 @@
 	}
 
 	private void abort(AttemptId attempt) {
-		Run run = this.runs.get(attempt);
+		AttemptSubscriber run = this.runs.get(attempt);
 		if (run != null) {
 			run.abort();
 		}
 	}
 
-	private void credit(Frame.Credit credit) {
-		Run run;
+	private void onCredit(Frame.Credit credit) {
+		AttemptSubscriber run;
 		synchronized (this) {
 			run = this.runs.get(credit.attempt());
 		}
 		if (run != null) {
-			run.credit(credit.characters());
+			run.onCredit(credit.characters());
 		}
 	}
 
-	private void outcome(AttemptId attempt, Run.Outcome outcome) {
+	private void onOutcome(AttemptId attempt, AttemptSubscriber.Outcome outcome) {
 		switch (outcome) {
-			case Run.Outcome.Part part -> handle(new AdmissionEvent.AttemptChunk(attempt, part.text()));
-			case Run.Outcome.Ended ended -> {
-				forget(attempt);
+			case AttemptSubscriber.Outcome.Chunk part -> handle(new AdmissionEvent.AttemptChunk(attempt, part.text()));
+			case AttemptSubscriber.Outcome.Completed ended -> {
+				removeRun(attempt);
 				handle(new AdmissionEvent.AttemptDone(attempt, ended.completion()));
 			}
-			case Run.Outcome.Broke broke -> {
-				forget(attempt);
-				broke(attempt, broke);
+			case AttemptSubscriber.Outcome.Failed broke -> {
+				removeRun(attempt);
+				onRunFailed(attempt, broke);
 			}
 		}
 	}
@@ -320,31 +321,31 @@
 	/**
 	 * Tells a crash from other failures by asking the backend server whether it lives.
 	 */
-	private void broke(AttemptId attempt, Run.Outcome.Broke broke) {
+	private void onRunFailed(AttemptId attempt, AttemptSubscriber.Outcome.Failed broke) {
 		LOG.atInfo().addKeyValue("attempt", attempt).addKeyValue("reason", broke.reason()).log("attempt broke off");
 		if (broke.verdict() == Verdict.NOT_RUN || broke.reason().equals("stopped")) {
-			failed(attempt, broke.verdict(), false, broke.usage());
+			handleFailure(attempt, broke.verdict(), false, broke.usage());
 			return;
 		}
-		this.loops.add(Single.timer(CRASH_CHECK_MILLIS, TimeUnit.MILLISECONDS)
+		this.subscriptions.add(Single.timer(CRASH_CHECK_DELAY_MILLIS, TimeUnit.MILLISECONDS)
 			.flatMap((tick) -> this.backend.probe())
 			.map((versions) -> false)
 			.onErrorReturnItem(true)
-			.subscribe((crashed) -> failed(attempt, broke.verdict(), crashed, broke.usage())));
+			.subscribe((crashed) -> handleFailure(attempt, broke.verdict(), crashed, broke.usage())));
 	}
 
-	private void failed(AttemptId attempt, Verdict verdict, boolean crashed, Usage usage) {
+	private void handleFailure(AttemptId attempt, Verdict verdict, boolean crashed, Usage usage) {
 		handle(new AdmissionEvent.AttemptFailed(attempt, verdict, crashed, usage));
 	}
 
-	private synchronized void forget(AttemptId attempt) {
+	private synchronized void removeRun(AttemptId attempt) {
 		this.runs.remove(attempt);
 	}
 
-	private synchronized void recorded(Frame.Recorded recorded) {
-		this.held.onRecorded(recorded.requests());
+	private synchronized void onRecorded(Frame.Recorded recorded) {
+		this.heldLines.onRecorded(recorded.requests());
 		for (RequestId request : recorded.requests()) {
-			NodeId holder = this.copies.remove(request);
+			NodeId holder = this.copyHolders.remove(request);
 			if (holder != null) {
 				send(holder, new Frame.Recorded(List.of(request)));
 			}
@@ -358,20 +359,20 @@
 		}).onErrorReturnItem(false);
 	}
 
-	private void probed(boolean alive) {
+	private void onProbeResult(boolean alive) {
 		this.failedProbes = alive ? 0 : this.failedProbes + 1;
-		if (this.failedProbes == FAILED_PROBES_DOWN) {
+		if (this.failedProbes == FAILED_PROBES_UNTIL_DOWN) {
 			LOG.warn("backend server does not answer");
 			handle(new AdmissionEvent.BackendDown());
 		}
-		Frame.Status status = status();
-		this.entries.values().forEach((link) -> this.announcer.update(link.peer(), status, link::send));
+		Frame.Status status = statusFrame();
+		this.entries.values().forEach((link) -> this.announcer.sendChanges(link.peer(), status, link::send));
 	}
 
-	private void tick() {
+	private void onTick() {
 		handle(new AdmissionEvent.Tick());
 		synchronized (this) {
-			for (AgentRecord line : this.held.takeDue(this.clock.millis(), this.entries.keySet())) {
+			for (AgentRecord line : this.heldLines.takeDue(this.clock.millis(), this.entries.keySet())) {
 				this.ledger.append(new LedgerEntry.AttemptEntry(line));
 			}
 		}
@@ -379,35 +380,35 @@
 
 	private Completable awaitRecorded() {
 		return Flowable.interval(TICK_MILLIS, TimeUnit.MILLISECONDS)
-			.takeUntil((tick) -> heldLines() == 0 || this.entries.isEmpty())
+			.takeUntil((tick) -> heldRequestCount() == 0 || this.entries.isEmpty())
 			.ignoreElements()
 			.timeout(2, TimeUnit.SECONDS)
 			.onErrorComplete();
 	}
 
-	private synchronized void writeAllHeld() {
-		this.held.takeAll().forEach((line) -> this.ledger.append(new LedgerEntry.AttemptEntry(line)));
+	private synchronized void appendHeldLines() {
+		this.heldLines.takeAll().forEach((line) -> this.ledger.append(new LedgerEntry.AttemptEntry(line)));
 	}
 
-	private synchronized List<SuspectContent> suspects() {
+	private synchronized List<SuspectContent> suspectContents() {
 		return this.admission.suspects();
 	}
 
-	private synchronized int heldLines() {
-		return this.held.requestCount();
+	private synchronized int heldRequestCount() {
+		return this.heldLines.requestCount();
 	}
 
-	private synchronized LoadReport load() {
+	private synchronized LoadReport loadReport() {
 		return this.admission.load();
 	}
 
-	private synchronized Frame.Status status() {
+	private synchronized Frame.Status statusFrame() {
 		AgentInfo info = new AgentInfo(this.settings.node(), this.settings.region(), this.settings.dataCenter(),
 				this.admission.versions(), this.admission.load());
 		return new Frame.Status(info, this.admission.isDraining());
 	}
 
-	private Frame.InForce inForce() {
+	private Frame.InForce inForceFrame() {
 		return new Frame.InForce(this.templates.revisions());
 	}
 
--- a/daemon/src/main/java/org/gullsaddle/backend/Run.java
+++ b/daemon/src/main/java/org/gullsaddle/backend/AttemptSubscriber.java
@@ -13,26 +13,26 @@
  * One attempt on the backend server. It reads on only while the caller keeps up, so that
  * a slow caller holds back its own answer and not the agent's memory.
  */
-final class Run extends DisposableSubscriber<BackendEvent> {
+final class AttemptSubscriber extends DisposableSubscriber<BackendEvent> {
 
 	/** How many characters may be under way to the caller. */
-	private static final int WINDOW = 1 << 16;
+	private static final int MAX_UNACKNOWLEDGED_CHARACTERS = 1 << 16;
 
 	private final Dispatch dispatch;
 
-	private final Consumer<Outcome> sink;
+	private final Consumer<Outcome> outcomeSink;
 
-	private int underWay;
+	private int unacknowledgedCharacters;
 
-	private boolean waiting;
+	private boolean paused;
 
-	private long parts;
+	private long chunks;
 
-	private boolean over;
+	private boolean ended;
 
-	Run(Dispatch dispatch, Consumer<Outcome> sink) {
+	AttemptSubscriber(Dispatch dispatch, Consumer<Outcome> sink) {
 		this.dispatch = dispatch;
-		this.sink = sink;
+		this.outcomeSink = sink;
 	}
 
 	Dispatch dispatch() {
@@ -47,14 +47,14 @@
 	@Override
 	public void onNext(BackendEvent event) {
 		switch (event) {
-			case BackendEvent.Part part -> {
-				this.parts++;
-				this.sink.accept(new Outcome.Part(part.text()));
-				readOn(part.text().length());
+			case BackendEvent.Chunk part -> {
+				this.chunks++;
+				this.outcomeSink.accept(new Outcome.Chunk(part.text()));
+				requestNextWithinWindow(part.text().length());
 			}
 			case BackendEvent.End end -> {
-				if (finish()) {
-					this.sink.accept(new Outcome.Ended(end.completion()));
+				if (markEnded()) {
+					this.outcomeSink.accept(new Outcome.Completed(end.completion()));
 				}
 			}
 		}
@@ -62,9 +62,9 @@
 
 	@Override
 	public void onError(Throwable failure) {
-		if (finish()) {
+		if (markEnded()) {
 			Verdict verdict = (failure instanceof BackendException known) ? known.verdict() : Verdict.MAY_HAVE_RUN;
-			this.sink.accept(new Outcome.Broke(verdict, new Usage(0, this.parts), failure.getMessage()));
+			this.outcomeSink.accept(new Outcome.Failed(verdict, new Usage(0, this.chunks), failure.getMessage()));
 		}
 	}
 
@@ -81,27 +81,27 @@
 		onError(new BackendException("stopped", Verdict.MAY_HAVE_RUN, null));
 	}
 
-	synchronized void credit(int characters) {
-		this.underWay = Math.max(0, this.underWay - characters);
-		if (this.waiting && this.underWay < WINDOW) {
-			this.waiting = false;
+	synchronized void onCredit(int characters) {
+		this.unacknowledgedCharacters = Math.max(0, this.unacknowledgedCharacters - characters);
+		if (this.paused && this.unacknowledgedCharacters < MAX_UNACKNOWLEDGED_CHARACTERS) {
+			this.paused = false;
 			request(1);
 		}
 	}
 
-	private synchronized void readOn(int characters) {
-		this.underWay += characters;
-		if (this.underWay < WINDOW) {
+	private synchronized void requestNextWithinWindow(int characters) {
+		this.unacknowledgedCharacters += characters;
+		if (this.unacknowledgedCharacters < MAX_UNACKNOWLEDGED_CHARACTERS) {
 			request(1);
 		}
 		else {
-			this.waiting = true;
+			this.paused = true;
 		}
 	}
 
-	private synchronized boolean finish() {
-		boolean first = !this.over;
-		this.over = true;
+	private synchronized boolean markEnded() {
+		boolean first = !this.ended;
+		this.ended = true;
 		return first;
 	}
 
@@ -113,19 +113,19 @@
 		/**
 		 * A part of the answer.
 		 */
-		record Part(String text) implements Outcome {
+		record Chunk(String text) implements Outcome {
 		}
 
 		/**
 		 * The answer ended.
 		 */
-		record Ended(Completion completion) implements Outcome {
+		record Completed(Completion completion) implements Outcome {
 		}
 
 		/**
 		 * The answer broke off.
 		 */
-		record Broke(Verdict verdict, Usage usage, String reason) implements Outcome {
+		record Failed(Verdict verdict, Usage usage, String reason) implements Outcome {
 		}
 
 	}
--- a/daemon/src/main/java/org/gullsaddle/backend/BackendEvent.java
+++ b/daemon/src/main/java/org/gullsaddle/backend/BackendEvent.java
@@ -10,7 +10,7 @@
 	/**
 	 * A part of the answer.
 	 */
-	record Part(String text) implements BackendEvent {
+	record Chunk(String text) implements BackendEvent {
 	}
 
 	/**
--- a/daemon/src/main/java/org/gullsaddle/backend/BackendHttp.java
+++ b/daemon/src/main/java/org/gullsaddle/backend/BackendHttp.java
@@ -51,12 +51,12 @@
 		return Flowable.defer(() -> {
 			HttpClientRequest[] sent = new HttpClientRequest[1];
 			return this.client.rxRequest(options)
-				.onErrorResumeNext((failure) -> Single.error(notSent(failure)))
+				.onErrorResumeNext((failure) -> Single.error(connectFailure(failure)))
 				.flatMap((request) -> {
 					sent[0] = request;
 					return request.rxSend(body);
 				})
-				.onErrorResumeNext((failure) -> Single.error(inDoubt(failure)))
+				.onErrorResumeNext((failure) -> Single.error(toBackendException(failure)))
 				.toFlowable()
 				.concatWith(Flowable.never())
 				.doOnCancel(() -> reset(sent[0]));
@@ -73,14 +73,14 @@
 			.timeout(PROBE_MILLIS, TimeUnit.MILLISECONDS);
 	}
 
-	static BackendException inDoubt(Throwable failure) {
+	static BackendException toBackendException(Throwable failure) {
 		if (failure instanceof BackendException known) {
 			return known;
 		}
 		return new BackendException(String.valueOf(failure.getMessage()), Verdict.MAY_HAVE_RUN, failure);
 	}
 
-	private static BackendException notSent(Throwable failure) {
+	private static BackendException connectFailure(Throwable failure) {
 		return new BackendException("cannot connect: " + failure.getMessage(), Verdict.NOT_RUN, failure);
 	}
 
--- a/daemon/src/main/java/org/gullsaddle/backend/EngineBackend.java
+++ b/daemon/src/main/java/org/gullsaddle/backend/EngineBackend.java
@@ -25,15 +25,15 @@
  */
 final class EngineBackend implements Backend {
 
-	private static final String DATA = "data: ";
+	private static final String DATA_PREFIX = "data: ";
 
-	private static final String END = "[DONE]";
+	private static final String DONE_MARKER = "[DONE]";
 
 	private static final int OK = 200;
 
-	private static final int CLIENT_ERRORS = 400;
+	private static final int MIN_CLIENT_ERROR_STATUS = 400;
 
-	private static final int SERVER_ERRORS = 500;
+	private static final int MIN_SERVER_ERROR_STATUS = 500;
 
 	private final BackendHttp http;
 
@@ -43,14 +43,14 @@
 
 	@Override
 	public Flowable<BackendEvent> run(Dispatch dispatch) {
-		Buffer body = body(dispatch).toBuffer();
+		Buffer body = requestBody(dispatch).toBuffer();
 		return this.http.send(HttpMethod.POST, "/v1/chat/completions", "application/json", "", body)
-			.concatMap(EngineBackend::lines)
-			.filter((line) -> line.startsWith(DATA))
-			.map((line) -> line.substring(DATA.length()).strip())
-			.concatMap(new Reader()::read)
+			.concatMap(EngineBackend::responseLines)
+			.filter((line) -> line.startsWith(DATA_PREFIX))
+			.map((line) -> line.substring(DATA_PREFIX.length()).strip())
+			.concatMap(new EventParser()::parse)
 			.takeUntil((event) -> event instanceof BackendEvent.End)
-			.onErrorResumeNext((failure) -> Flowable.error(BackendHttp.inDoubt(failure)));
+			.onErrorResumeNext((failure) -> Flowable.error(BackendHttp.toBackendException(failure)));
 	}
 
 	@Override
@@ -67,7 +67,7 @@
 		});
 	}
 
-	private static JsonObject body(Dispatch dispatch) {
+	private static JsonObject requestBody(Dispatch dispatch) {
 		JsonObject body = new JsonObject(dispatch.body()).put("model", dispatch.version().toString())
 			.put("stream", true)
 			.put("stream_options", new JsonObject().put("include_usage", true))
@@ -81,12 +81,12 @@
 		return body;
 	}
 
-	private static Flowable<String> lines(HttpClientResponse response) {
+	private static Flowable<String> responseLines(HttpClientResponse response) {
 		int status = response.statusCode();
 		if (status != OK) {
 			// An engine that calls the request wrong has not run it; one that fails may
 			// have.
-			Verdict verdict = (status >= CLIENT_ERRORS && status < SERVER_ERRORS) ? Verdict.NOT_RUN
+			Verdict verdict = (status >= MIN_CLIENT_ERROR_STATUS && status < MIN_SERVER_ERROR_STATUS) ? Verdict.NOT_RUN
 					: Verdict.MAY_HAVE_RUN;
 			return Flowable.error(new BackendException("engine answered " + status, verdict, null));
 		}
@@ -101,14 +101,14 @@
 	 * Reads one answer's events. Only the closing mark ends an answer: a connection that
 	 * ends before it would otherwise pass a half answer for a whole one.
 	 */
-	private static final class Reader {
+	private static final class EventParser {
 
 		private String finishReason = "";
 
 		private Usage usage = Usage.NONE;
 
-		Flowable<BackendEvent> read(String data) {
-			if (data.equals(END)) {
+		Flowable<BackendEvent> parse(String data) {
+			if (data.equals(DONE_MARKER)) {
 				return Flowable
 					.just(new BackendEvent.End(new Completion(OK, "application/json", this.finishReason, this.usage)));
 			}
@@ -124,7 +124,7 @@
 			JsonObject choice = choices.getJsonObject(0);
 			this.finishReason = choice.getString("finish_reason", this.finishReason);
 			String text = choice.getJsonObject("delta", new JsonObject()).getString("content", "");
-			return (text == null || text.isEmpty()) ? Flowable.empty() : Flowable.just(new BackendEvent.Part(text));
+			return (text == null || text.isEmpty()) ? Flowable.empty() : Flowable.just(new BackendEvent.Chunk(text));
 		}
 
 	}
--- a/daemon/src/main/java/org/gullsaddle/backend/ServiceBackend.java
+++ b/daemon/src/main/java/org/gullsaddle/backend/ServiceBackend.java
@@ -41,9 +41,9 @@
 			Buffer body = Buffer.buffer(call.body().getBytes(StandardCharsets.ISO_8859_1));
 			return this.http
 				.send(HttpMethod.valueOf(call.method()), call.path(), call.contentType(), call.idempotencyKey(), body)
-				.concatMap(ServiceBackend::answer)
+				.concatMap(ServiceBackend::toEvents)
 				.takeUntil((event) -> event instanceof BackendEvent.End);
-		}).onErrorResumeNext((failure) -> Flowable.error(BackendHttp.inDoubt(failure)));
+		}).onErrorResumeNext((failure) -> Flowable.error(BackendHttp.toBackendException(failure)));
 	}
 
 	@Override
@@ -51,7 +51,7 @@
 		return this.http.get("/health").map((answer) -> this.versions);
 	}
 
-	private static Flowable<BackendEvent> answer(HttpClientResponse response) {
+	private static Flowable<BackendEvent> toEvents(HttpClientResponse response) {
 		String contentType = response.getHeader("Content-Type");
 		return response.rxBody().flatMapPublisher((body) -> {
 			if (body.length() > MAX_BODY_BYTES) {
@@ -62,7 +62,7 @@
 					(contentType != null) ? contentType : "application/octet-stream", "", Usage.NONE);
 			BackendEvent end = new BackendEvent.End(completion);
 			return (body.length() == 0) ? Flowable.just(end)
-					: Flowable.just(new BackendEvent.Part(body.toString(StandardCharsets.ISO_8859_1)), end);
+					: Flowable.just(new BackendEvent.Chunk(body.toString(StandardCharsets.ISO_8859_1)), end);
 		});
 	}
 
--- a/daemon/src/main/java/org/gullsaddle/backend/StatusAnnouncer.java
+++ b/daemon/src/main/java/org/gullsaddle/backend/StatusAnnouncer.java
@@ -19,7 +19,7 @@
  */
 final class StatusAnnouncer {
 
-	private final Map<NodeId, Set<ModelVersion>> told = new HashMap<>();
+	private final Map<NodeId, Set<ModelVersion>> announcedVersions = new HashMap<>();
 
 	/**
 	 * Tells an entry everything.
@@ -27,9 +27,9 @@
 	 * @param status what the agent serves
 	 * @param link takes the frame
 	 */
-	synchronized void tell(NodeId entry, Frame.Status status, Consumer<Frame> link) {
+	synchronized void sendStatus(NodeId entry, Frame.Status status, Consumer<Frame> link) {
 		link.accept(status);
-		this.told.put(entry, status.agent().versions());
+		this.announcedVersions.put(entry, status.agent().versions());
 	}
 
 	/**
@@ -38,12 +38,12 @@
 	 * @param status what the agent serves
 	 * @param link takes the frame
 	 */
-	synchronized void update(NodeId entry, Frame.Status status, Consumer<Frame> link) {
-		if (status.agent().versions().equals(this.told.get(entry))) {
+	synchronized void sendChanges(NodeId entry, Frame.Status status, Consumer<Frame> link) {
+		if (status.agent().versions().equals(this.announcedVersions.get(entry))) {
 			link.accept(new Frame.Load(status.agent().load()));
 		}
 		else {
-			tell(entry, status, link);
+			sendStatus(entry, status, link);
 		}
 	}
 
@@ -51,8 +51,8 @@
 	 * Forgets an entry whose link is down.
 	 * @param entry the entry
 	 */
-	synchronized void forget(NodeId entry) {
-		this.told.remove(entry);
+	synchronized void onEntryDown(NodeId entry) {
+		this.announcedVersions.remove(entry);
 	}
 
 }
--- a/daemon/src/main/java/org/gullsaddle/daemon/Daemon.java
+++ b/daemon/src/main/java/org/gullsaddle/daemon/Daemon.java
@@ -141,7 +141,7 @@
 		this.agent.start();
 		if (this.settings.agent().orElseThrow().status().isPresent()) {
 			Router router = Router.router(this.vertx.getDelegate());
-			StatusRoutes.add(router, this.telemetry, this.agent::ready);
+			StatusRoutes.add(router, this.telemetry, this.agent::isReady);
 			Address address = this.settings.agent().orElseThrow().status().get();
 			await(this.vertx.getDelegate()
 				.createHttpServer()
--- a/daemon/src/test/java/org/gullsaddle/backend/StatusAnnouncerTests.java
+++ b/daemon/src/test/java/org/gullsaddle/backend/StatusAnnouncerTests.java
@@ -31,16 +31,16 @@
 	}
 
 	@Test
-	void onlyTheLoadIsToldWhileNothingElseChanges() {
-		this.announcer.tell(ENTRY, serving("small@1"), this.sent::add);
-		this.announcer.update(ENTRY, serving("small@1"), this.sent::add);
+	void sendsOnlyTheLoadWhileVersionsAreUnchanged() {
+		this.announcer.sendStatus(ENTRY, serving("small@1"), this.sent::add);
+		this.announcer.sendChanges(ENTRY, serving("small@1"), this.sent::add);
 		assertThat(this.sent).containsExactly(serving("small@1"), new Frame.Load(IDLE));
 	}
 
 	@Test
-	void changeIsToldWhole() {
-		this.announcer.tell(ENTRY, serving("small@1"), this.sent::add);
-		this.announcer.update(ENTRY, serving("small@2"), this.sent::add);
+	void sendsTheWholeStatusWhenVersionsChange() {
+		this.announcer.sendStatus(ENTRY, serving("small@1"), this.sent::add);
+		this.announcer.sendChanges(ENTRY, serving("small@2"), this.sent::add);
 		assertThat(this.sent).containsExactly(serving("small@1"), serving("small@2"));
 	}
 
@@ -49,18 +49,18 @@
 	 * and the status from before it arrived last.
 	 */
 	@Test
-	void entryThatWasToldAnOldStatusLastIsToldAgain() {
-		this.announcer.update(ENTRY, serving("small@1"), this.sent::add);
-		this.announcer.tell(ENTRY, serving(), this.sent::add);
-		this.announcer.update(ENTRY, serving("small@1"), this.sent::add);
+	void sendsTheStatusAgainToAnEntryThatReceivedAnOldOneLast() {
+		this.announcer.sendChanges(ENTRY, serving("small@1"), this.sent::add);
+		this.announcer.sendStatus(ENTRY, serving(), this.sent::add);
+		this.announcer.sendChanges(ENTRY, serving("small@1"), this.sent::add);
 		assertThat(this.sent).endsWith(serving("small@1"));
 	}
 
 	@Test
-	void entryThatLinksAgainIsToldWhole() {
-		this.announcer.tell(ENTRY, serving("small@1"), this.sent::add);
-		this.announcer.forget(ENTRY);
-		this.announcer.update(ENTRY, serving("small@1"), this.sent::add);
+	void sendsTheWholeStatusToAnEntryThatReconnects() {
+		this.announcer.sendStatus(ENTRY, serving("small@1"), this.sent::add);
+		this.announcer.onEntryDown(ENTRY);
+		this.announcer.sendChanges(ENTRY, serving("small@1"), this.sent::add);
 		assertThat(this.sent).endsWith(serving("small@1"));
 	}
 
