--- a/daemon/src/main/java/org/gullsaddle/backend/AgentNode.java
+++ b/daemon/src/main/java/org/gullsaddle/backend/AgentNode.java
@@ -46,7 +46,8 @@
 import org.gullsaddle.wire.PeerListener;
 
 /**
- * The agent: carries out what {@link Admission} decides. Its state has one lock.
+ * The agent node: runs attempts on one backend server and reports their results to
+ * entries. {@link Admission} makes the decisions; one lock guards the state.
  */
 public final class AgentNode implements PeerListener {
 
@@ -104,9 +105,9 @@
 	private final StatusAnnouncer announcer = new StatusAnnouncer();
 
 	/**
-	 * Makes an agent that does nothing yet.
-	 * @param vertx where to run
-	 * @param settings the node's settings, of the role agent
+	 * Creates an agent; {@link #start()} begins its work.
+	 * @param vertx the Vert.x instance for calls to the backend server
+	 * @param settings the node's settings, with the role of agent
 	 * @param clock the node's clocks
 	 * @param telemetry the node's metrics
 	 * @param templates the templates in force
@@ -128,7 +129,7 @@
 	}
 
 	/**
-	 * Starts asking the backend server for its health, and writing the ledger.
+	 * Starts the health probes of the backend server and the writing of the ledger.
 	 */
 	public void start() {
 		long probe = this.settings.agent().orElseThrow().probeMillis();
@@ -147,9 +148,9 @@
 	}
 
 	/**
-	 * Stops gracefully: takes no new work, lets what runs end, and leaves nothing
-	 * unbilled.
-	 * @return done when nothing runs and the ledger is written
+	 * Stops gracefully: accepts no new attempts, lets running ones finish, and writes
+	 * every held attempt record, so that each is billed.
+	 * @return completes when no attempt runs and the ledger is written
 	 */
 	public Completable drain() {
 		return Completable.fromAction(() -> handle(new AdmissionEvent.DrainStarted()))
@@ -160,15 +161,16 @@
 	}
 
 	/**
-	 * Stops at once.
+	 * Stops the periodic work at once.
 	 */
 	public void stop() {
 		this.subscriptions.dispose();
 	}
 
 	/**
-	 * Says whether the backend server can be given work.
-	 * @return true if it answers and is not leaving
+	 * Returns whether the agent can accept attempts.
+	 * @return true if the backend server has reported versions and the agent is not
+	 * draining
 	 */
 	public synchronized boolean isReady() {
 		return !this.admission.isDraining() && !this.admission.versions().isEmpty();
@@ -274,64 +276,68 @@
 
 	private void start(AdmissionAction.Start start) {
 		AttemptId attempt = start.dispatch().attempt();
-		AttemptSubscriber run = new AttemptSubscriber(start.dispatch(), (outcome) -> onOutcome(attempt, outcome));
-		this.runs.put(attempt, run);
-		long left = start.deadline() - this.clock.millis();
-		// A call that must not be repeated may outlive its deadline, so that its end is
-		// known.
-		long limit = start.dispatch().repeatable() ? left : left + NON_REPEATABLE_GRACE_MILLIS;
+		AttemptSubscriber subscriber = new AttemptSubscriber(start.dispatch(),
+				(outcome) -> onOutcome(attempt, outcome));
+		this.runs.put(attempt, subscriber);
+		long remainingMillis = start.deadline() - this.clock.millis();
+		// A call that must not be repeated may run past its deadline, so that its outcome
+		// becomes known.
+		long timeoutMillis = start.dispatch().repeatable() ? remainingMillis
+				: remainingMillis + NON_REPEATABLE_GRACE_MILLIS;
 		this.backend.run(start.dispatch())
-			.mergeWith(Completable.timer(Math.min(limit, TimeUnit.DAYS.toMillis(1)), TimeUnit.MILLISECONDS)
+			.mergeWith(Completable.timer(Math.min(timeoutMillis, TimeUnit.DAYS.toMillis(1)), TimeUnit.MILLISECONDS)
 				.andThen(Completable.error(new BackendException("deadline passed", Verdict.MAY_HAVE_RUN, null))))
 			.takeUntil((event) -> event instanceof BackendEvent.End)
-			.subscribe(run);
+			.subscribe(subscriber);
 	}
 
 	private void abort(AttemptId attempt) {
-		AttemptSubscriber run = this.runs.get(attempt);
-		if (run != null) {
-			run.abort();
+		AttemptSubscriber subscriber = this.runs.get(attempt);
+		if (subscriber != null) {
+			subscriber.abort();
 		}
 	}
 
 	private void onCredit(Frame.Credit credit) {
-		AttemptSubscriber run;
+		AttemptSubscriber subscriber;
 		synchronized (this) {
-			run = this.runs.get(credit.attempt());
+			subscriber = this.runs.get(credit.attempt());
 		}
-		if (run != null) {
-			run.onCredit(credit.characters());
+		if (subscriber != null) {
+			subscriber.onCredit(credit.characters());
 		}
 	}
 
 	private void onOutcome(AttemptId attempt, AttemptSubscriber.Outcome outcome) {
 		switch (outcome) {
-			case AttemptSubscriber.Outcome.Chunk part -> handle(new AdmissionEvent.AttemptChunk(attempt, part.text()));
-			case AttemptSubscriber.Outcome.Completed ended -> {
+			case AttemptSubscriber.Outcome.Chunk chunk ->
+				handle(new AdmissionEvent.AttemptChunk(attempt, chunk.text()));
+			case AttemptSubscriber.Outcome.Completed completed -> {
 				removeRun(attempt);
-				handle(new AdmissionEvent.AttemptDone(attempt, ended.completion()));
+				handle(new AdmissionEvent.AttemptDone(attempt, completed.completion()));
 			}
-			case AttemptSubscriber.Outcome.Failed broke -> {
+			case AttemptSubscriber.Outcome.Failed failure -> {
 				removeRun(attempt);
-				onRunFailed(attempt, broke);
+				onRunFailed(attempt, failure);
 			}
 		}
 	}
 
 	/**
-	 * Tells a crash from other failures by asking the backend server whether it lives.
+	 * Probes the backend server after a failed run to distinguish a crash from other
+	 * failures.
 	 */
-	private void onRunFailed(AttemptId attempt, AttemptSubscriber.Outcome.Failed broke) {
-		LOG.atInfo().addKeyValue("attempt", attempt).addKeyValue("reason", broke.reason()).log("attempt broke off");
-		if (broke.verdict() == Verdict.NOT_RUN || broke.reason().equals("stopped")) {
-			handleFailure(attempt, broke.verdict(), false, broke.usage());
+	private void onRunFailed(AttemptId attempt, AttemptSubscriber.Outcome.Failed failure) {
+		LOG.atInfo().addKeyValue("attempt", attempt).addKeyValue("reason", failure.reason()).log("attempt broke off");
+		if (failure.verdict() == Verdict.NOT_RUN || failure.reason().equals("stopped")) {
+			handleFailure(attempt, failure.verdict(), false, failure.usage());
 			return;
 		}
 		this.subscriptions.add(Single.timer(CRASH_CHECK_DELAY_MILLIS, TimeUnit.MILLISECONDS)
 			.flatMap((tick) -> this.backend.probe())
 			.map((versions) -> false)
 			.onErrorReturnItem(true)
-			.subscribe((crashed) -> handleFailure(attempt, broke.verdict(), crashed, broke.usage())));
+			.subscribe((crashed) -> handleFailure(attempt, failure.verdict(), crashed, failure.usage())));
 	}
 
 	private void handleFailure(AttemptId attempt, Verdict verdict, boolean crashed, Usage usage) {
--- a/daemon/src/main/java/org/gullsaddle/backend/AttemptSubscriber.java
+++ b/daemon/src/main/java/org/gullsaddle/backend/AttemptSubscriber.java
@@ -10,12 +10,13 @@
 import org.gullsaddle.base.Verdict;
 
 /**
- * One attempt on the backend server. It reads on only while the caller keeps up, so that
- * a slow caller holds back its own answer and not the agent's memory.
+ * Receives the events of one attempt on the backend server. It requests more only while
+ * the caller keeps up, so that a slow caller delays its own answer instead of filling the
+ * agent's memory.
  */
 final class AttemptSubscriber extends DisposableSubscriber<BackendEvent> {
 
-	/** How many characters may be under way to the caller. */
+	/** How many characters may be sent and not yet credited by the caller. */
 	private static final int MAX_UNACKNOWLEDGED_CHARACTERS = 1 << 16;
 
 	private final Dispatch dispatch;
@@ -47,10 +48,10 @@
 	@Override
 	public void onNext(BackendEvent event) {
 		switch (event) {
-			case BackendEvent.Chunk part -> {
+			case BackendEvent.Chunk chunk -> {
 				this.chunks++;
-				this.outcomeSink.accept(new Outcome.Chunk(part.text()));
-				requestNextWithinWindow(part.text().length());
+				this.outcomeSink.accept(new Outcome.Chunk(chunk.text()));
+				requestNextWithinWindow(chunk.text().length());
 			}
 			case BackendEvent.End end -> {
 				if (markEnded()) {
@@ -70,11 +71,11 @@
 
 	@Override
 	public void onComplete() {
-		onError(new BackendException("the answer ended without its end", Verdict.MAY_HAVE_RUN, null));
+		onError(new BackendException("the answer's stream completed without an end event", Verdict.MAY_HAVE_RUN, null));
 	}
 
 	/**
-	 * Stops the attempt; what ran of it is told as broken off.
+	 * Stops the attempt and reports it as failed, with the usage so far.
 	 */
 	void abort() {
 		dispose();
@@ -100,30 +101,30 @@
 	}
 
 	private synchronized boolean markEnded() {
-		boolean first = !this.ended;
+		boolean isFirst = !this.ended;
 		this.ended = true;
-		return first;
+		return isFirst;
 	}
 
 	/**
-	 * What came of the attempt.
+	 * A result of the attempt: a chunk of its answer, or its end.
 	 */
 	sealed interface Outcome {
 
 		/**
-		 * A part of the answer.
+		 * A chunk of the answer's text.
 		 */
 		record Chunk(String text) implements Outcome {
 		}
 
 		/**
-		 * The answer ended.
+		 * The answer is complete.
 		 */
 		record Completed(Completion completion) implements Outcome {
 		}
 
 		/**
-		 * The answer broke off.
+		 * The attempt failed or was stopped before its answer was complete.
 		 */
 		record Failed(Verdict verdict, Usage usage, String reason) implements Outcome {
 		}
--- a/daemon/src/main/java/org/gullsaddle/backend/Backend.java
+++ b/daemon/src/main/java/org/gullsaddle/backend/Backend.java
@@ -9,18 +9,18 @@
 import org.gullsaddle.base.ModelVersion;
 
 /**
- * A backend server.
+ * A client of one backend server.
  */
 sealed interface Backend permits EngineBackend, ServiceBackend {
 
 	/**
-	 * Runs an attempt; cancelling the subscription stops it where the backend server can.
-	 * Failures are {@link BackendException}s.
+	 * Runs an attempt. Cancelling the subscription stops it if the backend server
+	 * supports that. Failures are {@link BackendException}s.
 	 */
 	Flowable<BackendEvent> run(Dispatch dispatch);
 
 	/**
-	 * Asks whether the backend server lives and what it has loaded.
+	 * Checks that the backend server answers, and returns the versions that it serves.
 	 */
 	Single<Set<ModelVersion>> probe();
 
--- a/daemon/src/main/java/org/gullsaddle/backend/BackendEvent.java
+++ b/daemon/src/main/java/org/gullsaddle/backend/BackendEvent.java
@@ -3,18 +3,18 @@
 import org.gullsaddle.base.Completion;
 
 /**
- * What a backend server answers.
+ * An event of a backend server's answer.
  */
 sealed interface BackendEvent {
 
 	/**
-	 * A part of the answer.
+	 * A chunk of the answer's text.
 	 */
 	record Chunk(String text) implements BackendEvent {
 	}
 
 	/**
-	 * The answer's end.
+	 * The end of the answer.
 	 */
 	record End(Completion completion) implements BackendEvent {
 	}
--- a/daemon/src/main/java/org/gullsaddle/backend/BackendException.java
+++ b/daemon/src/main/java/org/gullsaddle/backend/BackendException.java
@@ -5,7 +5,7 @@
 import org.gullsaddle.base.Verdict;
 
 /**
- * A backend server did not end its answer.
+ * Thrown when a backend server did not complete its answer.
  */
 class BackendException extends IOException {
 
@@ -17,7 +17,7 @@
 	}
 
 	/**
-	 * Says whether the backend server may have run the request.
+	 * Returns whether the backend server may have run the request.
 	 */
 	Verdict verdict() {
 		return this.verdict;
--- a/daemon/src/main/java/org/gullsaddle/backend/BackendHttp.java
+++ b/daemon/src/main/java/org/gullsaddle/backend/BackendHttp.java
@@ -18,7 +18,8 @@
 import org.gullsaddle.base.Verdict;
 
 /**
- * Calls a backend server over HTTP, and knows when a failed call cannot have reached it.
+ * Calls a backend server over HTTP, and classifies a failed call by whether it may have
+ * reached the server.
  */
 final class BackendHttp {
 
@@ -36,17 +37,18 @@
 
 	BackendHttp(Vertx vertx, URI url, int slots) {
 		this.url = url;
-		// No pipelining and no reuse of a half-dead connection: a request written to one
-		// that
-		// the server was closing would be in doubt for no reason.
+		// No pipelining and no reuse of connections: for a request written to a
+		// connection
+		// that the server is closing, it would be unknown whether it ran.
 		HttpClientOptions options = new HttpClientOptions().setConnectTimeout(CONNECT_MILLIS).setKeepAlive(false);
 		this.client = vertx.createHttpClient(options, new PoolOptions().setHttp1MaxSize(slots + SPARE_CONNECTIONS));
 	}
 
-	Flowable<HttpClientResponse> send(HttpMethod method, String path, String contentType, String key, Buffer body) {
+	Flowable<HttpClientResponse> send(HttpMethod method, String path, String contentType, String idempotencyKey,
+			Buffer body) {
 		RequestOptions options = options(method, path).putHeader("Content-Type", contentType);
-		if (!key.isEmpty()) {
-			options.putHeader("Idempotency-Key", key);
+		if (!idempotencyKey.isEmpty()) {
+			options.putHeader("Idempotency-Key", idempotencyKey);
 		}
 		return Flowable.defer(() -> {
 			HttpClientRequest[] sent = new HttpClientRequest[1];
--- a/daemon/src/main/java/org/gullsaddle/backend/EngineBackend.java
+++ b/daemon/src/main/java/org/gullsaddle/backend/EngineBackend.java
@@ -20,8 +20,8 @@
 import org.gullsaddle.base.Verdict;
 
 /**
- * A model engine, by the chat completions interface that such engines share, with the
- * priority and the continuation of a partial answer that vLLM's has.
+ * A client of a model engine, over the common chat completions API with vLLM's extensions
+ * for priority and for continuing a partial answer.
  */
 final class EngineBackend implements Backend {
 
@@ -71,7 +71,7 @@
 		JsonObject body = new JsonObject(dispatch.body()).put("model", dispatch.version().toString())
 			.put("stream", true)
 			.put("stream_options", new JsonObject().put("include_usage", true))
-			// The engine takes lower numbers first.
+			// The engine serves lower numbers first.
 			.put("priority", -dispatch.rank());
 		if (!dispatch.resume().isEmpty()) {
 			body.getJsonArray("messages")
@@ -84,8 +84,8 @@
 	private static Flowable<String> responseLines(HttpClientResponse response) {
 		int status = response.statusCode();
 		if (status != OK) {
-			// An engine that calls the request wrong has not run it; one that fails may
-			// have.
+			// After a client error the engine has not run the request; after any other
+			// status it may have.
 			Verdict verdict = (status >= MIN_CLIENT_ERROR_STATUS && status < MIN_SERVER_ERROR_STATUS) ? Verdict.NOT_RUN
 					: Verdict.MAY_HAVE_RUN;
 			return Flowable.error(new BackendException("engine answered " + status, verdict, null));
@@ -98,8 +98,8 @@
 	}
 
 	/**
-	 * Reads one answer's events. Only the closing mark ends an answer: a connection that
-	 * ends before it would otherwise pass a half answer for a whole one.
+	 * Parses one answer's events. Only the [DONE] marker ends an answer: otherwise a
+	 * connection closed before it would make a partial answer look complete.
 	 */
 	private static final class EventParser {
 
--- a/daemon/src/main/java/org/gullsaddle/backend/ServiceBackend.java
+++ b/daemon/src/main/java/org/gullsaddle/backend/ServiceBackend.java
@@ -19,7 +19,7 @@
 import org.gullsaddle.base.Verdict;
 
 /**
- * A plain service; calls pass through as they are.
+ * A client of a plain service; calls are passed through unchanged.
  */
 final class ServiceBackend implements Backend {
 
@@ -48,7 +48,7 @@
 
 	@Override
 	public Single<Set<ModelVersion>> probe() {
-		return this.http.get("/health").map((answer) -> this.versions);
+		return this.http.get("/health").map((body) -> this.versions);
 	}
 
 	private static Flowable<BackendEvent> toEvents(HttpClientResponse response) {
--- a/daemon/src/main/java/org/gullsaddle/backend/StatusAnnouncer.java
+++ b/daemon/src/main/java/org/gullsaddle/backend/StatusAnnouncer.java
@@ -10,22 +10,22 @@
 import org.gullsaddle.wire.Frame;
 
 /**
- * Tells entries what this agent serves: all of it when they link and when it changes,
- * else only the load.
+ * Sends entries the agent's status: the whole status when they connect or when its
+ * versions change, otherwise only the load.
  * <p>
- * An entry that links while the backend server is probed may get the status from before
- * the probe after that from behind it. What each entry was told last is remembered, so
- * that the next probe tells it anew.
+ * An entry that connects during a probe of the backend server may receive the status from
+ * before the probe after the one that followed it. The versions last sent to each entry
+ * are therefore remembered, and the next probe sends the status again if they differ.
  */
 final class StatusAnnouncer {
 
 	private final Map<NodeId, Set<ModelVersion>> announcedVersions = new HashMap<>();
 
 	/**
-	 * Tells an entry everything.
+	 * Sends an entry the whole status.
 	 * @param entry the entry
-	 * @param status what the agent serves
-	 * @param link takes the frame
+	 * @param status the agent's current status
+	 * @param link sends the frame
 	 */
 	synchronized void sendStatus(NodeId entry, Frame.Status status, Consumer<Frame> link) {
 		link.accept(status);
@@ -33,10 +33,11 @@
 	}
 
 	/**
-	 * Tells an entry what is new after a probe.
+	 * Sends an entry the changes after a probe: the whole status if the versions differ
+	 * from those last sent, otherwise the load.
 	 * @param entry the entry
-	 * @param status what the agent serves
-	 * @param link takes the frame
+	 * @param status the agent's current status
+	 * @param link sends the frame
 	 */
 	synchronized void sendChanges(NodeId entry, Frame.Status status, Consumer<Frame> link) {
 		if (status.agent().versions().equals(this.announcedVersions.get(entry))) {
@@ -48,7 +49,7 @@
 	}
 
 	/**
-	 * Forgets an entry whose link is down.
+	 * Forgets what was sent to an entry whose link is down.
 	 * @param entry the entry
 	 */
 	synchronized void onEntryDown(NodeId entry) {
--- a/daemon/src/main/java/org/gullsaddle/backend/package-info.java
+++ b/daemon/src/main/java/org/gullsaddle/backend/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The agent: what stands beside one backend server, and how it speaks to a model engine
- * or a plain service.
+ * The agent, a node beside one backend server, and its clients for model engines and
+ * plain services.
  */
 package org.gullsaddle.backend;
--- a/daemon/src/test/java/org/gullsaddle/backend/StatusAnnouncerTests.java
+++ b/daemon/src/test/java/org/gullsaddle/backend/StatusAnnouncerTests.java
@@ -45,8 +45,8 @@
 	}
 
 	/**
-	 * Guards against an entry that never serves: its link came up during the first probe,
-	 * and the status from before it arrived last.
+	 * Guards against an entry that never uses the agent: its link came up during the
+	 * first probe, and the status from before the probe arrived last.
 	 */
 	@Test
 	void sendsTheStatusAgainToAnEntryThatReceivedAnOldOneLast() {
--- a/daemon/src/test/java/org/gullsaddle/backend/package-info.java
+++ b/daemon/src/test/java/org/gullsaddle/backend/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Tests of what stands beside a backend server.
+ * Tests of the agent beside a backend server.
  */
 package org.gullsaddle.backend;
