--- a/core/src/test/java/org/gullsaddle/fuzz/FaultyStore.java
+++ b/core/src/test/java/org/gullsaddle/fuzz/FaultyStore.java
@@ -16,7 +16,7 @@
 
 	private final List<Call> calls = new ArrayList<>();
 
-	private final List<Call> late = new ArrayList<>();
+	private final List<Call> lateWrites = new ArrayList<>();
 
 	private long revision;
 
@@ -28,7 +28,7 @@
 		this.calls.add(new Call(key, expected, content, then));
 	}
 
-	int waiting() {
+	int waitingCalls() {
 		return this.calls.size();
 	}
 
@@ -36,31 +36,31 @@
 	 * Ends one waiting call; even {@code fate} numbers answer it, so that most calls
 	 * succeed.
 	 */
-	void answer(int pick, int fate) {
+	void endCall(int pick, int fate) {
 		if (this.calls.isEmpty()) {
 			return;
 		}
 		Call call = this.calls.remove(pick % this.calls.size());
 		switch (fate) {
-			case 1 -> call.then().accept(new Result.Failed());
+			case 1 -> call.callback().accept(new Result.Failed());
 			case 3 -> {
 				apply(call);
-				call.then().accept(new Result.Failed());
+				call.callback().accept(new Result.Failed());
 			}
 			case 5 -> {
-				this.late.add(call);
-				call.then().accept(new Result.Failed());
+				this.lateWrites.add(call);
+				call.callback().accept(new Result.Failed());
 			}
-			default -> call.then().accept(apply(call));
+			default -> call.callback().accept(apply(call));
 		}
 	}
 
 	/**
 	 * Lets a write take effect whose caller was told long ago that it failed.
 	 */
-	void applyLate(int pick) {
-		if (!this.late.isEmpty()) {
-			apply(this.late.remove(pick % this.late.size()));
+	void applyLateWrite(int pick) {
+		if (!this.lateWrites.isEmpty()) {
+			apply(this.lateWrites.remove(pick % this.lateWrites.size()));
 		}
 	}
 
@@ -69,7 +69,7 @@
 	 */
 	void answerAll() {
 		while (!this.calls.isEmpty()) {
-			answer(0, 0);
+			endCall(0, 0);
 		}
 	}
 
@@ -78,7 +78,7 @@
 		return (value != null) ? value.content() : null;
 	}
 
-	List<Object> under(String prefix) {
+	List<Object> valuesUnder(String prefix) {
 		List<Object> found = new ArrayList<>();
 		this.values.forEach((key, value) -> {
 			if (key.startsWith(prefix)) {
@@ -94,7 +94,7 @@
 		if (call.content() == null) {
 			return new Result.Read(held, (present != null) ? present.content() : null);
 		}
-		if (held != call.expected()) {
+		if (held != call.expectedRevision()) {
 			return new Result.Conflict();
 		}
 		this.revision++;
@@ -136,7 +136,7 @@
 	private record Value(long revision, Object content) {
 	}
 
-	private record Call(String key, long expected, Object content, Consumer<Result> then) {
+	private record Call(String key, long expectedRevision, Object content, Consumer<Result> callback) {
 	}
 
 }
--- a/core/src/test/java/org/gullsaddle/fuzz/FuzzAgent.java
+++ b/core/src/test/java/org/gullsaddle/fuzz/FuzzAgent.java
@@ -38,31 +38,31 @@
 
 	private static final int SLOTS = 2;
 
-	private static final int PART = 4;
+	private static final int CHUNK_CHARACTERS = 4;
 
 	final NodeId id;
 
 	final Set<ModelVersion> versions;
 
-	private final World world;
+	private final SimulatedCluster world;
 
 	private final Admission admission;
 
 	private final LedgerWriter ledger;
 
-	private final HeldLines held = new HeldLines(2000);
+	private final HeldLines heldLines = new HeldLines(2000);
 
 	private final String run;
 
 	private final Map<AttemptId, Job> jobs = new LinkedHashMap<>();
 
-	private final Set<AttemptId> secured = new HashSet<>();
+	private final Set<AttemptId> copyConfirmed = new HashSet<>();
 
-	private final Set<AttemptId> tried = new HashSet<>();
+	private final Set<AttemptId> copyAttempted = new HashSet<>();
 
 	private final Map<RequestId, NodeId> copies = new HashMap<>();
 
-	private TemplateRevision heard;
+	private TemplateRevision newestRevision;
 
 	private boolean draining;
 
@@ -70,12 +70,12 @@
 
 	private boolean dead;
 
-	FuzzAgent(World world, NodeId id, String run, Set<ModelVersion> versions) {
+	FuzzAgent(SimulatedCluster world, NodeId id, String run, Set<ModelVersion> versions) {
 		this.world = world;
 		this.id = id;
 		this.run = run;
 		this.versions = versions;
-		this.admission = world.admission(new AdmissionSettings(id, 4, 100));
+		this.admission = world.createAdmission(new AdmissionSettings(id, 4, 100));
 		this.ledger = new LedgerWriter(run, 1000);
 		handle(new AdmissionEvent.BackendUp(versions, SLOTS));
 	}
@@ -84,54 +84,54 @@
 		return this.admission;
 	}
 
-	boolean dead() {
+	boolean isDead() {
 		return this.dead;
 	}
 
 	void die() {
 		this.dead = true;
-		this.world.oracle.died(this.run);
+		this.world.oracle.onRunDied(this.run);
 		this.jobs.clear();
 	}
 
-	int running() {
+	int runningJobs() {
 		return this.jobs.size();
 	}
 
 	void drain() {
 		this.draining = true;
-		if (this.world.plant == Plant.DRAIN_IS_IGNORED) {
+		if (this.world.plantedFault == PlantedFault.DRAIN_IGNORED) {
 			return;
 		}
-		if (this.world.plant == Plant.DRAINED_TOO_EARLY) {
-			this.world.oracle.drained(this.id.value(), this.jobs.size());
+		if (this.world.plantedFault == PlantedFault.REPORTS_DRAINED_TOO_EARLY) {
+			this.world.oracle.onAgentDrained(this.id.value(), this.jobs.size());
 		}
 		handle(new AdmissionEvent.DrainStarted());
 	}
 
 	@Override
-	public boolean allowed(String team, String version) {
-		return template((held) -> held.template()
+	public boolean isAllowed(String team, String version) {
+		return matchesNewestRevision((held) -> held.template()
 			.findTeam(new TeamId(team))
 			.map((rule) -> rule.versions().contains(ModelVersion.of(version)))
 			.orElse(false));
 	}
 
 	@Override
-	public boolean withdrawn(String version) {
-		return template((held) -> held.template()
+	public boolean isWithdrawn(String version) {
+		return matchesNewestRevision((held) -> held.template()
 			.findRule(ModelVersion.of(version))
 			.map((rule) -> rule.state() == VersionState.WITHDRAWN)
 			.orElse(true));
 	}
 
 	@Override
-	public boolean draining() {
+	public boolean isDraining() {
 		return this.draining;
 	}
 
-	private boolean template(Predicate<TemplateRevision> question) {
-		return this.heard != null && question.test(this.heard);
+	private boolean matchesNewestRevision(Predicate<TemplateRevision> question) {
+		return this.newestRevision != null && question.test(this.newestRevision);
 	}
 
 	void handle(AdmissionEvent event) {
@@ -139,43 +139,44 @@
 			return;
 		}
 		if (event instanceof AdmissionEvent.CopyHeld copy) {
-			this.secured.add(copy.attempt());
+			this.copyConfirmed.add(copy.attempt());
 		}
 		if (event instanceof AdmissionEvent.TemplateChanged changed) {
-			boolean first = this.heard == null;
-			hear(changed.revision());
-			if (!first && this.world.plant == Plant.AGENT_HEARS_NO_CHANGES) {
+			boolean first = this.newestRevision == null;
+			recordRevision(changed.revision());
+			if (!first && this.world.plantedFault == PlantedFault.AGENT_IGNORES_TEMPLATE_CHANGES) {
 				return;
 			}
 		}
 		for (AdmissionAction action : this.admission.handle(this.world.now(), event)) {
-			carryOut(action);
+			execute(action);
 		}
-		if (this.world.plant != Plant.CONFIGURATION_FOLLOWS_ARRIVAL) {
-			this.world.oracle.inForce(this.run, this.admission.templates().revisionOf(World.TEMPLATE));
+		if (this.world.plantedFault != PlantedFault.APPLIES_OLDER_REVISIONS) {
+			this.world.oracle.onRevisionApplied(this.run,
+					this.admission.templates().revisionOf(SimulatedCluster.TEMPLATE));
 		}
 	}
 
-	private void hear(TemplateRevision revision) {
-		if (this.heard == null || this.heard.revision() < revision.revision()) {
-			this.heard = revision;
+	private void recordRevision(TemplateRevision revision) {
+		if (this.newestRevision == null || this.newestRevision.revision() < revision.revision()) {
+			this.newestRevision = revision;
 		}
-		if (this.world.plant == Plant.CONFIGURATION_FOLLOWS_ARRIVAL) {
-			this.world.oracle.inForce(this.run, revision.revision());
+		if (this.world.plantedFault == PlantedFault.APPLIES_OLDER_REVISIONS) {
+			this.world.oracle.onRevisionApplied(this.run, revision.revision());
 		}
 	}
 
-	void recorded(Message.Recorded recorded) {
-		this.held.onRecorded(List.of(recorded.request()));
+	void onRecorded(Message.Recorded recorded) {
+		this.heldLines.onRecorded(List.of(recorded.request()));
 		NodeId holder = this.copies.remove(recorded.request());
 		if (holder != null) {
-			this.world.toEntry(this.id, holder, new Message.Release(recorded.request()));
+			this.world.sendToEntry(this.id, holder, new Message.Release(recorded.request()));
 		}
 	}
 
-	void tick() {
+	void onTick() {
 		handle(new AdmissionEvent.Tick());
-		for (AgentRecord line : this.held.takeDue(this.world.now().millis(), this.world.entriesOf(this.id))) {
+		for (AgentRecord line : this.heldLines.takeDue(this.world.now().millis(), this.world.linkedEntries(this.id))) {
 			this.ledger.append(new LedgerEntry.AttemptEntry(line));
 		}
 		flush();
@@ -184,8 +185,8 @@
 	/**
 	 * Writes all that is held, as on a graceful stop.
 	 */
-	void writeAll() {
-		this.held.takeAll().forEach((line) -> this.ledger.append(new LedgerEntry.AttemptEntry(line)));
+	void writeHeldRecords() {
+		this.heldLines.takeAll().forEach((line) -> this.ledger.append(new LedgerEntry.AttemptEntry(line)));
 		flush();
 	}
 
@@ -216,15 +217,15 @@
 			crash(job);
 			return;
 		}
-		String rest = job.rest();
+		String rest = job.remainingText();
 		AttemptId attempt = job.dispatch.attempt();
 		if (rest.isEmpty()) {
 			this.jobs.remove(attempt);
 			handle(new AdmissionEvent.AttemptDone(attempt,
-					new Completion(200, "text/plain", "stop", World.usage(job.dispatch.body()))));
+					new Completion(200, "text/plain", "stop", SimulatedCluster.expectedUsage(job.dispatch.body()))));
 			return;
 		}
-		String part = rest.substring(0, Math.min(PART, rest.length()));
+		String part = rest.substring(0, Math.min(CHUNK_CHARACTERS, rest.length()));
 		job.sent += part.length();
 		handle(new AdmissionEvent.AttemptChunk(attempt, part));
 	}
@@ -232,11 +233,11 @@
 	/**
 	 * Breaks one job off, as a backend server that answers with an error does.
 	 */
-	void breakOff(int pick) {
+	void failJob(int pick) {
 		if (!this.jobs.isEmpty()) {
 			AttemptId attempt = new ArrayList<>(this.jobs.keySet()).get(pick % this.jobs.size());
 			this.jobs.remove(attempt);
-			Verdict verdict = (this.world.plant == Plant.FAILURES_CLAIM_NOT_RUN) ? Verdict.NOT_RUN
+			Verdict verdict = (this.world.plantedFault == PlantedFault.FAILURES_CLAIM_NOT_RUN) ? Verdict.NOT_RUN
 					: Verdict.MAY_HAVE_RUN;
 			handle(new AdmissionEvent.AttemptFailed(attempt, verdict, false, Usage.NONE));
 		}
@@ -244,24 +245,25 @@
 
 	private void crash(Job poison) {
 		String body = poison.dispatch.body();
-		this.world.oracle.crashed(poison.dispatch.team().value(), body, this.world.copies(poison.dispatch) - 1);
+		this.world.oracle.onBackendCrashed(poison.dispatch.team().value(), body,
+				this.world.runningCopies(poison.dispatch) - 1);
 		List<AttemptId> lost = List.copyOf(this.jobs.keySet());
 		this.jobs.clear();
 		handle(new AdmissionEvent.BackendDown());
-		boolean told = this.world.plant != Plant.CRASHES_ARE_NOT_TOLD;
+		boolean told = this.world.plantedFault != PlantedFault.CRASHES_NOT_REPORTED;
 		lost.forEach(
 				(attempt) -> handle(new AdmissionEvent.AttemptFailed(attempt, Verdict.MAY_HAVE_RUN, told, Usage.NONE)));
 		handle(new AdmissionEvent.BackendUp(this.versions, SLOTS));
 	}
 
-	int copies(Dispatch dispatch) {
+	int runningCopies(Dispatch dispatch) {
 		return (int) this.jobs.values()
 			.stream()
 			.filter((job) -> job.dispatch.fingerprint().equals(dispatch.fingerprint()))
 			.count();
 	}
 
-	private void carryOut(AdmissionAction action) {
+	private void execute(AdmissionAction action) {
 		switch (action) {
 			case AdmissionAction.Start start -> start(start.dispatch());
 			case AdmissionAction.Abort abort -> {
@@ -269,36 +271,37 @@
 				this.world.later(() -> handle(
 						new AdmissionEvent.AttemptFailed(abort.attempt(), Verdict.MAY_HAVE_RUN, false, Usage.NONE)));
 			}
-			case AdmissionAction.Accept accept -> this.world.toEntry(this.id, accept.entry(), action);
-			case AdmissionAction.Refuse refuse -> this.world.toEntry(this.id, refuse.entry(), action);
-			case AdmissionAction.SendChunk chunk -> this.world.toEntry(this.id, chunk.entry(), action);
+			case AdmissionAction.Accept accept -> this.world.sendToEntry(this.id, accept.entry(), action);
+			case AdmissionAction.Refuse refuse -> this.world.sendToEntry(this.id, refuse.entry(), action);
+			case AdmissionAction.SendChunk chunk -> this.world.sendToEntry(this.id, chunk.entry(), action);
 			case AdmissionAction.SendDone done -> {
-				boolean alone = this.world.entriesOf(this.id).size() <= 1;
-				if (!this.secured.contains(done.attempt()) && (alone || this.tried.contains(done.attempt()))) {
-					this.world.oracle.onTwoNodesOnly(done.attempt().request().value());
+				boolean alone = this.world.linkedEntries(this.id).size() <= 1;
+				if (!this.copyConfirmed.contains(done.attempt())
+						&& (alone || this.copyAttempted.contains(done.attempt()))) {
+					this.world.oracle.onRecordOnTwoNodesOnly(done.attempt().request().value());
 				}
-				this.world.toEntry(this.id, done.entry(), action);
+				this.world.sendToEntry(this.id, done.entry(), action);
 			}
-			case AdmissionAction.SendFailed failed -> this.world.toEntry(this.id, failed.entry(), action);
+			case AdmissionAction.SendFailed failed -> this.world.sendToEntry(this.id, failed.entry(), action);
 			case AdmissionAction.HoldLine hold -> {
-				this.held.hold(hold.line(), this.world.now().millis());
-				this.world.oracle.heldBy(hold.line().line().attempt().request().value(), this.run);
+				this.heldLines.hold(hold.line(), this.world.now().millis());
+				this.world.oracle.onRecordHeld(hold.line().line().attempt().request().value(), this.run);
 			}
 			case AdmissionAction.CopyLine copy -> {
-				this.tried.add(copy.line().line().attempt());
+				this.copyAttempted.add(copy.line().line().attempt());
 				this.copies.put(copy.line().line().attempt().request(), copy.holder());
-				this.world.toEntry(this.id, copy.holder(), copy);
+				this.world.sendToEntry(this.id, copy.holder(), copy);
 			}
-			case AdmissionAction.AnnounceSuspect suspect -> this.world.announce(this.id, suspect);
-			case AdmissionAction.AnnounceLeaving leaving -> this.world.leaving(this.id);
-			case AdmissionAction.Drained drained -> this.world.oracle.drained(this.id.value(), this.jobs.size());
+			case AdmissionAction.AnnounceSuspect suspect -> this.world.sendSuspectToEntries(this.id, suspect);
+			case AdmissionAction.AnnounceLeaving leaving -> this.world.announceLeaving(this.id);
+			case AdmissionAction.Drained drained -> this.world.oracle.onAgentDrained(this.id.value(), this.jobs.size());
 		}
 	}
 
 	private void start(Dispatch dispatch) {
 		this.jobs.put(dispatch.attempt(), new Job(dispatch));
-		boolean another = this.world.plant == Plant.RUNS_ANOTHER_VERSION;
-		this.world.oracle.started(dispatch.attempt().request().value(), this.id.value(),
+		boolean another = this.world.plantedFault == PlantedFault.RUNS_ANOTHER_VERSION;
+		this.world.oracle.onRunStarted(dispatch.attempt().request().value(), this.id.value(),
 				another ? "large@v1" : dispatch.version().toString(), dispatch.resume(), this);
 	}
 
@@ -321,8 +324,9 @@
 			this.sent = dispatch.resume().length();
 		}
 
-		String rest() {
-			return World.answer(this.dispatch.version().toString(), this.dispatch.body()).substring(this.sent);
+		String remainingText() {
+			return SimulatedCluster.expectedAnswer(this.dispatch.version().toString(), this.dispatch.body())
+				.substring(this.sent);
 		}
 
 	}
--- a/core/src/test/java/org/gullsaddle/fuzz/FuzzEntry.java
+++ b/core/src/test/java/org/gullsaddle/fuzz/FuzzEntry.java
@@ -49,13 +49,13 @@
 
 	private static final long DAY_MILLIS = 86_400_000;
 
-	private static final long OPERATION_MILLIS = 1500;
+	private static final long OPERATION_TIMEOUT_MILLIS = 1500;
 
 	final NodeId id;
 
 	final LedgerWriter ledger;
 
-	private final World world;
+	private final SimulatedCluster world;
 
 	private final String run;
 
@@ -65,11 +65,11 @@
 
 	private final RegisterShard pins = new RegisterShard(1000, DAY_MILLIS);
 
-	private final Map<Long, Consumer<RegisterAction>> waiting = new HashMap<>();
+	private final Map<Long, Consumer<RegisterAction>> callbacks = new HashMap<>();
 
 	private final HeldLines copies = new HeldLines(2000);
 
-	private final Map<RequestId, Mine> mine = new HashMap<>();
+	private final Map<RequestId, OpenClaim> openClaims = new HashMap<>();
 
 	private final Map<RequestId, Set<NodeId>> holders = new HashMap<>();
 
@@ -85,7 +85,7 @@
 
 	private boolean dead;
 
-	FuzzEntry(World world, NodeId id, String run, long seed) {
+	FuzzEntry(SimulatedCluster world, NodeId id, String run, long seed) {
 		this.world = world;
 		this.id = id;
 		this.run = run;
@@ -97,10 +97,10 @@
 
 	void die() {
 		this.dead = true;
-		this.world.oracle.died(this.run);
+		this.world.oracle.onRunDied(this.run);
 	}
 
-	boolean dead() {
+	boolean isDead() {
 		return this.dead;
 	}
 
@@ -108,14 +108,14 @@
 		return this.router.suspects();
 	}
 
-	int open() {
+	int openRequestCount() {
 		return this.router.openRequestCount();
 	}
 
 	/**
 	 * Says whether word of a crash of this content has reached this entry.
 	 */
-	boolean heard(String content) {
+	boolean isCrashKnown(String content) {
 		return this.heard.contains(content);
 	}
 
@@ -137,26 +137,26 @@
 		this.handling = true;
 		while (!this.events.isEmpty()) {
 			for (RouterAction action : this.router.handle(this.world.now(), this.events.poll())) {
-				carryOut(action);
+				execute(action);
 			}
 		}
 		this.handling = false;
 	}
 
-	void hold(AgentRecord line) {
+	void onCopyReceived(AgentRecord line) {
 		this.copies.hold(line, this.world.now().millis());
-		this.world.oracle.heldBy(line.line().attempt().request().value(), this.run);
+		this.world.oracle.onRecordHeld(line.line().attempt().request().value(), this.run);
 	}
 
-	void release(RequestId request) {
+	void onRelease(RequestId request) {
 		this.copies.onRecorded(List.of(request));
 	}
 
-	void writeAll() {
+	void writeHeldCopies() {
 		this.copies.takeAll().forEach((line) -> this.ledger.append(new LedgerEntry.AttemptEntry(line)));
 	}
 
-	void tick() {
+	void onTick() {
 		if (this.dead) {
 			return;
 		}
@@ -164,8 +164,8 @@
 			this.ledger.append(new LedgerEntry.AttemptEntry(line));
 		}
 		handle(new RouterEvent.Tick());
-		register("claims", this.claims, new RegisterEvent.Tick());
-		register("pins", this.pins, new RegisterEvent.Tick());
+		handleRegisterEvent("claims", this.claims, new RegisterEvent.Tick());
+		handleRegisterEvent("pins", this.pins, new RegisterEvent.Tick());
 		flush();
 	}
 
@@ -180,32 +180,32 @@
 			this.flushing = false;
 			boolean there = this.world.store.get(key) != null && result instanceof FaultyStore.Result.Conflict;
 			if (!this.dead && (result instanceof FaultyStore.Result.Written || there)) {
-				recorded(this.ledger.onWritten());
+				onRecordsStored(this.ledger.onWritten());
 			}
 		});
 	}
 
-	private void recorded(List<RequestId> requests) {
+	private void onRecordsStored(List<RequestId> requests) {
 		for (RequestId request : requests) {
 			for (NodeId agent : this.holders.getOrDefault(request, Set.of())) {
-				this.world.toAgent(this.id, agent, new Message.Recorded(request));
+				this.world.sendToAgent(this.id, agent, new Message.Recorded(request));
 			}
 			this.holders.remove(request);
 			handle(new RouterEvent.RecordStored(request));
 		}
 	}
 
-	private void carryOut(RouterAction action) {
+	private void execute(RouterAction action) {
 		switch (action) {
 			case RouterAction.Claim claim -> claim(claim);
 			case RouterAction.CompleteClaim settle -> {
-				Mine claimed = this.mine.remove(settle.request());
-				submit(new Operation.Update(key(settle), claimed.nonce(),
-						Kept.write(claimed.content(), settle.outcome())), Long.MAX_VALUE, (answer) -> {
+				OpenClaim claimed = this.openClaims.remove(settle.request());
+				submit(new Operation.Update(claimKey(settle), claimed.nonce(),
+						ClaimValue.write(claimed.content(), settle.outcome())), Long.MAX_VALUE, (answer) -> {
 						});
 			}
 			case RouterAction.ReleaseClaim release -> {
-				Mine claimed = this.mine.remove(release.request());
+				OpenClaim claimed = this.openClaims.remove(release.request());
 				if (claimed != null) {
 					submit(new Operation.Remove(release.team() + "/" + release.key(), claimed.nonce()), Long.MAX_VALUE,
 							(answer) -> {
@@ -214,29 +214,30 @@
 			}
 			case RouterAction.PinSession pin -> pin(pin);
 			case RouterAction.Send send -> {
-				if (!this.world.toAgent(this.id, send.agent(), new Message.Dispatched(send.dispatch()))) {
+				if (!this.world.sendToAgent(this.id, send.agent(), new Message.Dispatched(send.dispatch()))) {
 					handle(new RouterEvent.AttemptFailed(send.dispatch().attempt(), Verdict.NOT_RUN, false,
 							Usage.NONE));
 				}
 			}
 			case RouterAction.Cancel cancel ->
-				this.world.toAgent(this.id, cancel.agent(), new Message.Cancel(cancel.attempt()));
+				this.world.sendToAgent(this.id, cancel.agent(), new Message.Cancel(cancel.attempt()));
 			case RouterAction.Deliver deliver -> deliver(deliver);
 			case RouterAction.Complete complete ->
-				this.world.oracle.completed(complete.request().value(), complete.servedBy());
+				this.world.oracle.onCompleted(complete.request().value(), complete.servedBy());
 			case RouterAction.Refuse refuse -> refuse(refuse);
-			case RouterAction.RateAnswer rate -> this.world.rate(this, rate);
-			case RouterAction.AnnounceSuspect suspect -> this.world.suspect(this.id, suspect.suspicion());
-			case RouterAction.AnnounceHalt announce -> this.world.halted(this.id, announce.halt());
-			case RouterAction.WriteRecordBeforeAnswer keep -> keep(keep.record());
+			case RouterAction.RateAnswer rate -> this.world.scheduleRating(this, rate);
+			case RouterAction.AnnounceSuspect suspect ->
+				this.world.announceSuspectToPeers(this.id, suspect.suspicion());
+			case RouterAction.AnnounceHalt announce -> this.world.announceHalt(this.id, announce.halt());
+			case RouterAction.WriteRecordBeforeAnswer keep -> writeRecordBeforeAnswer(keep.record());
 			case RouterAction.WriteRecord record -> {
 				Set<NodeId> agents = new HashSet<>();
 				record.record().attempts().stream().map(AttemptRecord::agent).forEach(agents::add);
 				this.holders.put(record.record().request(), agents);
-				if (this.world.plant != Plant.RECORDS_ARE_LOST) {
+				if (this.world.plantedFault != PlantedFault.RECORDS_LOST) {
 					this.ledger.append(new LedgerEntry.RequestEntry(record.record()));
 				}
-				this.world.oracle.heldBy(record.record().request().value(), this.run);
+				this.world.oracle.onRecordHeld(record.record().request().value(), this.run);
 			}
 		}
 	}
@@ -244,8 +245,8 @@
 	/**
 	 * A planted entry says that the store has the record, and writes none.
 	 */
-	private void keep(RequestRecord record) {
-		if (this.world.plant == Plant.RECORDS_ARE_LOST) {
+	private void writeRecordBeforeAnswer(RequestRecord record) {
+		if (this.world.plantedFault == PlantedFault.RECORDS_LOST) {
 			handle(new RouterEvent.RecordStored(record.request()));
 		}
 		else {
@@ -254,31 +255,31 @@
 	}
 
 	private void deliver(RouterAction.Deliver deliver) {
-		int times = (this.world.plant == Plant.PARTS_ARE_DOUBLED) ? 2 : 1;
+		int times = (this.world.plantedFault == PlantedFault.CHUNKS_DUPLICATED) ? 2 : 1;
 		for (int i = 0; i < times; i++) {
-			this.world.oracle.delivered(deliver.request().value(), deliver.version().toString(), deliver.text());
+			this.world.oracle.onChunkDelivered(deliver.request().value(), deliver.version().toString(), deliver.text());
 		}
 	}
 
 	private void refuse(RouterAction.Refuse refuse) {
-		int times = (this.world.plant == Plant.REFUSALS_ARE_DOUBLED) ? 2 : 1;
+		int times = (this.world.plantedFault == PlantedFault.REFUSALS_DUPLICATED) ? 2 : 1;
 		for (int i = 0; i < times; i++) {
-			this.world.oracle.refused(refuse.request().value(), refuse.refusal().verdict().toString());
+			this.world.oracle.onRefused(refuse.request().value(), refuse.refusal().verdict().toString());
 		}
 	}
 
 	private void claim(RouterAction.Claim claim) {
 		String nonce = this.run + "-" + this.operations;
-		this.mine.put(claim.request(), new Mine(nonce, claim.content()));
-		submit(new Operation.Put(claim.team() + "/" + claim.key(), nonce, Kept.write(claim.content(), null)),
-				OPERATION_MILLIS, (answer) -> {
+		this.openClaims.put(claim.request(), new OpenClaim(nonce, claim.content()));
+		submit(new Operation.Put(claim.team() + "/" + claim.key(), nonce, ClaimValue.write(claim.content(), null)),
+				OPERATION_TIMEOUT_MILLIS, (answer) -> {
 					ClaimResult result = (answer instanceof RegisterAction.Answer found && found.entry() != null)
-							? Kept.read(found.entry(), nonce, claim.content()) : new ClaimResult.Unavailable();
-					if (this.world.plant == Plant.CLAIMS_ALWAYS_GRANTED) {
+							? ClaimValue.read(found.entry(), nonce, claim.content()) : new ClaimResult.Unavailable();
+					if (this.world.plantedFault == PlantedFault.CLAIMS_ALWAYS_GRANTED) {
 						result = new ClaimResult.Granted();
 					}
 					if (!(result instanceof ClaimResult.Granted)) {
-						this.mine.remove(claim.request());
+						this.openClaims.remove(claim.request());
 					}
 					handle(new RouterEvent.ClaimCompleted(claim.request(), result));
 				});
@@ -291,8 +292,8 @@
 		Operation operation = (pin.replaced() != null)
 				? new Operation.Replace(name, nonce, value, pin.replaced().toString())
 				: new Operation.Put(name, nonce, value);
-		submit(operation, OPERATION_MILLIS, (answer) -> {
-			if (this.world.plant == Plant.PINS_ARE_NOT_KEPT) {
+		submit(operation, OPERATION_TIMEOUT_MILLIS, (answer) -> {
+			if (this.world.plantedFault == PlantedFault.SESSION_PINS_IGNORED) {
 				handle(new RouterEvent.PinCompleted(pin.request(), Optional.of(pin.proposed())));
 				return;
 			}
@@ -305,13 +306,13 @@
 	private void submit(Operation operation, long within, Consumer<RegisterAction> then) {
 		boolean isPin = operation.key().contains("session");
 		this.operations++;
-		this.waiting.put(this.operations, then);
+		this.callbacks.put(this.operations, then);
 		long deadline = (within == Long.MAX_VALUE) ? Long.MAX_VALUE : this.world.now().millis() + within;
-		register(isPin ? "pins" : "claims", isPin ? this.pins : this.claims,
+		handleRegisterEvent(isPin ? "pins" : "claims", isPin ? this.pins : this.claims,
 				new RegisterEvent.Submitted(this.operations, operation, deadline));
 	}
 
-	private void register(String name, RegisterShard shard, RegisterEvent event) {
+	private void handleRegisterEvent(String name, RegisterShard shard, RegisterEvent event) {
 		if (this.dead) {
 			return;
 		}
@@ -319,18 +320,18 @@
 		for (RegisterAction action : shard.handle(now, now, event)) {
 			switch (action) {
 				case RegisterAction.Read read -> this.world.store.read(name,
-						(result) -> register(name, shard, (result instanceof FaultyStore.Result.Failed)
-								? new RegisterEvent.ReadFailed() : event(result)));
+						(result) -> handleRegisterEvent(name, shard, (result instanceof FaultyStore.Result.Failed)
+								? new RegisterEvent.ReadFailed() : registerEvent(result)));
 				case RegisterAction.Write write -> this.world.store.write(name, write.expectedRevision(),
-						write.entries(), (result) -> register(name, shard, event(result)));
-				case RegisterAction.Answer answer -> this.waiting.remove(answer.id()).accept(answer);
-				case RegisterAction.Unavailable gone -> this.waiting.remove(gone.id()).accept(gone);
+						write.entries(), (result) -> handleRegisterEvent(name, shard, registerEvent(result)));
+				case RegisterAction.Answer answer -> this.callbacks.remove(answer.id()).accept(answer);
+				case RegisterAction.Unavailable gone -> this.callbacks.remove(gone.id()).accept(gone);
 			}
 		}
 	}
 
 	@SuppressWarnings("unchecked")
-	private static RegisterEvent event(FaultyStore.Result result) {
+	private static RegisterEvent registerEvent(FaultyStore.Result result) {
 		return switch (result) {
 			case FaultyStore.Result.Read read -> new RegisterEvent.Loaded(read.revision(),
 					(read.content() != null) ? (List<Entry>) read.content() : new ArrayList<>());
@@ -340,21 +341,21 @@
 		};
 	}
 
-	private static String key(RouterAction.CompleteClaim settle) {
+	private static String claimKey(RouterAction.CompleteClaim settle) {
 		return settle.team() + "/" + settle.key();
 	}
 
-	void rated(AttemptId attempt, OptionalDouble score) {
+	void onRated(AttemptId attempt, OptionalDouble score) {
 		handle(new RouterEvent.AnswerRated(attempt, score));
 	}
 
-	private record Mine(String nonce, Fingerprint content) {
+	private record OpenClaim(String nonce, Fingerprint content) {
 	}
 
 	/**
 	 * The value of a claim: its content and, once settled, its answer.
 	 */
-	private static final class Kept {
+	private static final class ClaimValue {
 
 		private static final String SETTLED = "=";
 
--- a/core/src/test/java/org/gullsaddle/fuzz/FuzzRun.java
+++ b/core/src/test/java/org/gullsaddle/fuzz/FuzzRun.java
@@ -13,7 +13,7 @@
 
 	private static final int STEPS = 200;
 
-	private static final int TOTAL_WEIGHT = total();
+	private static final int TOTAL_WEIGHT = totalWeight();
 
 	private FuzzRun() {
 	}
@@ -28,12 +28,12 @@
 		long steps = 0;
 		long faults = 0;
 		while (System.nanoTime() < end) {
-			List<Move> moves = moves(new Random(seed));
-			World world = run(moves);
+			List<Move> moves = randomMoves(new Random(seed));
+			SimulatedCluster world = run(moves);
 			steps += moves.size();
-			faults += world.faults();
+			faults += world.faultCount();
 			if (!world.oracle.violations().isEmpty()) {
-				report(seed, moves);
+				printViolation(seed, moves);
 				System.out.println("fuzz: " + steps + " steps, " + faults + " faults, 1 violations");
 				System.exit(1);
 			}
@@ -45,9 +45,9 @@
 	/**
 	 * Returns the first violation of a guarantee in so many scenarios, or an empty text.
 	 */
-	static String firstViolation(Plant plant, int scenarios, String guarantee) {
+	static String firstViolation(PlantedFault plant, int scenarios, String guarantee) {
 		for (int seed = 1; seed <= scenarios; seed++) {
-			World world = run(new World(plant), moves(new Random(seed)));
+			SimulatedCluster world = run(new SimulatedCluster(plant), randomMoves(new Random(seed)));
 			for (String violation : world.oracle.violations()) {
 				if (violation.startsWith(guarantee + ":")) {
 					return violation;
@@ -57,7 +57,7 @@
 		return "";
 	}
 
-	private static void report(long seed, List<Move> moves) {
+	private static void printViolation(long seed, List<Move> moves) {
 		List<Move> shrunk = shrink(moves);
 		System.out.println("seed " + seed + ": " + run(shrunk).oracle.violations());
 		System.out.println("steps: " + String.join(", ", shrunk.stream().map(Move::toString).toList()));
@@ -67,14 +67,14 @@
 	 * Leaves out what is not needed to break the same guarantee.
 	 */
 	private static List<Move> shrink(List<Move> moves) {
-		String broken = guarantee(run(moves));
+		String broken = firstBrokenGuarantee(run(moves));
 		List<Move> left = moves;
 		for (int size = left.size() / 2; size >= 1; size /= 2) {
 			for (int at = 0; at + size <= left.size();) {
 				List<Move> fewer = new ArrayList<>(left.subList(0, at));
 				fewer.addAll(left.subList(at + size, left.size()));
-				World world = run(fewer);
-				if (!world.oracle.violations().isEmpty() && guarantee(world).equals(broken)) {
+				SimulatedCluster world = run(fewer);
+				if (!world.oracle.violations().isEmpty() && firstBrokenGuarantee(world).equals(broken)) {
 					left = fewer;
 				}
 				else {
@@ -85,29 +85,29 @@
 		return left;
 	}
 
-	private static String guarantee(World world) {
+	private static String firstBrokenGuarantee(SimulatedCluster world) {
 		return world.oracle.violations().get(0).split(":")[0];
 	}
 
-	private static World run(List<Move> moves) {
-		return run(new World(), moves);
+	private static SimulatedCluster run(List<Move> moves) {
+		return run(new SimulatedCluster(), moves);
 	}
 
-	private static World run(World world, List<Move> moves) {
+	private static SimulatedCluster run(SimulatedCluster world, List<Move> moves) {
 		moves.forEach((move) -> move.step().apply(world, move.pick()));
-		world.settle();
+		world.settleAndCheck();
 		return world;
 	}
 
-	private static List<Move> moves(Random random) {
+	private static List<Move> randomMoves(Random random) {
 		List<Move> moves = new ArrayList<>();
 		for (int i = 0; i < STEPS; i++) {
-			moves.add(new Move(step(random.nextInt(TOTAL_WEIGHT)), random.nextInt(1000)));
+			moves.add(new Move(chooseStep(random.nextInt(TOTAL_WEIGHT)), random.nextInt(1000)));
 		}
 		return moves;
 	}
 
-	private static Step step(int at) {
+	private static Step chooseStep(int at) {
 		int rest = at;
 		for (Step step : Step.values()) {
 			rest -= step.weight();
@@ -118,7 +118,7 @@
 		throw new IllegalArgumentException("beyond the weights: " + at);
 	}
 
-	private static int total() {
+	private static int totalWeight() {
 		int total = 0;
 		for (Step step : Step.values()) {
 			total += step.weight();
--- a/core/src/test/java/org/gullsaddle/fuzz/GuaranteesFuzzTests.java
+++ b/core/src/test/java/org/gullsaddle/fuzz/GuaranteesFuzzTests.java
@@ -26,25 +26,25 @@
 
 	@Property(tries = 400, seed = "20261203", shrinking = ShrinkingMode.BOUNDED,
 			afterFailure = AfterFailureMode.PREVIOUS_SEED)
-	void guaranteesHoldUnderAnyFaults(@ForAll("scenarios") ActionChain<World> chain) {
-		World world = chain.run();
-		assertThat(world.settle()).isEmpty();
+	void guaranteesHoldUnderAnyFaults(@ForAll("scenarios") ActionChain<SimulatedCluster> chain) {
+		SimulatedCluster world = chain.run();
+		assertThat(world.settleAndCheck()).isEmpty();
 	}
 
 	@Provide
-	Arbitrary<ActionChain<World>> scenarios() {
-		return chains(World::new);
+	Arbitrary<ActionChain<SimulatedCluster>> scenarios() {
+		return chains(SimulatedCluster::new);
 	}
 
-	static Arbitrary<ActionChain<World>> chains(Supplier<World> start) {
-		ActionChainArbitrary<World> chains = ActionChain.startWith(start);
+	static Arbitrary<ActionChain<SimulatedCluster>> chains(Supplier<SimulatedCluster> start) {
+		ActionChainArbitrary<SimulatedCluster> chains = ActionChain.startWith(start);
 		for (Step step : Step.values()) {
 			chains = chains.withAction(step.weight(), action(step));
 		}
 		return chains.withMaxTransformations(STEPS);
 	}
 
-	private static Action.Independent<World> action(Step step) {
+	private static Action.Independent<SimulatedCluster> action(Step step) {
 		return () -> Arbitraries.integers()
 			.between(0, 999)
 			.map((pick) -> Transformer.mutate(step + " " + pick, (world) -> step.apply(world, pick)));
--- a/core/src/test/java/org/gullsaddle/fuzz/Oracle.java
+++ b/core/src/test/java/org/gullsaddle/fuzz/Oracle.java
@@ -15,7 +15,7 @@
 
 	private final List<String> violations = new ArrayList<>();
 
-	private final Map<String, Seen> requests = new HashMap<>();
+	private final Map<String, ObservedRequest> requests = new HashMap<>();
 
 	private final Map<String, Integer> runsByKey = new HashMap<>();
 
@@ -25,7 +25,7 @@
 
 	private final Map<String, Long> revisions = new HashMap<>();
 
-	private final Set<String> dead = new HashSet<>();
+	private final Set<String> deadRuns = new HashSet<>();
 
 	private final Map<String, Integer> crashes = new HashMap<>();
 
@@ -35,62 +35,62 @@
 	 * A caller sends a request.
 	 * @param heard whether word of a crash of this content, if any, has reached its entry
 	 */
-	void sent(String request, String team, String session, String key, String body, boolean heard) {
+	void onRequestSent(String request, String team, String session, String key, String body, boolean heard) {
 		if (!heard) {
 			// Sent before its entry could know of a crash: each may cost a backend
 			// server.
 			this.crashes.computeIfPresent(team + "/" + body, (content, count) -> count - 1);
 		}
-		this.requests.put(request, new Seen(team, session, key, body));
+		this.requests.put(request, new ObservedRequest(team, session, key, body));
 	}
 
 	/**
 	 * A backend server is handed a request.
 	 */
-	void started(String request, String agent, String version, String resume, AgentView view) {
-		Seen seen = this.requests.get(request);
-		seen.runs++;
-		if (!view.allowed(seen.team, version)) {
-			violate("allowed-version", request + " of " + seen.team + " ran on " + version);
+	void onRunStarted(String request, String agent, String version, String resume, AgentView view) {
+		ObservedRequest seen = this.requests.get(request);
+		seen.runCount++;
+		if (!view.isAllowed(seen.team, version)) {
+			addViolation("allowed-version", request + " of " + seen.team + " ran on " + version);
 		}
-		if (view.withdrawn(version)) {
-			violate("withdrawn-version", request + " ran on " + version + " at " + agent);
+		if (view.isWithdrawn(version)) {
+			addViolation("withdrawn-version", request + " ran on " + version + " at " + agent);
 		}
-		if (view.draining()) {
-			violate("leaving", request + " was started at " + agent + " which is leaving");
+		if (view.isDraining()) {
+			addViolation("leaving", request + " was started at " + agent + " which is leaving");
 		}
-		if (seen.toldNotRun) {
-			violate("not-run-is-true", request + " was started after its caller was told it was not run");
+		if (seen.reportedNotRun) {
+			addViolation("not-run-is-true", request + " was started after its caller was told it was not run");
 		}
 		if (seen.key != null && this.runsByKey.merge(seen.team + "/" + seen.key, 1, Integer::sum) > 1) {
-			violate("at-most-once", "key " + seen.key + " ran again with " + request);
+			addViolation("at-most-once", "key " + seen.key + " ran again with " + request);
 		}
-		if (!World.answer(version, seen.body).startsWith(resume)) {
-			violate("whole-answer", request + " was resumed from another answer");
+		if (!SimulatedCluster.expectedAnswer(version, seen.body).startsWith(resume)) {
+			addViolation("whole-answer", request + " was resumed from another answer");
 		}
 	}
 
-	void delivered(String request, String version, String text) {
-		Seen seen = this.requests.get(request);
+	void onChunkDelivered(String request, String version, String text) {
+		ObservedRequest seen = this.requests.get(request);
 		if (seen.ended) {
-			violate("one-answer", request + " got a part after its end");
+			addViolation("one-answer", request + " got a part after its end");
 		}
 		if (!seen.text.isEmpty() && !seen.version.equals(version)) {
-			violate("whole-answer", request + " mixes " + seen.version + " and " + version);
+			addViolation("whole-answer", request + " mixes " + seen.version + " and " + version);
 		}
 		seen.version = version;
 		seen.text.append(text);
 	}
 
-	void completed(String request, String servedBy) {
-		Seen seen = this.requests.get(request);
-		end(request, seen);
+	void onCompleted(String request, String servedBy) {
+		ObservedRequest seen = this.requests.get(request);
+		recordEnd(request, seen);
 		seen.served = true;
-		if (!seen.text.toString().equals(World.answer(servedBy, seen.body))) {
-			violate("whole-answer", request + " got '" + seen.text + "' from " + servedBy);
+		if (!seen.text.toString().equals(SimulatedCluster.expectedAnswer(servedBy, seen.body))) {
+			addViolation("whole-answer", request + " got '" + seen.text + "' from " + servedBy);
 		}
-		if (seen.runs == 0 && seen.key == null) {
-			violate("whole-answer", request + " was answered and never ran");
+		if (seen.runCount == 0 && seen.key == null) {
+			addViolation("whole-answer", request + " was answered and never ran");
 		}
 		if (seen.session != null) {
 			Set<String> versions = this.sessions.computeIfAbsent(seen.team + "/" + seen.session,
@@ -98,54 +98,54 @@
 			versions.add(servedBy);
 			long kept = versions.stream().filter((version) -> !this.everWithdrawn.contains(version)).count();
 			if (kept > 1) {
-				violate("session", seen.session + " had " + versions);
+				addViolation("session", seen.session + " had " + versions);
 			}
 		}
 	}
 
-	void refused(String request, String verdict) {
-		Seen seen = this.requests.get(request);
-		end(request, seen);
+	void onRefused(String request, String verdict) {
+		ObservedRequest seen = this.requests.get(request);
+		recordEnd(request, seen);
 		if (verdict.equals("not-run")) {
-			seen.toldNotRun = true;
-			if (seen.runs > 0) {
-				violate("not-run-is-true", request + " was told not run and ran " + seen.runs + " times");
+			seen.reportedNotRun = true;
+			if (seen.runCount > 0) {
+				addViolation("not-run-is-true", request + " was told not run and ran " + seen.runCount + " times");
 			}
 		}
 	}
 
-	void callerLost(String request) {
+	void onCallerLost(String request) {
 		this.requests.get(request).ended = true;
 	}
 
-	void withdrawn(String version) {
+	void onVersionWithdrawn(String version) {
 		this.everWithdrawn.add(version);
 	}
 
-	void inForce(String node, long revision) {
+	void onRevisionApplied(String node, long revision) {
 		Long before = this.revisions.put(node, revision);
 		if (before != null && before > revision) {
-			violate("never-reverts", node + " went from " + before + " to " + revision);
+			addViolation("never-reverts", node + " went from " + before + " to " + revision);
 		}
 	}
 
 	/**
 	 * A node was started anew and knows nothing.
 	 */
-	void restarted(String node) {
+	void onNodeRestarted(String node) {
 		this.revisions.remove(node);
 	}
 
-	void drained(String agent, int running) {
+	void onAgentDrained(String agent, int running) {
 		if (running > 0) {
-			violate("graceful-stop", agent + " says it is drained and runs " + running);
+			addViolation("graceful-stop", agent + " says it is drained and runs " + running);
 		}
 	}
 
 	/**
 	 * A backend server died of a team's content; other copies of it may be under way.
 	 */
-	void crashed(String team, String body, int otherRuns) {
+	void onBackendCrashed(String team, String body, int otherRuns) {
 		String content = team + "/" + body;
 		int unanswered = (int) this.requests.values()
 			.stream()
@@ -154,7 +154,7 @@
 		int count = this.crashes.merge(content, 1, Integer::sum);
 		int copies = this.copiesAtCrash.merge(content, Math.max(unanswered, otherRuns), Math::max);
 		if (count > 2 + copies) {
-			violate("poison", content + " killed " + count + " backend servers, with at most " + copies
+			addViolation("poison", content + " killed " + count + " backend servers, with at most " + copies
 					+ " other copies under way");
 		}
 	}
@@ -162,7 +162,7 @@
 	/**
 	 * The only node that knew of a crash died before it could tell.
 	 */
-	void untold(String content) {
+	void onCrashReportLost(String content) {
 		this.crashes.merge(content, -1, Integer::sum);
 	}
 
@@ -170,39 +170,39 @@
 	 * An answer ended while no third node could hold its record, for a cut or a slow
 	 * link; it is lost if both nodes that have it die.
 	 */
-	void onTwoNodesOnly(String request) {
+	void onRecordOnTwoNodesOnly(String request) {
 		this.requests.get(request).onTwoNodesOnly = true;
 	}
 
 	/**
 	 * A node holds what a request's bill is made from.
 	 */
-	void heldBy(String request, String run) {
+	void onRecordHeld(String request, String run) {
 		this.requests.get(request).holders.add(run);
 	}
 
-	void died(String run) {
-		this.dead.add(run);
+	void onRunDied(String run) {
+		this.deadRuns.add(run);
 	}
 
 	/**
 	 * The bills at the end, when every node has written what it had.
 	 */
-	void billed(Map<String, List<Long>> bills) {
+	void checkBills(Map<String, List<Long>> bills) {
 		this.requests.forEach((request, seen) -> {
 			List<Long> found = bills.getOrDefault(request, List.of());
 			if (found.size() > 1) {
-				violate("billed-once", request + " has " + found.size() + " bills");
+				addViolation("billed-once", request + " has " + found.size() + " bills");
 			}
-			if (seen.served && found.isEmpty() && !seen.lost(this.dead)) {
-				violate("billed-once", request + " was served and has no bill");
+			if (seen.served && found.isEmpty() && !seen.isLossPermitted(this.deadRuns)) {
+				addViolation("billed-once", request + " was served and has no bill");
 			}
-			if (seen.toldNotRun && found.stream().anyMatch((cost) -> cost > 0)) {
-				violate("billed-once", request + " was not run and is billed " + found);
+			if (seen.reportedNotRun && found.stream().anyMatch((cost) -> cost > 0)) {
+				addViolation("billed-once", request + " was not run and is billed " + found);
 			}
-			if (seen.served && seen.runs == 1 && !found.isEmpty()
-					&& found.get(0) != World.cost(seen.version, seen.body)) {
-				violate("billed-once", request + " is billed " + found + " for one run");
+			if (seen.served && seen.runCount == 1 && !found.isEmpty()
+					&& found.get(0) != SimulatedCluster.expectedCostMicros(seen.version, seen.body)) {
+				addViolation("billed-once", request + " is billed " + found + " for one run");
 			}
 		});
 	}
@@ -210,10 +210,10 @@
 	/**
 	 * Every caller whose entry lived was answered.
 	 */
-	void allAnswered() {
+	void checkAllAnswered() {
 		this.requests.forEach((request, seen) -> {
 			if (!seen.ended) {
-				violate("one-answer", request + " never got its final answer");
+				addViolation("one-answer", request + " never got its final answer");
 			}
 		});
 	}
@@ -222,14 +222,14 @@
 		return this.violations;
 	}
 
-	private void end(String request, Seen seen) {
+	private void recordEnd(String request, ObservedRequest seen) {
 		if (seen.ended) {
-			violate("one-answer", request + " got two final answers");
+			addViolation("one-answer", request + " got two final answers");
 		}
 		seen.ended = true;
 	}
 
-	private void violate(String guarantee, String what) {
+	private void addViolation(String guarantee, String what) {
 		this.violations.add(guarantee + ": " + what);
 	}
 
@@ -238,15 +238,15 @@
 	 */
 	interface AgentView {
 
-		boolean allowed(String team, String version);
+		boolean isAllowed(String team, String version);
 
-		boolean withdrawn(String version);
+		boolean isWithdrawn(String version);
 
-		boolean draining();
+		boolean isDraining();
 
 	}
 
-	private static final class Seen {
+	private static final class ObservedRequest {
 
 		private final String team;
 
@@ -262,17 +262,17 @@
 
 		private String version = "";
 
-		private int runs;
+		private int runCount;
 
 		private boolean ended;
 
 		private boolean served;
 
-		private boolean toldNotRun;
+		private boolean reportedNotRun;
 
 		private boolean onTwoNodesOnly;
 
-		Seen(String team, String session, String key, String body) {
+		ObservedRequest(String team, String session, String key, String body) {
 			this.team = team;
 			this.session = session;
 			this.key = key;
@@ -283,7 +283,7 @@
 		 * Says whether the loss of its bill is within what is promised: three nodes died,
 		 * or two while no third could be reached.
 		 */
-		boolean lost(Set<String> deadRuns) {
+		boolean isLossPermitted(Set<String> deadRuns) {
 			return deadRuns.containsAll(this.holders) && this.holders.size() >= (this.onTwoNodesOnly ? 2 : 3);
 		}
 
--- a/core/src/test/java/org/gullsaddle/fuzz/OracleTests.java
+++ b/core/src/test/java/org/gullsaddle/fuzz/OracleTests.java
@@ -14,8 +14,8 @@
 	private static final int SCENARIOS = 400;
 
 	@ParameterizedTest
-	@EnumSource(value = Plant.class, mode = EnumSource.Mode.EXCLUDE, names = "NONE")
-	void plantedFaultIsCaught(Plant plant) {
+	@EnumSource(value = PlantedFault.class, mode = EnumSource.Mode.EXCLUDE, names = "NONE")
+	void plantedFaultIsCaught(PlantedFault plant) {
 		assertThat(FuzzRun.firstViolation(plant, SCENARIOS, plant.guarantee())).startsWith(plant.guarantee() + ":");
 	}
 
--- a/core/src/test/java/org/gullsaddle/fuzz/Plant.java
+++ b/core/src/test/java/org/gullsaddle/fuzz/PlantedFault.java
@@ -3,37 +3,37 @@
 /**
  * A fault planted in the wiring around the core, to see that the oracle can fail.
  */
-enum Plant {
+enum PlantedFault {
 
 	NONE(""),
 
 	RUNS_ANOTHER_VERSION("allowed-version"),
 
-	AGENT_HEARS_NO_CHANGES("withdrawn-version"),
+	AGENT_IGNORES_TEMPLATE_CHANGES("withdrawn-version"),
 
-	PINS_ARE_NOT_KEPT("session"),
+	SESSION_PINS_IGNORED("session"),
 
-	RECORDS_ARE_LOST("billed-once"),
+	RECORDS_LOST("billed-once"),
 
-	PARTS_ARE_DOUBLED("whole-answer"),
+	CHUNKS_DUPLICATED("whole-answer"),
 
 	FAILURES_CLAIM_NOT_RUN("not-run-is-true"),
 
 	CLAIMS_ALWAYS_GRANTED("at-most-once"),
 
-	DRAIN_IS_IGNORED("leaving"),
+	DRAIN_IGNORED("leaving"),
 
-	DRAINED_TOO_EARLY("graceful-stop"),
+	REPORTS_DRAINED_TOO_EARLY("graceful-stop"),
 
-	CONFIGURATION_FOLLOWS_ARRIVAL("never-reverts"),
+	APPLIES_OLDER_REVISIONS("never-reverts"),
 
-	CRASHES_ARE_NOT_TOLD("poison"),
+	CRASHES_NOT_REPORTED("poison"),
 
-	REFUSALS_ARE_DOUBLED("one-answer");
+	REFUSALS_DUPLICATED("one-answer");
 
 	private final String guarantee;
 
-	Plant(String guarantee) {
+	PlantedFault(String guarantee) {
 		this.guarantee = guarantee;
 	}
 
--- a/core/src/test/java/org/gullsaddle/fuzz/World.java
+++ b/core/src/test/java/org/gullsaddle/fuzz/SimulatedCluster.java
@@ -41,13 +41,13 @@
  * Two entries, three agents and a store, with a queue for each link. Nothing moves unless
  * a step moves it, so that every delay, order and loss is a choice of the steps.
  */
-class World {
+class SimulatedCluster {
 
 	static final TemplateName TEMPLATE = new TemplateName("t");
 
-	private static final int MAX_SETTLING = 20_000;
+	private static final int MAX_SETTLING_ROUNDS = 20_000;
 
-	private static final String YAML = """
+	private static final String TEMPLATE_YAML = """
 			template: t
 			kind: chat
 			versions:
@@ -69,9 +69,9 @@
 
 	private final Map<String, Link> links = new LinkedHashMap<>();
 
-	private final Map<String, NodeId> callers = new HashMap<>();
+	private final Map<String, NodeId> entryByOpenRequest = new HashMap<>();
 
-	private final List<Runnable> pending = new ArrayList<>();
+	private final List<Runnable> deferredActions = new ArrayList<>();
 
 	private final List<TemplateRevision> revisions = new ArrayList<>();
 
@@ -79,23 +79,23 @@
 
 	private long stamp;
 
-	private int requests;
+	private int sentRequests;
 
-	private int runs;
+	private int startedRuns;
 
-	private int faults;
+	private int faultCount;
 
-	final Plant plant;
+	final PlantedFault plantedFault;
 
-	World() {
-		this(Plant.NONE);
+	SimulatedCluster() {
+		this(PlantedFault.NONE);
 	}
 
-	World(Plant plant) {
-		this.plant = plant;
+	SimulatedCluster(PlantedFault plant) {
+		this.plantedFault = plant;
 		try {
-			Template template = Template.parse(YAML);
-			this.revisions.add(new TemplateRevision(1, "c1", "ann", 0, YAML, template));
+			Template template = Template.parse(TEMPLATE_YAML);
+			this.revisions.add(new TemplateRevision(1, "c1", "ann", 0, TEMPLATE_YAML, template));
 		}
 		catch (YamlException ex) {
 			throw new IllegalStateException(ex);
@@ -111,20 +111,20 @@
 	/**
 	 * Makes the admission under test; a test that plants a fault makes another.
 	 */
-	Admission admission(AdmissionSettings settings) {
+	Admission createAdmission(AdmissionSettings settings) {
 		return new Admission(settings);
 	}
 
-	static String answer(String version, String body) {
+	static String expectedAnswer(String version, String body) {
 		return version + " says: " + body.replace("poison", "p") + "!";
 	}
 
-	static Usage usage(String body) {
+	static Usage expectedUsage(String body) {
 		return new Usage(10, 100L + body.length());
 	}
 
-	static long cost(String version, String body) {
-		return usage(body).outputTokens() * (version.startsWith("small") ? 1 : 10);
+	static long expectedCostMicros(String version, String body) {
+		return expectedUsage(body).outputTokens() * (version.startsWith("small") ? 1 : 10);
 	}
 
 	Moment now() {
@@ -132,129 +132,130 @@
 		return new Moment(this.time, this.stamp);
 	}
 
-	int faults() {
-		return this.faults;
+	int faultCount() {
+		return this.faultCount;
 	}
 
 	// What the steps may do.
 
 	void send(int pick) {
 		String team = (pick % 3 == 0) ? "basic" : "gold";
-		this.requests++;
-		String id = "r" + this.requests;
+		this.sentRequests++;
+		String id = "r" + this.sentRequests;
 		FuzzEntry entry = pick(this.entries, pick);
 		String session = (pick % 5 == 1) ? "session-" + pick % 3 : null;
 		String body = (pick % 23 == 0) ? "poison " + pick % 2 : "body " + pick;
-		request(entry, id, team, session, null, body);
+		submitRequest(entry, id, team, session, null, body);
 	}
 
 	/**
 	 * Sends a call that may not be repeated, under one of few keys, so that many are sent
 	 * again.
 	 */
-	void order(int pick) {
-		this.requests++;
+	void sendAtMostOnce(int pick) {
+		this.sentRequests++;
 		int key = pick % 4;
-		request(pick(this.entries, pick / 4), "r" + this.requests, "gold", null, "key-" + key, "order " + key);
+		submitRequest(pick(this.entries, pick / 4), "r" + this.sentRequests, "gold", null, "key-" + key,
+				"order " + key);
 	}
 
-	private void request(FuzzEntry entry, String id, String team, String session, String key, String body) {
+	private void submitRequest(FuzzEntry entry, String id, String team, String session, String key, String body) {
 		IncomingRequest.Builder builder = IncomingRequest.builder(new RequestId(id), new TeamId(team), TEMPLATE)
 			.deadline(this.time + 3000)
 			.fingerprint(new Fingerprint((team + "/" + body).replace(' ', '_')))
 			.session((session != null) ? new SessionId(session) : null)
 			.body(body);
-		this.oracle.sent(id, team, session, key, body, entry.heard(team + "/" + body));
-		this.callers.put(id, entry.id);
+		this.oracle.onRequestSent(id, team, session, key, body, entry.isCrashKnown(team + "/" + body));
+		this.entryByOpenRequest.put(id, entry.id);
 		entry.submit((key != null) ? builder.atMostOnce(key).build() : builder.build());
 	}
 
-	void callerLeaves(int pick) {
-		List<String> open = this.callers.keySet().stream().sorted().toList();
+	void disconnectCaller(int pick) {
+		List<String> open = this.entryByOpenRequest.keySet().stream().sorted().toList();
 		if (!open.isEmpty()) {
 			String id = open.get(pick % open.size());
-			FuzzEntry entry = this.entries.get(this.callers.remove(id));
-			this.oracle.callerLost(id);
+			FuzzEntry entry = this.entries.get(this.entryByOpenRequest.remove(id));
+			this.oracle.onCallerLost(id);
 			entry.handle(new RouterEvent.CallerDisconnected(new RequestId(id)));
 		}
 	}
 
 	void deliver(int pick) {
-		List<Link> busy = this.links.values().stream().filter(Link::busy).toList();
+		List<Link> busy = this.links.values().stream().filter(Link::isBusy).toList();
 		if (!busy.isEmpty()) {
 			busy.get(pick % busy.size()).deliver(pick);
 		}
 	}
 
-	void store(int pick, int fate) {
-		this.faults += fate % 2;
-		this.store.answer(pick, fate);
+	void endStoreCall(int pick, int fate) {
+		this.faultCount += fate % 2;
+		this.store.endCall(pick, fate);
 	}
 
-	void lateWrite(int pick) {
-		this.faults++;
-		this.store.applyLate(pick);
+	void applyLateWrite(int pick) {
+		this.faultCount++;
+		this.store.applyLateWrite(pick);
 	}
 
-	void progress(int pick) {
+	void progressJob(int pick) {
 		pick(this.agents, pick).progress(pick / 3);
 	}
 
-	void breakOff(int pick) {
-		this.faults++;
-		pick(this.agents, pick).breakOff(pick / 3);
+	void failJob(int pick) {
+		this.faultCount++;
+		pick(this.agents, pick).failJob(pick / 3);
 	}
 
 	void later(int pick) {
-		if (!this.pending.isEmpty()) {
-			this.pending.remove(pick % this.pending.size()).run();
+		if (!this.deferredActions.isEmpty()) {
+			this.deferredActions.remove(pick % this.deferredActions.size()).run();
 		}
 	}
 
 	void advance(int millis) {
 		this.time += millis;
-		this.entries.values().forEach(FuzzEntry::tick);
-		this.agents.values().forEach(FuzzAgent::tick);
+		this.entries.values().forEach(FuzzEntry::onTick);
+		this.agents.values().forEach(FuzzAgent::onTick);
 	}
 
 	/**
 	 * Lets time pass for everyone but one node, which is paused and hears nothing of it.
 	 */
-	void advanceWithout(int pick, int millis) {
-		this.faults++;
+	void advanceExceptOneAgent(int pick, int millis) {
+		this.faultCount++;
 		this.time += millis;
 		NodeId paused = pick(this.agents, pick).id;
-		this.entries.values().forEach(FuzzEntry::tick);
-		this.agents.values().stream().filter((agent) -> !agent.id.equals(paused)).forEach(FuzzAgent::tick);
+		this.entries.values().forEach(FuzzEntry::onTick);
+		this.agents.values().stream().filter((agent) -> !agent.id.equals(paused)).forEach(FuzzAgent::onTick);
 	}
 
-	void cut(int pick) {
-		this.faults++;
+	void cutLink(int pick) {
+		this.faultCount++;
 		List<Link> all = List.copyOf(this.links.values());
 		all.get(pick % all.size()).cut();
 	}
 
 	void killEntry(int pick) {
-		this.faults++;
+		this.faultCount++;
 		FuzzEntry entry = pick(this.entries, pick);
 		entry.die();
-		List.copyOf(this.callers.keySet())
+		List.copyOf(this.entryByOpenRequest.keySet())
 			.stream()
-			.filter((id) -> this.callers.get(id).equals(entry.id))
+			.filter((id) -> this.entryByOpenRequest.get(id).equals(entry.id))
 			.forEach((id) -> {
-				this.callers.remove(id);
-				this.oracle.callerLost(id);
+				this.entryByOpenRequest.remove(id);
+				this.oracle.onCallerLost(id);
 			});
-		this.links.values().stream().filter((link) -> link.entry.equals(entry.id)).forEach(Link::lostEntry);
+		this.links.values().stream().filter((link) -> link.entry.equals(entry.id)).forEach(Link::onEntryDied);
 		addEntry(entry.id);
 	}
 
 	void killAgent(int pick) {
-		this.faults++;
+		this.faultCount++;
 		FuzzAgent agent = pick(this.agents, pick);
 		agent.die();
-		untold(agent);
-		this.links.values().stream().filter((link) -> link.agent.equals(agent.id)).forEach(Link::lostAgent);
+		recordLostCrashReports(agent);
+		this.links.values().stream().filter((link) -> link.agent.equals(agent.id)).forEach(Link::onAgentDied);
 		addAgent(agent.id);
 		this.entries.keySet().forEach((entry) -> connect(entry, agent.id));
 	}
@@ -262,19 +263,19 @@
 	/**
 	 * Tells the oracle of crashes that only the dying agent knew of.
 	 */
-	private void untold(FuzzAgent agent) {
+	private void recordLostCrashReports(FuzzAgent agent) {
 		for (SuspectContent suspicion : agent.admission().suspects()) {
 			boolean told = this.links.values()
 				.stream()
 				.filter((link) -> link.agent.equals(agent.id) && link.open)
 				.anyMatch((link) -> !link.toEntry.contains(new AdmissionAction.AnnounceSuspect(suspicion)));
 			if (!told) {
-				this.oracle.untold(suspicion.fingerprint().value().replace('_', ' '));
+				this.oracle.onCrashReportLost(suspicion.fingerprint().value().replace('_', ' '));
 			}
 		}
 	}
 
-	void drain(int pick) {
+	void drainAgent(int pick) {
 		pick(this.agents, pick).drain();
 	}
 
@@ -282,13 +283,13 @@
 	 * An operator changes a version's state; nodes hear of it in any order, each when its
 	 * step comes.
 	 */
-	void change(int pick) {
+	void changeVersionState(int pick) {
 		TemplateRevision newest = this.revisions.get(this.revisions.size() - 1);
 		List<ModelVersion> versions = FuzzAgent.versions("small@v1", "large@v1", "large@v2").stream().toList();
 		ModelVersion version = versions.get(pick % 3);
 		VersionState state = VersionState.values()[pick / 3 % 3];
 		if (state == VersionState.WITHDRAWN) {
-			this.oracle.withdrawn(version.toString());
+			this.oracle.onVersionWithdrawn(version.toString());
 		}
 		Template changed = newest.template().withState(version, state);
 		this.revisions.add(new TemplateRevision(newest.revision() + 1, "c" + pick, "ann", 0, "", changed));
@@ -297,26 +298,26 @@
 	/**
 	 * A node hears of some revision, perhaps of an old one.
 	 */
-	void hear(int pick) {
+	void deliverRevision(int pick) {
 		TemplateRevision revision = this.revisions.get(Math.max(0, this.revisions.size() - 1 - pick / 5 % 3));
 		int node = pick % 5;
 		if (node < 2) {
-			hear(List.copyOf(this.entries.values()).get(node), revision);
+			deliverRevision(List.copyOf(this.entries.values()).get(node), revision);
 		}
 		else {
 			List.copyOf(this.agents.values()).get(node - 2).handle(new AdmissionEvent.TemplateChanged(revision));
 		}
 	}
 
-	private void hear(FuzzEntry entry, TemplateRevision revision) {
+	private void deliverRevision(FuzzEntry entry, TemplateRevision revision) {
 		// The agents are sent the revision ahead of any dispatch under it.
-		this.agents.keySet().forEach((agent) -> toAgent(entry.id, agent, new Message.Revision(revision)));
+		this.agents.keySet().forEach((agent) -> sendToAgent(entry.id, agent, new Message.Revision(revision)));
 		entry.handle(new RouterEvent.TemplateChanged(revision));
 	}
 
 	// What the nodes do.
 
-	boolean toAgent(NodeId entry, NodeId agent, Message message) {
+	boolean sendToAgent(NodeId entry, NodeId agent, Message message) {
 		Link link = this.links.get(entry + ">" + agent);
 		if (link == null || !link.open) {
 			return false;
@@ -325,53 +326,53 @@
 		return true;
 	}
 
-	void toEntry(NodeId agent, NodeId entry, Object message) {
+	void sendToEntry(NodeId agent, NodeId entry, Object message) {
 		Link link = this.links.get(entry + ">" + agent);
 		if (link != null && link.open) {
 			link.toEntry.add(message);
 		}
 	}
 
-	void leaving(NodeId agent) {
-		this.entries.keySet().forEach((entry) -> toEntry(agent, entry, new AdmissionAction.AnnounceLeaving()));
+	void announceLeaving(NodeId agent) {
+		this.entries.keySet().forEach((entry) -> sendToEntry(agent, entry, new AdmissionAction.AnnounceLeaving()));
 	}
 
-	void suspect(NodeId from, SuspectContent suspicion) {
+	void announceSuspectToPeers(NodeId from, SuspectContent suspicion) {
 		this.entries.values()
 			.stream()
 			.filter((entry) -> !entry.id.equals(from))
 			.forEach((entry) -> entry.handle(new RouterEvent.SuspectAnnounced(suspicion)));
 	}
 
-	void rate(FuzzEntry entry, RouterAction.RateAnswer rate) {
-		this.pending.add(() -> entry.rated(rate.attempt(), (rate.prompt().length() % 3 == 0) ? OptionalDouble.empty()
-				: OptionalDouble.of(0.5 + rate.prompt().length() % 2 * 0.4)));
+	void scheduleRating(FuzzEntry entry, RouterAction.RateAnswer rate) {
+		this.deferredActions.add(() -> entry.onRated(rate.attempt(), (rate.prompt().length() % 3 == 0)
+				? OptionalDouble.empty() : OptionalDouble.of(0.5 + rate.prompt().length() % 2 * 0.4)));
 	}
 
 	void later(Runnable action) {
-		this.pending.add(action);
+		this.deferredActions.add(action);
 	}
 
-	void halted(NodeId from, Halt halt) {
+	void announceHalt(NodeId from, Halt halt) {
 		this.entries.values()
 			.stream()
 			.filter((entry) -> !entry.id.equals(from))
 			.forEach((entry) -> entry.handle(new RouterEvent.HaltAnnounced(halt)));
 	}
 
-	void announce(NodeId agent, AdmissionAction.AnnounceSuspect suspect) {
-		this.entries.keySet().forEach((entry) -> toEntry(agent, entry, suspect));
+	void sendSuspectToEntries(NodeId agent, AdmissionAction.AnnounceSuspect suspect) {
+		this.entries.keySet().forEach((entry) -> sendToEntry(agent, entry, suspect));
 	}
 
-	int copies(Dispatch dispatch) {
-		return this.agents.values().stream().mapToInt((agent) -> agent.copies(dispatch)).sum();
+	int runningCopies(Dispatch dispatch) {
+		return this.agents.values().stream().mapToInt((agent) -> agent.runningCopies(dispatch)).sum();
 	}
 
 	Set<NodeId> entries() {
 		return this.entries.keySet();
 	}
 
-	Set<NodeId> entriesOf(NodeId agent) {
+	Set<NodeId> linkedEntries(NodeId agent) {
 		Set<NodeId> linked = new HashSet<>();
 		this.links.values()
 			.stream()
@@ -383,53 +384,53 @@
 	/**
 	 * Ends all faults, lets everything run to its end, and judges what is left.
 	 */
-	List<String> settle() {
-		for (int i = 0; i < MAX_SETTLING && i >= 0; i++) {
-			boolean busy = this.links.values().stream().anyMatch(Link::busy) || this.store.waiting() > 0
-					|| !this.pending.isEmpty()
-					|| this.agents.values().stream().anyMatch((agent) -> agent.running() > 0);
-			if (!busy && this.entries.values().stream().allMatch((entry) -> entry.open() == 0) && i > 100) {
+	List<String> settleAndCheck() {
+		for (int i = 0; i < MAX_SETTLING_ROUNDS && i >= 0; i++) {
+			boolean busy = this.links.values().stream().anyMatch(Link::isBusy) || this.store.waitingCalls() > 0
+					|| !this.deferredActions.isEmpty()
+					|| this.agents.values().stream().anyMatch((agent) -> agent.runningJobs() > 0);
+			if (!busy && this.entries.values().stream().allMatch((entry) -> entry.openRequestCount() == 0) && i > 100) {
 				break;
 			}
 			deliver(i);
 			later(i);
-			progress(i);
+			progressJob(i);
 			this.store.answerAll();
 			if (i % 20 == 0) {
 				advance(100);
 			}
 		}
 		advance(10_000);
-		this.agents.values().forEach(FuzzAgent::writeAll);
-		this.entries.values().forEach(FuzzEntry::writeAll);
+		this.agents.values().forEach(FuzzAgent::writeHeldRecords);
+		this.entries.values().forEach(FuzzEntry::writeHeldCopies);
 		for (int i = 0; i < 20; i++) {
 			this.store.answerAll();
 			advance(100);
 		}
-		this.oracle.allAnswered();
-		this.oracle.billed(StoredBills.in(this.store));
+		this.oracle.checkAllAnswered();
+		this.oracle.checkBills(StoredBills.readBills(this.store));
 		return this.oracle.violations();
 	}
 
 	private void addEntry(NodeId id) {
-		this.runs++;
-		FuzzEntry entry = new FuzzEntry(this, id, id + "." + this.runs, this.runs);
+		this.startedRuns++;
+		FuzzEntry entry = new FuzzEntry(this, id, id + "." + this.startedRuns, this.startedRuns);
 		this.entries.values()
 			.forEach((other) -> other.suspects()
 				.forEach((suspicion) -> entry.handle(new RouterEvent.SuspectAnnounced(suspicion))));
 		this.entries.put(id, entry);
 		this.agents.keySet().forEach((agent) -> connect(id, agent));
-		hear(entry, this.revisions.get(this.revisions.size() - 1));
+		deliverRevision(entry, this.revisions.get(this.revisions.size() - 1));
 	}
 
 	private void addAgent(NodeId id) {
-		this.runs++;
+		this.startedRuns++;
 		Set<ModelVersion> versions = switch (id.value()) {
 			case "agent-1" -> FuzzAgent.versions("small@v1", "large@v1");
 			case "agent-2" -> FuzzAgent.versions("large@v1", "large@v2");
 			default -> FuzzAgent.versions("small@v1", "large@v1", "large@v2");
 		};
-		this.agents.put(id, new FuzzAgent(this, id, id + "." + this.runs, versions));
+		this.agents.put(id, new FuzzAgent(this, id, id + "." + this.startedRuns, versions));
 	}
 
 	private void connect(NodeId entry, NodeId agent) {
@@ -470,67 +471,67 @@
 
 		private boolean open = true;
 
-		private boolean entryToldDown;
+		private boolean entryNotified;
 
-		private boolean agentToldDown;
+		private boolean agentNotified;
 
 		Link(NodeId entry, NodeId agent) {
 			this.entry = entry;
 			this.agent = agent;
-			this.entryRun = World.this.entries.get(entry);
-			this.agentRun = World.this.agents.get(agent);
+			this.entryRun = SimulatedCluster.this.entries.get(entry);
+			this.agentRun = SimulatedCluster.this.agents.get(agent);
 		}
 
-		boolean busy() {
+		boolean isBusy() {
 			return this.open ? !this.toAgent.isEmpty() || !this.toEntry.isEmpty()
-					: !this.entryToldDown || !this.agentToldDown;
+					: !this.entryNotified || !this.agentNotified;
 		}
 
 		void cut() {
 			this.open = false;
 		}
 
-		void lostEntry() {
+		void onEntryDied() {
 			cut();
-			this.entryToldDown = true;
+			this.entryNotified = true;
 			this.agentRun.handle(new AdmissionEvent.EntryDown(this.entry));
-			this.agentToldDown = true;
+			this.agentNotified = true;
 		}
 
-		void lostAgent() {
+		void onAgentDied() {
 			cut();
-			this.agentToldDown = true;
+			this.agentNotified = true;
 			this.entryRun.handle(new RouterEvent.AgentDown(this.agent));
-			this.entryToldDown = true;
+			this.entryNotified = true;
 		}
 
 		void deliver(int pick) {
 			if (!this.open) {
-				tellDown(pick);
+				reportDown(pick);
 			}
 			else if (this.toEntry.isEmpty() || (pick % 2 == 0 && !this.toAgent.isEmpty())) {
-				toAgent(this.toAgent.poll());
+				deliverToAgent(this.toAgent.poll());
 			}
 			else {
-				toEntry(this.toEntry.poll());
+				deliverToEntry(this.toEntry.poll());
 			}
 		}
 
-		private void tellDown(int pick) {
-			if (!this.entryToldDown && (pick % 2 == 0 || this.agentToldDown)) {
-				this.entryToldDown = true;
+		private void reportDown(int pick) {
+			if (!this.entryNotified && (pick % 2 == 0 || this.agentNotified)) {
+				this.entryNotified = true;
 				this.entryRun.handle(new RouterEvent.AgentDown(this.agent));
 			}
-			else if (!this.agentToldDown) {
-				this.agentToldDown = true;
+			else if (!this.agentNotified) {
+				this.agentNotified = true;
 				this.agentRun.handle(new AdmissionEvent.EntryDown(this.entry));
 			}
-			if (this.entryToldDown && this.agentToldDown) {
+			if (this.entryNotified && this.agentNotified) {
 				connect(this.entry, this.agent);
 			}
 		}
 
-		private void toAgent(Message message) {
+		private void deliverToAgent(Message message) {
 			switch (message) {
 				case Message.Dispatched sent -> this.agentRun
 					.handle(new AdmissionEvent.Dispatched(this.entry, sent.dispatch(), sent.dispatch().deadline()));
@@ -540,11 +541,11 @@
 				case Message.Revision revision ->
 					this.agentRun.handle(new AdmissionEvent.TemplateChanged(revision.revision()));
 				case Message.CopyHeld held -> this.agentRun.handle(new AdmissionEvent.CopyHeld(held.attempt()));
-				case Message.Recorded recorded -> this.agentRun.recorded(recorded);
+				case Message.Recorded recorded -> this.agentRun.onRecorded(recorded);
 			}
 		}
 
-		private void toEntry(Object message) {
+		private void deliverToEntry(Object message) {
 			switch (message) {
 				case AdmissionAction.Accept accept ->
 					this.entryRun.handle(new RouterEvent.AttemptAccepted(accept.attempt()));
@@ -560,10 +561,10 @@
 				case AdmissionAction.AnnounceLeaving leaving ->
 					this.entryRun.handle(new RouterEvent.AgentLeaving(this.agent));
 				case AdmissionAction.CopyLine copy -> {
-					this.entryRun.hold(copy.line());
+					this.entryRun.onCopyReceived(copy.line());
 					this.toAgent.add(new Message.CopyHeld(copy.line().line().attempt()));
 				}
-				case Message.Release release -> this.entryRun.release(release.request());
+				case Message.Release release -> this.entryRun.onRelease(release.request());
 				case AdmissionAction.AnnounceSuspect suspect ->
 					this.entryRun.handle(new RouterEvent.SuspectAnnounced(suspect.suspicion()));
 				default -> throw new IllegalStateException("not sent to entries: " + message);
--- a/core/src/test/java/org/gullsaddle/fuzz/Step.java
+++ b/core/src/test/java/org/gullsaddle/fuzz/Step.java
@@ -7,49 +7,49 @@
  */
 enum Step {
 
-	SEND(8, World::send),
+	SEND(8, SimulatedCluster::send),
 
-	ORDER(5, World::order),
+	ORDER(5, SimulatedCluster::sendAtMostOnce),
 
-	DELIVER(30, World::deliver),
+	DELIVER(30, SimulatedCluster::deliver),
 
-	PROGRESS(20, World::progress),
+	PROGRESS(20, SimulatedCluster::progressJob),
 
-	STORE(12, (world, pick) -> world.store(pick / 8, pick % 8)),
+	STORE(12, (world, pick) -> world.endStoreCall(pick / 8, pick % 8)),
 
-	LATER(6, World::later),
+	LATER(6, SimulatedCluster::later),
 
-	LATE_WRITE(2, World::lateWrite),
+	LATE_WRITE(2, SimulatedCluster::applyLateWrite),
 
 	ADVANCE(4, (world, pick) -> world.advance(pick % 800)),
 
-	PAUSE(1, (world, pick) -> world.advanceWithout(pick, 2000 + pick)),
+	PAUSE(1, (world, pick) -> world.advanceExceptOneAgent(pick, 2000 + pick)),
 
-	BREAK_OFF(1, World::breakOff),
+	BREAK_OFF(1, SimulatedCluster::failJob),
 
-	CUT(1, World::cut),
+	CUT(1, SimulatedCluster::cutLink),
 
-	KILL_ENTRY(1, World::killEntry),
+	KILL_ENTRY(1, SimulatedCluster::killEntry),
 
-	KILL_AGENT(1, World::killAgent),
+	KILL_AGENT(1, SimulatedCluster::killAgent),
 
-	CALLER_LEAVES(1, World::callerLeaves),
+	CALLER_LEAVES(1, SimulatedCluster::disconnectCaller),
 
-	CHANGE(1, World::change),
+	CHANGE(1, SimulatedCluster::changeVersionState),
 
-	HEAR(3, World::hear),
+	HEAR(3, SimulatedCluster::deliverRevision),
 
 	DRAIN(1, (world, pick) -> {
 		if (pick % 4 == 0) {
-			world.drain(pick);
+			world.drainAgent(pick);
 		}
 	});
 
 	private final int weight;
 
-	private final ObjIntConsumer<World> action;
+	private final ObjIntConsumer<SimulatedCluster> action;
 
-	Step(int weight, ObjIntConsumer<World> action) {
+	Step(int weight, ObjIntConsumer<SimulatedCluster> action) {
 		this.weight = weight;
 		this.action = action;
 	}
@@ -58,14 +58,14 @@
 		return this.weight;
 	}
 
-	void apply(World world, int pick) {
+	void apply(SimulatedCluster world, int pick) {
 		this.action.accept(world, pick);
 	}
 
 	/**
 	 * Runs a scenario as a failing run prints it, such as {@code "SEND 1", "DELIVER 7"}.
 	 */
-	static World replay(World world, String scenario) {
+	static SimulatedCluster replay(SimulatedCluster world, String scenario) {
 		for (String each : scenario.replace("\"", "").split(",")) {
 			String[] parts = each.strip().split(" ");
 			valueOf(parts[0]).apply(world, Integer.parseInt(parts[1]));
--- a/core/src/test/java/org/gullsaddle/fuzz/StoredBills.java
+++ b/core/src/test/java/org/gullsaddle/fuzz/StoredBills.java
@@ -18,9 +18,9 @@
 	private StoredBills() {
 	}
 
-	static Map<String, List<Long>> in(FaultyStore store) {
+	static Map<String, List<Long>> readBills(FaultyStore store) {
 		List<LedgerEntry> all = new ArrayList<>();
-		for (Object segment : store.under("ledger/")) {
+		for (Object segment : store.valuesUnder("ledger/")) {
 			((Segment) segment).rows().forEach((row) -> all.add(read(row.text())));
 		}
 		Map<String, List<Long>> bills = new HashMap<>();
