--- a/core/src/test/java/org/gullsaddle/fuzz/FuzzAgent.java
+++ b/core/src/test/java/org/gullsaddle/fuzz/FuzzAgent.java
@@ -60,7 +60,7 @@
 
 	private final Set<AttemptId> copyAttempted = new HashSet<>();
 
-	private final Map<RequestId, NodeId> copies = new HashMap<>();
+	private final Map<RequestId, NodeId> copyHolders = new HashMap<>();
 
 	private TemplateRevision newestRevision;
 
@@ -168,7 +168,7 @@
 
 	void onRecorded(Message.Recorded recorded) {
 		this.heldLines.onRecorded(List.of(recorded.request()));
-		NodeId holder = this.copies.remove(recorded.request());
+		NodeId holder = this.copyHolders.remove(recorded.request());
 		if (holder != null) {
 			this.world.sendToEntry(this.id, holder, new Message.Release(recorded.request()));
 		}
@@ -289,7 +289,7 @@
 			}
 			case AdmissionAction.CopyLine copy -> {
 				this.copyAttempted.add(copy.line().line().attempt());
-				this.copies.put(copy.line().line().attempt().request(), copy.holder());
+				this.copyHolders.put(copy.line().line().attempt().request(), copy.holder());
 				this.world.sendToEntry(this.id, copy.holder(), copy);
 			}
 			case AdmissionAction.AnnounceSuspect suspect -> this.world.sendSuspectToEntries(this.id, suspect);
--- a/core/src/test/java/org/gullsaddle/fuzz/FuzzEntry.java
+++ b/core/src/test/java/org/gullsaddle/fuzz/FuzzEntry.java
@@ -67,13 +67,13 @@
 
 	private final Map<Long, Consumer<RegisterAction>> callbacks = new HashMap<>();
 
-	private final HeldLines copies = new HeldLines(2000);
+	private final HeldLines heldCopies = new HeldLines(2000);
 
 	private final Map<RequestId, OpenClaim> openClaims = new HashMap<>();
 
 	private final Map<RequestId, Set<NodeId>> holders = new HashMap<>();
 
-	private final Set<String> heard = new HashSet<>();
+	private final Set<String> crashingContents = new HashSet<>();
 
 	private final Queue<RouterEvent> events = new ArrayDeque<>();
 
@@ -116,7 +116,7 @@
 	 * Says whether word of a crash of this content has reached this entry.
 	 */
 	boolean isCrashKnown(String content) {
-		return this.heard.contains(content);
+		return this.crashingContents.contains(content);
 	}
 
 	void submit(IncomingRequest request) {
@@ -128,7 +128,7 @@
 			return;
 		}
 		if (event instanceof RouterEvent.SuspectAnnounced learned) {
-			this.heard.add(learned.suspicion().fingerprint().value().replace('_', ' '));
+			this.crashingContents.add(learned.suspicion().fingerprint().value().replace('_', ' '));
 		}
 		this.events.add(event);
 		if (this.handling) {
@@ -144,23 +144,23 @@
 	}
 
 	void onCopyReceived(AgentRecord line) {
-		this.copies.hold(line, this.world.now().millis());
+		this.heldCopies.hold(line, this.world.now().millis());
 		this.world.oracle.onRecordHeld(line.line().attempt().request().value(), this.run);
 	}
 
 	void onRelease(RequestId request) {
-		this.copies.onRecorded(List.of(request));
+		this.heldCopies.onRecorded(List.of(request));
 	}
 
 	void writeHeldCopies() {
-		this.copies.takeAll().forEach((line) -> this.ledger.append(new LedgerEntry.AttemptEntry(line)));
+		this.heldCopies.takeAll().forEach((line) -> this.ledger.append(new LedgerEntry.AttemptEntry(line)));
 	}
 
 	void onTick() {
 		if (this.dead) {
 			return;
 		}
-		for (AgentRecord line : this.copies.takeDue(this.world.now().millis(), this.world.entries())) {
+		for (AgentRecord line : this.heldCopies.takeDue(this.world.now().millis(), this.world.entries())) {
 			this.ledger.append(new LedgerEntry.AttemptEntry(line));
 		}
 		handle(new RouterEvent.Tick());
--- a/core/src/test/java/org/gullsaddle/fuzz/FuzzRun.java
+++ b/core/src/test/java/org/gullsaddle/fuzz/FuzzRun.java
@@ -28,7 +28,7 @@
 		long steps = 0;
 		long faults = 0;
 		while (System.nanoTime() < end) {
-			List<Move> moves = randomMoves(new Random(seed));
+			List<PickedStep> moves = randomMoves(new Random(seed));
 			SimulatedCluster world = run(moves);
 			steps += moves.size();
 			faults += world.faultCount();
@@ -57,21 +57,21 @@
 		return "";
 	}
 
-	private static void printViolation(long seed, List<Move> moves) {
-		List<Move> shrunk = shrink(moves);
+	private static void printViolation(long seed, List<PickedStep> moves) {
+		List<PickedStep> shrunk = shrink(moves);
 		System.out.println("seed " + seed + ": " + run(shrunk).oracle.violations());
-		System.out.println("steps: " + String.join(", ", shrunk.stream().map(Move::toString).toList()));
+		System.out.println("steps: " + String.join(", ", shrunk.stream().map(PickedStep::toString).toList()));
 	}
 
 	/**
 	 * Leaves out what is not needed to break the same guarantee.
 	 */
-	private static List<Move> shrink(List<Move> moves) {
+	private static List<PickedStep> shrink(List<PickedStep> moves) {
 		String broken = firstBrokenGuarantee(run(moves));
-		List<Move> left = moves;
+		List<PickedStep> left = moves;
 		for (int size = left.size() / 2; size >= 1; size /= 2) {
 			for (int at = 0; at + size <= left.size();) {
-				List<Move> fewer = new ArrayList<>(left.subList(0, at));
+				List<PickedStep> fewer = new ArrayList<>(left.subList(0, at));
 				fewer.addAll(left.subList(at + size, left.size()));
 				SimulatedCluster world = run(fewer);
 				if (!world.oracle.violations().isEmpty() && firstBrokenGuarantee(world).equals(broken)) {
@@ -89,20 +89,20 @@
 		return world.oracle.violations().get(0).split(":")[0];
 	}
 
-	private static SimulatedCluster run(List<Move> moves) {
+	private static SimulatedCluster run(List<PickedStep> moves) {
 		return run(new SimulatedCluster(), moves);
 	}
 
-	private static SimulatedCluster run(SimulatedCluster world, List<Move> moves) {
+	private static SimulatedCluster run(SimulatedCluster world, List<PickedStep> moves) {
 		moves.forEach((move) -> move.step().apply(world, move.pick()));
 		world.settleAndCheck();
 		return world;
 	}
 
-	private static List<Move> randomMoves(Random random) {
-		List<Move> moves = new ArrayList<>();
+	private static List<PickedStep> randomMoves(Random random) {
+		List<PickedStep> moves = new ArrayList<>();
 		for (int i = 0; i < STEPS; i++) {
-			moves.add(new Move(chooseStep(random.nextInt(TOTAL_WEIGHT)), random.nextInt(1000)));
+			moves.add(new PickedStep(chooseStep(random.nextInt(TOTAL_WEIGHT)), random.nextInt(1000)));
 		}
 		return moves;
 	}
@@ -126,7 +126,7 @@
 		return total;
 	}
 
-	private record Move(Step step, int pick) {
+	private record PickedStep(Step step, int pick) {
 
 		@Override
 		public String toString() {
--- a/core/src/test/java/org/gullsaddle/fuzz/Oracle.java
+++ b/core/src/test/java/org/gullsaddle/fuzz/Oracle.java
@@ -171,7 +171,7 @@
 	 * link; it is lost if both nodes that have it die.
 	 */
 	void onRecordOnTwoNodesOnly(String request) {
-		this.requests.get(request).onTwoNodesOnly = true;
+		this.requests.get(request).recordOnTwoNodesOnly = true;
 	}
 
 	/**
@@ -270,7 +270,7 @@
 
 		private boolean reportedNotRun;
 
-		private boolean onTwoNodesOnly;
+		private boolean recordOnTwoNodesOnly;
 
 		ObservedRequest(String team, String session, String key, String body) {
 			this.team = team;
@@ -284,7 +284,7 @@
 		 * or two while no third could be reached.
 		 */
 		boolean isLossPermitted(Set<String> deadRuns) {
-			return deadRuns.containsAll(this.holders) && this.holders.size() >= (this.onTwoNodesOnly ? 2 : 3);
+			return deadRuns.containsAll(this.holders) && this.holders.size() >= (this.recordOnTwoNodesOnly ? 2 : 3);
 		}
 
 	}
--- a/core/src/test/java/org/gullsaddle/fuzz/SimulatedCluster.java
+++ b/core/src/test/java/org/gullsaddle/fuzz/SimulatedCluster.java
@@ -142,7 +142,7 @@
 		String team = (pick % 3 == 0) ? "basic" : "gold";
 		this.sentRequests++;
 		String id = "r" + this.sentRequests;
-		FuzzEntry entry = pick(this.entries, pick);
+		FuzzEntry entry = pickFrom(this.entries, pick);
 		String session = (pick % 5 == 1) ? "session-" + pick % 3 : null;
 		String body = (pick % 23 == 0) ? "poison " + pick % 2 : "body " + pick;
 		submitRequest(entry, id, team, session, null, body);
@@ -155,7 +155,7 @@
 	void sendAtMostOnce(int pick) {
 		this.sentRequests++;
 		int key = pick % 4;
-		submitRequest(pick(this.entries, pick / 4), "r" + this.sentRequests, "gold", null, "key-" + key,
+		submitRequest(pickFrom(this.entries, pick / 4), "r" + this.sentRequests, "gold", null, "key-" + key,
 				"order " + key);
 	}
 
@@ -198,12 +198,12 @@
 	}
 
 	void progressJob(int pick) {
-		pick(this.agents, pick).progress(pick / 3);
+		pickFrom(this.agents, pick).progress(pick / 3);
 	}
 
 	void failJob(int pick) {
 		this.faultCount++;
-		pick(this.agents, pick).failJob(pick / 3);
+		pickFrom(this.agents, pick).failJob(pick / 3);
 	}
 
 	void later(int pick) {
@@ -224,7 +224,7 @@
 	void advanceExceptOneAgent(int pick, int millis) {
 		this.faultCount++;
 		this.time += millis;
-		NodeId paused = pick(this.agents, pick).id;
+		NodeId paused = pickFrom(this.agents, pick).id;
 		this.entries.values().forEach(FuzzEntry::onTick);
 		this.agents.values().stream().filter((agent) -> !agent.id.equals(paused)).forEach(FuzzAgent::onTick);
 	}
@@ -237,7 +237,7 @@
 
 	void killEntry(int pick) {
 		this.faultCount++;
-		FuzzEntry entry = pick(this.entries, pick);
+		FuzzEntry entry = pickFrom(this.entries, pick);
 		entry.die();
 		List.copyOf(this.entryByOpenRequest.keySet())
 			.stream()
@@ -252,7 +252,7 @@
 
 	void killAgent(int pick) {
 		this.faultCount++;
-		FuzzAgent agent = pick(this.agents, pick);
+		FuzzAgent agent = pickFrom(this.agents, pick);
 		agent.die();
 		recordLostCrashReports(agent);
 		this.links.values().stream().filter((link) -> link.agent.equals(agent.id)).forEach(Link::onAgentDied);
@@ -268,7 +268,7 @@
 			boolean told = this.links.values()
 				.stream()
 				.filter((link) -> link.agent.equals(agent.id) && link.open)
-				.anyMatch((link) -> !link.toEntry.contains(new AdmissionAction.AnnounceSuspect(suspicion)));
+				.anyMatch((link) -> !link.queueToEntry.contains(new AdmissionAction.AnnounceSuspect(suspicion)));
 			if (!told) {
 				this.oracle.onCrashReportLost(suspicion.fingerprint().value().replace('_', ' '));
 			}
@@ -276,7 +276,7 @@
 	}
 
 	void drainAgent(int pick) {
-		pick(this.agents, pick).drain();
+		pickFrom(this.agents, pick).drain();
 	}
 
 	/**
@@ -322,14 +322,14 @@
 		if (link == null || !link.open) {
 			return false;
 		}
-		link.toAgent.add(message);
+		link.queueToAgent.add(message);
 		return true;
 	}
 
 	void sendToEntry(NodeId agent, NodeId entry, Object message) {
 		Link link = this.links.get(entry + ">" + agent);
 		if (link != null && link.open) {
-			link.toEntry.add(message);
+			link.queueToEntry.add(message);
 		}
 	}
 
@@ -437,7 +437,7 @@
 		Link link = new Link(entry, agent);
 		this.links.put(entry + ">" + agent, link);
 		FuzzAgent at = this.agents.get(agent);
-		link.toAgent.add(new Message.Revision(this.revisions.get(this.revisions.size() - 1)));
+		link.queueToAgent.add(new Message.Revision(this.revisions.get(this.revisions.size() - 1)));
 		at.handle(new AdmissionEvent.EntryUp(entry));
 		at.admission()
 			.suspects()
@@ -447,7 +447,7 @@
 					new AgentInfo(agent, "west", "west-1", at.versions, new LoadReport(0, 0, 2))));
 	}
 
-	private static <T> T pick(Map<NodeId, T> from, int pick) {
+	private static <T> T pickFrom(Map<NodeId, T> from, int pick) {
 		return List.copyOf(from.values()).get(pick % from.size());
 	}
 
@@ -461,9 +461,9 @@
 
 		private final NodeId agent;
 
-		private final Deque<Message> toAgent = new ArrayDeque<>();
+		private final Deque<Message> queueToAgent = new ArrayDeque<>();
 
-		private final Deque<Object> toEntry = new ArrayDeque<>();
+		private final Deque<Object> queueToEntry = new ArrayDeque<>();
 
 		private final FuzzEntry entryRun;
 
@@ -483,7 +483,7 @@
 		}
 
 		boolean isBusy() {
-			return this.open ? !this.toAgent.isEmpty() || !this.toEntry.isEmpty()
+			return this.open ? !this.queueToAgent.isEmpty() || !this.queueToEntry.isEmpty()
 					: !this.entryNotified || !this.agentNotified;
 		}
 
@@ -509,11 +509,11 @@
 			if (!this.open) {
 				reportDown(pick);
 			}
-			else if (this.toEntry.isEmpty() || (pick % 2 == 0 && !this.toAgent.isEmpty())) {
-				deliverToAgent(this.toAgent.poll());
+			else if (this.queueToEntry.isEmpty() || (pick % 2 == 0 && !this.queueToAgent.isEmpty())) {
+				deliverToAgent(this.queueToAgent.poll());
 			}
 			else {
-				deliverToEntry(this.toEntry.poll());
+				deliverToEntry(this.queueToEntry.poll());
 			}
 		}
 
@@ -562,7 +562,7 @@
 					this.entryRun.handle(new RouterEvent.AgentLeaving(this.agent));
 				case AdmissionAction.CopyLine copy -> {
 					this.entryRun.onCopyReceived(copy.line());
-					this.toAgent.add(new Message.CopyHeld(copy.line().line().attempt()));
+					this.queueToAgent.add(new Message.CopyHeld(copy.line().line().attempt()));
 				}
 				case Message.Release release -> this.entryRun.onRelease(release.request());
 				case AdmissionAction.AnnounceSuspect suspect ->
--- a/core/src/test/java/org/gullsaddle/fuzz/StoredBills.java
+++ b/core/src/test/java/org/gullsaddle/fuzz/StoredBills.java
@@ -21,7 +21,7 @@
 	static Map<String, List<Long>> readBills(FaultyStore store) {
 		List<LedgerEntry> all = new ArrayList<>();
 		for (Object segment : store.valuesUnder("ledger/")) {
-			((Segment) segment).rows().forEach((row) -> all.add(read(row.text())));
+			((Segment) segment).rows().forEach((row) -> all.add(parseEntry(row.text())));
 		}
 		Map<String, List<Long>> bills = new HashMap<>();
 		Bills.of(all)
@@ -32,7 +32,7 @@
 		return bills;
 	}
 
-	private static LedgerEntry read(String text) {
+	private static LedgerEntry parseEntry(String text) {
 		try {
 			return LedgerEntry.read(text);
 		}
