--- a/daemon/src/main/java/org/gullsaddle/daemon/Daemon.java
+++ b/daemon/src/main/java/org/gullsaddle/daemon/Daemon.java
@@ -124,7 +124,7 @@
 				templates::storeAge);
 		PeerDialer dialer = new PeerDialer(this.vertx.getDelegate(), self);
 		this.entry = new EntryNode(this.vertx, this.settings, this.clock, this.telemetry, templates, store, dialer);
-		listen(self, this.entry.peers());
+		listen(self, this.entry.inboundPeerListener());
 		this.entry.start();
 		this.entryServer = new EntryServer(this.entry);
 		await(this.entryServer.listen());
--- a/daemon/src/main/java/org/gullsaddle/entry/AdminApi.java
+++ b/daemon/src/main/java/org/gullsaddle/entry/AdminApi.java
@@ -55,7 +55,7 @@
 
 	private static final int CONFLICT = 409;
 
-	private static final int INVALID = 422;
+	private static final int UNPROCESSABLE = 422;
 
 	private static final int UNAVAILABLE = 503;
 
@@ -68,13 +68,13 @@
 		this.operators = settings.operators();
 	}
 
-	void routes(Router router) {
-		StatusRoutes.add(router, this.node.telemetry(), this.node::ready);
+	void addRoutes(Router router) {
+		StatusRoutes.add(router, this.node.telemetry(), this.node::isReady);
 		router.route("/admin/v1/*").handler(BodyHandler.create(false).setBodyLimit(MAX_BODY_BYTES));
 		router.route("/admin/v1/*").handler(this::authenticate);
-		router.get("/admin/v1/templates").handler(this::list);
-		router.get("/admin/v1/templates/:name").handler(this::get);
-		router.put("/admin/v1/templates/:name").handler(this::put);
+		router.get("/admin/v1/templates").handler(this::listTemplates);
+		router.get("/admin/v1/templates/:name").handler(this::getTemplate);
+		router.put("/admin/v1/templates/:name").handler(this::putTemplate);
 		router.get("/admin/v1/templates/:name/history").handler(this::history);
 		router.get("/admin/v1/templates/:name/in-force").handler(this::inForce);
 		router.post("/admin/v1/templates/:name/versions/:version").handler(this::changeVersion);
@@ -91,43 +91,43 @@
 		Optional<Settings.Operator> operator = (header != null && header.startsWith(BEARER))
 				? AccessKey.owner(this.operators, header.substring(BEARER.length()).strip()) : Optional.empty();
 		if (operator.isEmpty()) {
-			fail(context, UNAUTHENTICATED, "the operator's key is not known");
+			sendError(context, UNAUTHENTICATED, "the operator's key is not known");
 			return;
 		}
 		context.put(OPERATOR, operator.get());
 		context.next();
 	}
 
-	private void list(RoutingContext context) {
+	private void listTemplates(RoutingContext context) {
 		JsonArray templates = new JsonArray();
 		this.node.templates().all().values().forEach((revision) -> {
-			if (mayReadAny(context, revision)) {
+			if (canReadAny(context, revision)) {
 				templates.add(summary(revision));
 			}
 		});
 		context.json(new JsonObject().put("templates", templates));
 	}
 
-	private void get(RoutingContext context) {
-		TemplateRevision held = held(context).orElse(null);
+	private void getTemplate(RoutingContext context) {
+		TemplateRevision held = findReadableTemplate(context).orElse(null);
 		if (held == null) {
 			return;
 		}
-		context.json(summary(held).put("yaml", visible(context, held)));
+		context.json(summary(held).put("yaml", readableYaml(context, held)));
 	}
 
-	private void put(RoutingContext context) {
-		if (!mayChange(context)) {
+	private void putTemplate(RoutingContext context) {
+		if (!checkCanChange(context)) {
 			return;
 		}
 		String yaml = context.body().asString();
 		try {
 			Template template = Template.parse((yaml != null) ? yaml : "");
 			if (!template.name().value().equals(context.pathParam("name"))) {
-				fail(context, BAD_REQUEST, "the text is of template " + template.name());
+				sendError(context, BAD_REQUEST, "the text is of template " + template.name());
 				return;
 			}
-			change(context, template, yaml, expected(context));
+			changeTemplate(context, template, yaml, expectedRevision(context));
 		}
 		catch (YamlException ex) {
 			JsonArray problems = new JsonArray();
@@ -136,19 +136,19 @@
 					.put("path", problem.path())
 					.put("reason", problem.reason()));
 			}
-			context.response().setStatusCode(INVALID);
+			context.response().setStatusCode(UNPROCESSABLE);
 			context.json(new JsonObject().put("error", "the template is not valid").put("problems", problems));
 		}
 		catch (IllegalArgumentException ex) {
-			fail(context, BAD_REQUEST, ex.getMessage());
+			sendError(context, BAD_REQUEST, ex.getMessage());
 		}
 	}
 
 	private void changeVersion(RoutingContext context) {
-		if (!mayChange(context)) {
+		if (!checkCanChange(context)) {
 			return;
 		}
-		TemplateRevision held = held(context).orElse(null);
+		TemplateRevision held = findReadableTemplate(context).orElse(null);
 		if (held == null) {
 			return;
 		}
@@ -157,27 +157,27 @@
 			ModelVersion version = ModelVersion.of(context.pathParam("version"));
 			Template template = held.template();
 			if (body.containsKey("state")) {
-				template = template.withState(version, state(body.getString("state")));
+				template = template.withState(version, parseState(body.getString("state")));
 			}
 			if (body.containsKey("share")) {
 				template = template.withShare(version, body.getDouble("share"));
 			}
-			long expected = context.queryParam("expect").isEmpty() ? held.revision() : expected(context);
-			change(context, template, template.toYaml(), expected);
+			long expected = context.queryParam("expect").isEmpty() ? held.revision() : expectedRevision(context);
+			changeTemplate(context, template, template.toYaml(), expected);
 		}
 		catch (IllegalArgumentException | ClassCastException ex) {
-			fail(context, BAD_REQUEST, ex.getMessage());
+			sendError(context, BAD_REQUEST, ex.getMessage());
 		}
 	}
 
-	private void change(RoutingContext context, Template template, String yaml, long expected) {
+	private void changeTemplate(RoutingContext context, Template template, String yaml, long expected) {
 		Settings.Operator operator = context.get(OPERATOR);
 		this.node.templates()
 			.change(template, yaml, expected, operator.name())
-			.subscribe((revision) -> context.json(summary(revision)), (failure) -> refuseChange(context, failure));
+			.subscribe((revision) -> context.json(summary(revision)), (failure) -> sendChangeError(context, failure));
 	}
 
-	private void refuseChange(RoutingContext context, Throwable failure) {
+	private void sendChangeError(RoutingContext context, Throwable failure) {
 		switch (failure) {
 			case ConflictException conflict -> {
 				JsonObject body = new JsonObject().put("error", conflict.getMessage());
@@ -190,32 +190,32 @@
 				context.json(new JsonObject().put("error", lost.getMessage())
 					.put("outcome", lost.unknown() ? "unknown" : "not-taken"));
 			}
-			default -> fail(context, UNAVAILABLE, failure.getMessage());
+			default -> sendError(context, UNAVAILABLE, failure.getMessage());
 		}
 	}
 
 	private void history(RoutingContext context) {
-		TemplateRevision held = held(context).orElse(null);
+		TemplateRevision held = findReadableTemplate(context).orElse(null);
 		if (held == null) {
 			return;
 		}
 		this.node.templates().history(held.template().name(), HISTORY_LIMIT).subscribe((revisions) -> {
 			JsonArray list = new JsonArray();
-			revisions.forEach((revision) -> list.add(summary(revision).put("yaml", visible(context, revision))));
+			revisions.forEach((revision) -> list.add(summary(revision).put("yaml", readableYaml(context, revision))));
 			context.json(new JsonObject().put("revisions", list));
-		}, (failure) -> fail(context, UNAVAILABLE, failure.getMessage()));
+		}, (failure) -> sendError(context, UNAVAILABLE, failure.getMessage()));
 	}
 
 	private void inForce(RoutingContext context) {
-		TemplateRevision held = held(context).orElse(null);
+		TemplateRevision held = findReadableTemplate(context).orElse(null);
 		if (held == null) {
 			return;
 		}
 		long revision = Long.parseLong(context.request().getParam("revision", String.valueOf(held.revision())));
-		EntryNode.InForceCount count = this.node.inForce(held.template().name(), revision);
+		EntryNode.InForceCount count = this.node.countInForce(held.template().name(), revision);
 		context.json(new JsonObject().put("revision", revision)
-			.put("nodes", count.nodes())
-			.put("of", count.of())
+			.put("nodes", count.currentNodes())
+			.put("of", count.expectedNodes())
 			.put("missing", new JsonArray(count.missing().stream().map(Object::toString).sorted().toList())));
 	}
 
@@ -226,56 +226,58 @@
 			.values()
 			.forEach((link) -> nodes
 				.add(new JsonObject().put("node", link.peer().value()).put("role", link.peerRole().toString())));
-		context.json(new JsonObject().put("node", this.node.settings().node().value())
-			.put("ready", this.node.ready())
-			.put("cutOff", this.node.cutOff())
-			.put("storeAgeMillis", this.node.templates().storeAge())
-			.put("openRequests", this.node.openRequests())
-			.put("halted",
-					new JsonArray(this.node.halts().stream().map((halt) -> new JsonObject(Json.write(halt))).toList()))
-			.put("links", nodes));
+		context
+			.json(new JsonObject().put("node", this.node.settings().node().value())
+				.put("ready", this.node.isReady())
+				.put("cutOff", this.node.isCutOff())
+				.put("storeAgeMillis", this.node.templates().storeAge())
+				.put("openRequests", this.node.openRequestCount())
+				.put("halted", new JsonArray(
+						this.node.activeHalts().stream().map((halt) -> new JsonObject(Json.write(halt))).toList()))
+				.put("links", nodes));
 	}
 
 	private void trace(RoutingContext context) {
 		RequestId request = new RequestId(context.pathParam("request"));
 		Settings.Operator operator = context.get(OPERATOR);
-		this.node.reader()
-			.rows(from(context), to(context), "")
+		this.node.ledgerReader()
+			.rows(fromMillis(context), toMillis(context), "")
 			.map(LedgerReader.Row::entry)
 			.filter((entry) -> entry.request().equals(request))
-			.filter((entry) -> operator.mayRead(team(entry)))
+			.filter((entry) -> operator.mayRead(teamOf(entry)))
 			.toList()
 			.subscribe((entries) -> {
 				// One that may not be read looks like one that does not exist.
 				if (entries.isEmpty()) {
-					fail(context, NOT_FOUND, "there is no request " + request);
+					sendError(context, NOT_FOUND, "there is no request " + request);
 					return;
 				}
 				JsonArray found = new JsonArray();
 				entries.forEach((entry) -> found.add(new JsonObject(entry.text())));
 				context.json(new JsonObject().put("entries", found));
-			}, (failure) -> fail(context, UNAVAILABLE, failure.getMessage()));
+			}, (failure) -> sendError(context, UNAVAILABLE, failure.getMessage()));
 	}
 
 	private void ledger(RoutingContext context) {
 		Settings.Operator operator = context.get(OPERATOR);
 		String team = context.request().getParam("team", "");
-		lines(context, this.node.reader()
-			.rows(from(context), to(context), context.request().getParam("after", ""))
-			.filter((row) -> operator.mayRead(team(row.entry())))
-			.filter((row) -> team.isEmpty() || team(row.entry()).value().equals(team))
+		sendLines(context, this.node.ledgerReader()
+			.rows(fromMillis(context), toMillis(context), context.request().getParam("after", ""))
+			.filter((row) -> operator.mayRead(teamOf(row.entry())))
+			.filter((row) -> team.isEmpty() || teamOf(row.entry()).value().equals(team))
 			.map((row) -> new JsonObject(row.text()).put("writer", row.writer()).put("cursor", row.cursor()).encode()));
 	}
 
 	private void segments(RoutingContext context) {
-		if (mayReadAll(context)) {
-			lines(context, this.node.reader().segments(from(context), to(context)).map(Json::write));
+		if (checkCanReadAll(context)) {
+			sendLines(context,
+					this.node.ledgerReader().segments(fromMillis(context), toMillis(context)).map(Json::write));
 		}
 	}
 
 	private void heads(RoutingContext context) {
-		if (mayReadAll(context)) {
-			lines(context, this.node.reader().heads().map(Json::write));
+		if (checkCanReadAll(context)) {
+			sendLines(context, this.node.ledgerReader().heads().map(Json::write));
 		}
 	}
 
@@ -283,7 +285,7 @@
 	 * Answers with JSON lines. An answer that breaks off is reset, so that it does not
 	 * pass for a whole one.
 	 */
-	private static void lines(RoutingContext context, Flowable<String> lines) {
+	private static void sendLines(RoutingContext context, Flowable<String> lines) {
 		context.response().putHeader("Content-Type", "application/x-ndjson").setChunked(true);
 		lines.subscribe((line) -> context.response().write(line + "\n"), (failure) -> context.response().reset(),
 				() -> context.response().end());
@@ -291,10 +293,10 @@
 
 	private void bills(RoutingContext context) {
 		Settings.Operator operator = context.get(OPERATOR);
-		this.node.reader()
-			.rows(from(context), to(context), "")
+		this.node.ledgerReader()
+			.rows(fromMillis(context), toMillis(context), "")
 			.map(LedgerReader.Row::entry)
-			.filter((entry) -> operator.mayRead(team(entry)))
+			.filter((entry) -> operator.mayRead(teamOf(entry)))
 			.collect(ArrayList<LedgerEntry>::new, ArrayList::add)
 			.subscribe((entries) -> {
 				Bills bills = Bills.of(entries);
@@ -303,25 +305,25 @@
 				JsonArray requests = new JsonArray();
 				bills.byRequest().values().forEach((bill) -> requests.add(new JsonObject(Json.write(bill))));
 				context.json(new JsonObject().put("teams", teams).put("requests", requests));
-			}, (failure) -> fail(context, UNAVAILABLE, failure.getMessage()));
+			}, (failure) -> sendError(context, UNAVAILABLE, failure.getMessage()));
 	}
 
-	private Optional<TemplateRevision> held(RoutingContext context) {
+	private Optional<TemplateRevision> findReadableTemplate(RoutingContext context) {
 		Optional<TemplateRevision> held = Optional.empty();
 		try {
-			held = this.node.template(new TemplateName(context.pathParam("name")))
-				.filter((revision) -> mayReadAny(context, revision));
+			held = this.node.findTemplate(new TemplateName(context.pathParam("name")))
+				.filter((revision) -> canReadAny(context, revision));
 		}
 		catch (IllegalArgumentException ex) {
 			// no template has such a name
 		}
 		if (held.isEmpty()) {
-			fail(context, NOT_FOUND, "there is no template " + context.pathParam("name"));
+			sendError(context, NOT_FOUND, "there is no template " + context.pathParam("name"));
 		}
 		return held;
 	}
 
-	private static boolean mayReadAny(RoutingContext context, TemplateRevision revision) {
+	private static boolean canReadAny(RoutingContext context, TemplateRevision revision) {
 		Settings.Operator operator = context.get(OPERATOR);
 		return revision.template().teams().keySet().stream().anyMatch(operator::mayRead);
 	}
@@ -330,29 +332,29 @@
 	 * Returns a template's text as far as the operator may read it: rivals' parameters
 	 * are left out.
 	 */
-	private static String visible(RoutingContext context, TemplateRevision revision) {
+	private static String readableYaml(RoutingContext context, TemplateRevision revision) {
 		Settings.Operator operator = context.get(OPERATOR);
 		return operator.mayChange() ? revision.yaml() : revision.template().onlyTeams(operator::mayRead).toYaml();
 	}
 
-	private boolean mayChange(RoutingContext context) {
+	private boolean checkCanChange(RoutingContext context) {
 		Settings.Operator operator = context.get(OPERATOR);
 		if (!operator.mayChange()) {
-			fail(context, FORBIDDEN, "operator " + operator.name() + " may only read");
+			sendError(context, FORBIDDEN, "operator " + operator.name() + " may only read");
 		}
 		return operator.mayChange();
 	}
 
-	private static boolean mayReadAll(RoutingContext context) {
+	private static boolean checkCanReadAll(RoutingContext context) {
 		Settings.Operator operator = context.get(OPERATOR);
 		if (!operator.teams().isEmpty()) {
-			fail(context, FORBIDDEN, "operator " + operator.name()
+			sendError(context, FORBIDDEN, "operator " + operator.name()
 					+ " may read the records of its teams only, and whole segments hold those of others");
 		}
 		return operator.teams().isEmpty();
 	}
 
-	private static long expected(RoutingContext context) {
+	private static long expectedRevision(RoutingContext context) {
 		String text = context.request().getParam("expect", "");
 		if (!text.matches("\\d{1,18}")) {
 			throw new IllegalArgumentException(
@@ -361,7 +363,7 @@
 		return Long.parseLong(text);
 	}
 
-	private static VersionState state(String text) {
+	private static VersionState parseState(String text) {
 		for (VersionState state : VersionState.values()) {
 			if (state.toString().equals(text)) {
 				return state;
@@ -370,16 +372,16 @@
 		throw new IllegalArgumentException("state must be one of " + List.of(VersionState.values()));
 	}
 
-	private long from(RoutingContext context) {
+	private long fromMillis(RoutingContext context) {
 		return Long.parseLong(context.request()
 			.getParam("from", String.valueOf(this.node.clock().wallMillis() - TimeUnit.DAYS.toMillis(1))));
 	}
 
-	private long to(RoutingContext context) {
+	private long toMillis(RoutingContext context) {
 		return Long.parseLong(context.request().getParam("to", String.valueOf(this.node.clock().wallMillis())));
 	}
 
-	private static TeamId team(LedgerEntry entry) {
+	private static TeamId teamOf(LedgerEntry entry) {
 		return switch (entry) {
 			case LedgerEntry.RequestEntry whole -> whole.record().team();
 			case LedgerEntry.AttemptEntry part -> part.agentRecord().team();
@@ -394,7 +396,7 @@
 			.put("changeId", revision.changeId());
 	}
 
-	private static void fail(RoutingContext context, int status, String message) {
+	private static void sendError(RoutingContext context, int status, String message) {
 		context.response().setStatusCode(status);
 		context.json(new JsonObject().put("error", message));
 	}
--- a/daemon/src/main/java/org/gullsaddle/entry/CallerApi.java
+++ b/daemon/src/main/java/org/gullsaddle/entry/CallerApi.java
@@ -34,65 +34,66 @@
 
 	private final EntryNode node;
 
-	private final List<Filter> chat;
+	private final List<RequestFilter> chatFilters;
 
-	private final List<Filter> service;
+	private final List<RequestFilter> serviceFilters;
 
-	private final List<Filter> listing;
+	private final List<RequestFilter> modelFilters;
 
 	CallerApi(EntryNode node, Settings.Entry settings) {
 		this.node = node;
-		Filter running = new Filters.Running(node);
-		Filter team = new Filters.Team(settings.teams());
-		Filter ledger = new Filters.Ledger(node);
-		Filter allowance = new Filters.Allowance(node, node.allowances());
-		this.chat = List.of(running, team, new Filters.Chat(), new Filters.Rules(node, TemplateKind.CHAT),
-				new Filters.Session(node.sessions()), ledger, allowance);
-		this.service = List.of(running, team, new Filters.Service(), new Filters.Rules(node, TemplateKind.SERVICE),
-				ledger, allowance);
-		this.listing = List.of(team);
+		RequestFilter running = new RequestFilters.StopCheck(node);
+		RequestFilter team = new RequestFilters.Authentication(settings.teams());
+		RequestFilter ledger = new RequestFilters.LedgerCheck(node);
+		RequestFilter allowance = new RequestFilters.AllowanceCheck(node, node.allowances());
+		this.chatFilters = List.of(running, team, new RequestFilters.ChatBody(),
+				new RequestFilters.TemplateCheck(node, TemplateKind.CHAT),
+				new RequestFilters.SessionPin(node.sessions()), ledger, allowance);
+		this.serviceFilters = List.of(running, team, new RequestFilters.ServiceBody(),
+				new RequestFilters.TemplateCheck(node, TemplateKind.SERVICE), ledger, allowance);
+		this.modelFilters = List.of(team);
 	}
 
-	void routes(Router router) {
+	void addRoutes(Router router) {
 		router.route("/v1/*").handler(BodyHandler.create(false).setBodyLimit(MAX_BODY_BYTES));
-		router.route("/v1/*").failureHandler(this::failed);
-		router.get("/v1/models").handler(this::models);
-		router.post("/v1/chat/completions").handler((context) -> serve(context, this.chat));
-		router.route("/v1/services/:template/*").handler((context) -> serve(context, this.service));
+		router.route("/v1/*").failureHandler(this::onFailure);
+		router.get("/v1/models").handler(this::listModels);
+		router.post("/v1/chat/completions").handler((context) -> serve(context, this.chatFilters));
+		router.route("/v1/services/:template/*").handler((context) -> serve(context, this.serviceFilters));
 	}
 
-	private void serve(RoutingContext context, List<Filter> filters) {
-		Exchange exchange = this.node.exchange(context);
+	private void serve(RoutingContext context, List<RequestFilter> filters) {
+		Exchange exchange = this.node.newExchange(context);
 		try {
-			for (Filter filter : filters) {
+			for (RequestFilter filter : filters) {
 				filter.apply(exchange);
 			}
 		}
 		catch (RefusedException ex) {
-			this.node.refusedAtOnce(exchange, ex.refusal());
-			Refusals.write(exchange, ex.refusal(), ex.getMessage());
+			this.node.recordFilterRefusal(exchange, ex.refusal());
+			RefusalWriter.write(exchange, ex.refusal(), ex.getMessage());
 			return;
 		}
 		Context vertxContext = this.node.vertx().getOrCreateContext();
-		CallerAnswer answer = (exchange.chat() != null)
-				? new ChatAnswer(exchange, this.node.sessions(), vertxContext, this.node.clock().wallMillis())
-				: new ServiceAnswer(exchange, vertxContext);
-		IncomingRequest request = request(exchange);
-		RouterShard shard = this.node.shard(exchange.id());
+		CallerResponse answer = (exchange.chat() != null)
+				? new ChatResponse(exchange, this.node.sessions(), vertxContext, this.node.clock().wallMillis())
+				: new ServiceResponse(exchange, vertxContext);
+		IncomingRequest request = toIncomingRequest(exchange);
+		RouterShard shard = this.node.shardOf(exchange.id());
 		context.response().closeHandler((closed) -> shard.handle(new RouterEvent.CallerDisconnected(exchange.id())));
-		this.node.accepted(exchange);
-		shard.submit(request, new MeasuredAnswer(answer, exchange, this.node));
+		this.node.onAccepted(exchange);
+		shard.submit(request, new MeasuredResponse(answer, exchange, this.node));
 	}
 
-	private static IncomingRequest request(Exchange exchange) {
+	private static IncomingRequest toIncomingRequest(Exchange exchange) {
 		IncomingRequest.Builder builder = IncomingRequest.builder(exchange.id(), exchange.team(), exchange.template())
 			.session(exchange.session())
-			.pinnedVersion(exchange.pinned())
+			.pinnedVersion(exchange.pinnedVersion())
 			.deadline(exchange.deadline())
 			.prefixHash(exchange.prefixHash())
 			.fingerprint(fingerprint(exchange))
 			.body(exchange.body());
-		return (exchange.repeatable() || exchange.idempotencyKey().isEmpty()) ? builder.build()
+		return (exchange.isRepeatable() || exchange.idempotencyKey().isEmpty()) ? builder.build()
 				: builder.atMostOnce(exchange.idempotencyKey()).build();
 	}
 
@@ -101,15 +102,15 @@
 				Hashing.murmur3_128().hashCharsTo128Bits(exchange.team() + " " + exchange.content()).toString());
 	}
 
-	private void models(RoutingContext context) {
-		Exchange exchange = this.node.exchange(context);
+	private void listModels(RoutingContext context) {
+		Exchange exchange = this.node.newExchange(context);
 		try {
-			for (Filter filter : this.listing) {
+			for (RequestFilter filter : this.modelFilters) {
 				filter.apply(exchange);
 			}
 		}
 		catch (RefusedException ex) {
-			Refusals.write(exchange, ex.refusal(), ex.getMessage());
+			RefusalWriter.write(exchange, ex.refusal(), ex.getMessage());
 			return;
 		}
 		JsonArray data = new JsonArray();
@@ -121,10 +122,10 @@
 		context.json(new JsonObject().put("object", "list").put("data", data));
 	}
 
-	private void failed(RoutingContext context) {
-		Exchange exchange = this.node.exchange(context);
+	private void onFailure(RoutingContext context) {
+		Exchange exchange = this.node.newExchange(context);
 		if (context.statusCode() == TOO_LARGE) {
-			Refusals.write(exchange, Refusal.notRun(RefusalReason.TOO_LARGE, 0),
+			RefusalWriter.write(exchange, Refusal.notRun(RefusalReason.TOO_LARGE, 0),
 					"the body must have at most " + MAX_BODY_BYTES + " bytes");
 			return;
 		}
@@ -132,7 +133,7 @@
 			.addKeyValue("request", exchange.id())
 			.setCause(context.failure())
 			.log("request failed unexpectedly");
-		Refusals.write(exchange, new Refusal(RefusalReason.BACKEND_FAILED, Verdict.MAY_HAVE_RUN, 0), "");
+		RefusalWriter.write(exchange, new Refusal(RefusalReason.BACKEND_FAILED, Verdict.MAY_HAVE_RUN, 0), "");
 	}
 
 }
--- a/daemon/src/main/java/org/gullsaddle/entry/CallerAnswer.java
+++ b/daemon/src/main/java/org/gullsaddle/entry/CallerResponse.java
@@ -8,7 +8,7 @@
  * Where a caller's answer goes. Calls come one after another; exactly one of
  * {@link #complete} and {@link #refuse} comes, last.
  */
-interface CallerAnswer {
+interface CallerResponse {
 
 	/**
 	 * Gives the caller a part of its answer.
--- a/daemon/src/main/java/org/gullsaddle/entry/ChatAnswer.java
+++ b/daemon/src/main/java/org/gullsaddle/entry/ChatResponse.java
@@ -14,7 +14,7 @@
  * Answers a chat completion, streamed or whole, in the shape that model API clients
  * expect.
  */
-final class ChatAnswer implements CallerAnswer {
+final class ChatResponse implements CallerResponse {
 
 	private static final int OK = 200;
 
@@ -22,36 +22,36 @@
 
 	private final Exchange exchange;
 
-	private final Sessions sessions;
+	private final SessionRegistry sessions;
 
 	private final Context context;
 
 	private final HttpServerResponse response;
 
-	private final long created;
+	private final long createdSeconds;
 
-	private final StringBuilder whole = new StringBuilder();
+	private final StringBuilder collectedText = new StringBuilder();
 
 	private boolean started;
 
-	ChatAnswer(Exchange exchange, Sessions sessions, Context context, long wallMillis) {
+	ChatResponse(Exchange exchange, SessionRegistry sessions, Context context, long wallMillis) {
 		this.exchange = exchange;
 		this.sessions = sessions;
 		this.context = context;
 		this.response = exchange.context().response();
-		this.created = wallMillis / MILLIS_PER_SECOND;
+		this.createdSeconds = wallMillis / MILLIS_PER_SECOND;
 	}
 
 	@Override
 	public void deliver(ModelVersion version, String text, Runnable taken) {
 		this.context.runOnContext((ignored) -> {
-			if (!this.exchange.stream()) {
-				this.whole.append(text);
+			if (!this.exchange.isStreamed()) {
+				this.collectedText.append(text);
 				taken.run();
 				return;
 			}
-			start(version.toString());
-			write(chunk(version.toString(), new JsonObject().put("content", text), null));
+			startResponse(version.toString());
+			writeEvent(chunkJson(version.toString(), new JsonObject().put("content", text), null));
 			if (this.response.writeQueueFull()) {
 				this.response.drainHandler((drained) -> taken.run());
 			}
@@ -71,22 +71,22 @@
 				.put("served_by", servedBy)
 				.put("verdict", Verdict.RAN.toString())
 				.put("cost_microdollars", costMicros);
-			if (this.exchange.stream()) {
-				start(servedBy);
-				write(chunk(servedBy, new JsonObject(), completion.finishReason()).put("usage", usage)
+			if (this.exchange.isStreamed()) {
+				startResponse(servedBy);
+				writeEvent(chunkJson(servedBy, new JsonObject(), completion.finishReason()).put("usage", usage)
 					.put("gullsaddle", trace));
 				this.response.end("data: [DONE]\n\n");
 				return;
 			}
-			headers(servedBy);
+			putHeaders(servedBy);
 			JsonObject choice = new JsonObject().put("index", 0)
-				.put("message", new JsonObject().put("role", "assistant").put("content", this.whole.toString()))
+				.put("message", new JsonObject().put("role", "assistant").put("content", this.collectedText.toString()))
 				.put("finish_reason", completion.finishReason());
 			this.response.setStatusCode(OK)
 				.putHeader("Content-Type", "application/json")
 				.putHeader(Headers.VERDICT, Verdict.RAN.toString())
 				.putHeader(Headers.COST, String.valueOf(costMicros))
-				.end(base("chat.completion", servedBy).put("choices", new JsonArray().add(choice))
+				.end(completionJson("chat.completion", servedBy).put("choices", new JsonArray().add(choice))
 					.put("usage", usage)
 					.put("gullsaddle", trace)
 					.encode());
@@ -97,45 +97,45 @@
 	public void refuse(Refusal refusal) {
 		this.context.runOnContext((ignored) -> {
 			if (!this.started) {
-				Refusals.write(this.exchange, refusal, "");
+				RefusalWriter.write(this.exchange, refusal, "");
 				return;
 			}
 			// No closing mark: a client that waits for it sees that the answer is not
 			// whole.
-			write(Refusals.body(this.exchange, refusal, "the answer broke off"));
+			writeEvent(RefusalWriter.errorJson(this.exchange, refusal, "the answer broke off"));
 			this.response.end();
 		});
 	}
 
-	private void start(String servedBy) {
+	private void startResponse(String servedBy) {
 		if (!this.started) {
 			this.started = true;
-			headers(servedBy);
+			putHeaders(servedBy);
 			this.response.setStatusCode(OK).setChunked(true).putHeader("Content-Type", "text/event-stream");
 		}
 	}
 
-	private void headers(String servedBy) {
+	private void putHeaders(String servedBy) {
 		this.response.putHeader(Headers.REQUEST_ID, this.exchange.id().value()).putHeader(Headers.SERVED_BY, servedBy);
 		if (this.exchange.session() != null) {
-			this.response.putHeader(Headers.SESSION_TOKEN, this.sessions.token(this.exchange.team(),
+			this.response.putHeader(Headers.SESSION_TOKEN, this.sessions.createToken(this.exchange.team(),
 					this.exchange.template(), this.exchange.session(), ModelVersion.of(servedBy)));
 		}
 	}
 
-	private JsonObject chunk(String servedBy, JsonObject delta, String finishReason) {
+	private JsonObject chunkJson(String servedBy, JsonObject delta, String finishReason) {
 		JsonObject choice = new JsonObject().put("index", 0).put("delta", delta).put("finish_reason", finishReason);
-		return base("chat.completion.chunk", servedBy).put("choices", new JsonArray().add(choice));
+		return completionJson("chat.completion.chunk", servedBy).put("choices", new JsonArray().add(choice));
 	}
 
-	private JsonObject base(String kind, String servedBy) {
+	private JsonObject completionJson(String kind, String servedBy) {
 		return new JsonObject().put("id", this.exchange.id().value())
 			.put("object", kind)
-			.put("created", this.created)
+			.put("created", this.createdSeconds)
 			.put("model", servedBy);
 	}
 
-	private void write(JsonObject event) {
+	private void writeEvent(JsonObject event) {
 		if (!this.response.ended() && !this.response.closed()) {
 			this.response.write("data: " + event.encode() + "\n\n");
 		}
--- a/daemon/src/main/java/org/gullsaddle/entry/Claims.java
+++ b/daemon/src/main/java/org/gullsaddle/entry/ClaimRegistry.java
@@ -23,60 +23,60 @@
 /**
  * Claims on idempotency keys, agreed between all entries through the store. Thread-safe.
  */
-final class Claims {
+final class ClaimRegistry {
 
-	private static final Logger LOG = LoggerFactory.getLogger(Claims.class);
+	private static final Logger LOG = LoggerFactory.getLogger(ClaimRegistry.class);
 
-	private static final long CLAIM_MILLIS = 1500;
+	private static final long CLAIM_TIMEOUT_MILLIS = 1500;
 
 	/** A longer answer is not kept; the call sent again is told that it may have run. */
-	private static final int MAX_KEPT_ANSWER = 32_768;
+	private static final int MAX_STORED_TEXT_CHARACTERS = 32_768;
 
 	private final RegisterController register;
 
-	private final Map<RequestId, Mine> mine = new ConcurrentHashMap<>();
+	private final Map<RequestId, PendingClaim> pendingClaims = new ConcurrentHashMap<>();
 
-	Claims(RegisterController register) {
+	ClaimRegistry(RegisterController register) {
 		this.register = register;
 	}
 
 	Single<ClaimResult> claim(RequestId request, TeamId team, String key, Fingerprint content) {
 		String nonce = UUID.randomUUID().toString();
-		this.mine.put(request, new Mine(nonce, content));
+		this.pendingClaims.put(request, new PendingClaim(nonce, content));
 		String value = Json.write(new Claim(request, content, null));
-		return this.register.submit(new Operation.Put(key(team, key), nonce, value), CLAIM_MILLIS)
-			.map((entry) -> answer(entry, nonce, content))
+		return this.register.submit(new Operation.Put(registerKey(team, key), nonce, value), CLAIM_TIMEOUT_MILLIS)
+			.map((entry) -> toResult(entry, nonce, content))
 			.onErrorReturnItem(new ClaimResult.Unavailable())
 			.doOnSuccess((answer) -> {
 				if (!(answer instanceof ClaimResult.Granted)) {
-					this.mine.remove(request);
+					this.pendingClaims.remove(request);
 				}
 			});
 	}
 
-	void settle(RequestId request, TeamId team, String key, CallOutcome outcome) {
-		Mine claimed = this.mine.remove(request);
-		if (claimed == null || outcome.text().length() > MAX_KEPT_ANSWER) {
+	void complete(RequestId request, TeamId team, String key, CallOutcome outcome) {
+		PendingClaim claimed = this.pendingClaims.remove(request);
+		if (claimed == null || outcome.text().length() > MAX_STORED_TEXT_CHARACTERS) {
 			return;
 		}
 		String value = Json.write(new Claim(request, claimed.content(), outcome));
-		finish(request, new Operation.Update(key(team, key), claimed.nonce(), value));
+		submitWithoutTimeout(request, new Operation.Update(registerKey(team, key), claimed.nonce(), value));
 	}
 
 	void release(RequestId request, TeamId team, String key) {
-		Mine claimed = this.mine.remove(request);
+		PendingClaim claimed = this.pendingClaims.remove(request);
 		if (claimed != null) {
-			finish(request, new Operation.Remove(key(team, key), claimed.nonce()));
+			submitWithoutTimeout(request, new Operation.Remove(registerKey(team, key), claimed.nonce()));
 		}
 	}
 
-	private void finish(RequestId request, Operation operation) {
+	private void submitWithoutTimeout(RequestId request, Operation operation) {
 		this.register.submit(operation, Long.MAX_VALUE)
 			.subscribe((entry) -> LOG.atDebug().addKeyValue("request", request).log("claim settled"),
 					(failure) -> LOG.atWarn().addKeyValue("request", request).log("claim not settled"));
 	}
 
-	private static ClaimResult answer(Optional<Entry> entry, String nonce, Fingerprint content) throws IOException {
+	private static ClaimResult toResult(Optional<Entry> entry, String nonce, Fingerprint content) throws IOException {
 		if (entry.isEmpty()) {
 			return new ClaimResult.Unavailable();
 		}
@@ -90,14 +90,14 @@
 		return (claim.outcome() != null) ? new ClaimResult.Finished(claim.outcome()) : new ClaimResult.InUse();
 	}
 
-	private static String key(TeamId team, String key) {
+	private static String registerKey(TeamId team, String key) {
 		return team + "/" + key;
 	}
 
 	/**
 	 * A claim that this node put and has not settled.
 	 */
-	private record Mine(String nonce, Fingerprint content) {
+	private record PendingClaim(String nonce, Fingerprint content) {
 	}
 
 	/**
--- a/daemon/src/main/java/org/gullsaddle/entry/EntryNode.java
+++ b/daemon/src/main/java/org/gullsaddle/entry/EntryNode.java
@@ -64,14 +64,14 @@
 
 	private static final Logger LOG = LoggerFactory.getLogger(EntryNode.class);
 
-	private static final long TICK_MILLIS = 50;
+	private static final long SHARD_TICK_MILLIS = 50;
 
 	/**
 	 * How often registers are tried again that could not reach the store, in
 	 * milliseconds. Nothing else wakes an operation that failed: an order would wait for
 	 * its deadline, and a claim that is not settled would hold its key for a day.
 	 */
-	private static final long REGISTER_TICK_MILLIS = 200;
+	private static final long REGISTER_RETRY_MILLIS = 200;
 
 	private static final long FLUSH_MILLIS = 200;
 
@@ -84,7 +84,7 @@
 	private static final long SESSION_RETENTION_MILLIS = TimeUnit.HOURS.toMillis(24);
 
 	/** How long the balancer has to notice that this node is not ready. */
-	private static final long NOTICE_MILLIS = 500;
+	private static final long BALANCER_NOTICE_MILLIS = 500;
 
 	private final Vertx vertx;
 
@@ -98,7 +98,7 @@
 
 	private final LedgerController ledger;
 
-	private final LedgerReader reader;
+	private final LedgerReader ledgerReader;
 
 	private final AllowanceTable allowances = new AllowanceTable();
 
@@ -108,11 +108,11 @@
 
 	private final RegisterController sessionRegister;
 
-	private final Claims claims;
+	private final ClaimRegistry claims;
 
-	private final Sessions sessions;
+	private final SessionRegistry sessions;
 
-	private final Rater rater;
+	private final RatingClient rater;
 
 	private final MemberController members;
 
@@ -120,15 +120,15 @@
 
 	private final Map<RequestId, Permit> permits = new ConcurrentHashMap<>();
 
-	private final Map<RequestId, Set<NodeId>> holders = new ConcurrentHashMap<>();
+	private final Map<RequestId, Set<NodeId>> recordHolders = new ConcurrentHashMap<>();
 
-	private final HeldCopies copies;
+	private final HeldCopyTable heldCopies;
 
 	private final Map<NodeId, Map<TemplateName, Long>> inForce = new ConcurrentHashMap<>();
 
 	private final Map<String, Halt> halts = new ConcurrentHashMap<>();
 
-	private final CompositeDisposable loops = new CompositeDisposable();
+	private final CompositeDisposable subscriptions = new CompositeDisposable();
 
 	private volatile boolean leaving;
 
@@ -156,42 +156,44 @@
 		Settings.Entry entry = settings.entry().orElseThrow();
 		String prefix = settings.store().prefix();
 		String run = settings.run(clock.wallMillis());
-		this.ledger = new LedgerController(store, prefix, clock, run, this::recorded);
-		this.copies = new HeldCopies(this.ledger, clock);
-		this.reader = new LedgerReader(store, prefix);
+		this.ledger = new LedgerController(store, prefix, clock, run, this::onRecorded);
+		this.heldCopies = new HeldCopyTable(this.ledger, clock);
+		this.ledgerReader = new LedgerReader(store, prefix);
 		this.grants = new GrantController(store, prefix, clock,
 				new GrantCoordinator(new NodeId(run), entry.grantMillis(), this.allowances));
 		this.claimRegister = new RegisterController(store, prefix + "claims/", clock, CLAIM_SHARDS,
 				CLAIM_RETENTION_MILLIS);
 		this.sessionRegister = new RegisterController(store, prefix + "sessions/", clock, SESSION_SHARDS,
 				SESSION_RETENTION_MILLIS);
-		this.claims = new Claims(this.claimRegister);
-		this.sessions = new Sessions(this.sessionRegister, entry.sessionKey());
-		this.rater = new Rater(vertx, entry.ratingUrl());
-		this.members = new MemberController(vertx, settings, dialer, this, this::agentLeaving);
+		this.claims = new ClaimRegistry(this.claimRegister);
+		this.sessions = new SessionRegistry(this.sessionRegister, entry.sessionKey());
+		this.rater = new RatingClient(vertx, entry.ratingUrl());
+		this.members = new MemberController(vertx, settings, dialer, this, this::onAgentLeaving);
 		RouterSettings routing = RouterSettings.builder(settings.region(), settings.dataCenter()).build();
 		for (int i = 0; i < entry.shards(); i++) {
 			this.shards.add(new RouterShard(new Router(routing, new Random()), this, clock));
 		}
-		templates.listen(this::templateChanged);
+		templates.listen(this::onTemplateChanged);
 	}
 
 	/**
 	 * Starts following the store, the VM list and the time.
 	 */
 	public void start() {
-		this.loops.add(this.templates.run(Flowable.interval(1, TimeUnit.SECONDS)).subscribe());
-		this.loops.add(this.members.run().subscribe());
-		this.loops.add(this.grants.run(Flowable.interval(FLUSH_MILLIS, 1000, TimeUnit.MILLISECONDS)).subscribe());
-		this.loops.add(this.ledger.run(Flowable.interval(FLUSH_MILLIS, TimeUnit.MILLISECONDS)).subscribe());
-		this.loops.add(
-				Flowable.interval(TICK_MILLIS, TimeUnit.MILLISECONDS).onBackpressureDrop().subscribe((tick) -> tick()));
-		this.loops.add(Flowable.interval(REGISTER_TICK_MILLIS, TimeUnit.MILLISECONDS)
+		this.subscriptions.add(this.templates.run(Flowable.interval(1, TimeUnit.SECONDS)).subscribe());
+		this.subscriptions.add(this.members.run().subscribe());
+		this.subscriptions
+			.add(this.grants.run(Flowable.interval(FLUSH_MILLIS, 1000, TimeUnit.MILLISECONDS)).subscribe());
+		this.subscriptions.add(this.ledger.run(Flowable.interval(FLUSH_MILLIS, TimeUnit.MILLISECONDS)).subscribe());
+		this.subscriptions.add(Flowable.interval(SHARD_TICK_MILLIS, TimeUnit.MILLISECONDS)
+			.onBackpressureDrop()
+			.subscribe((tick) -> tickShards()));
+		this.subscriptions.add(Flowable.interval(REGISTER_RETRY_MILLIS, TimeUnit.MILLISECONDS)
 			.onBackpressureDrop()
 			.subscribe((tick) -> tickRegisters()));
-		this.loops
-			.add(Flowable.interval(1, TimeUnit.SECONDS).onBackpressureDrop().subscribe((tick) -> checkFreshness()));
-		this.telemetry.gauge("requests.open", this::openRequests);
+		this.subscriptions
+			.add(Flowable.interval(1, TimeUnit.SECONDS).onBackpressureDrop().subscribe((tick) -> updateFreshness()));
+		this.telemetry.gauge("requests.open", this::openRequestCount);
 		this.telemetry.gauge("ledger.waiting", this.ledger::waiting);
 		this.telemetry.gauge("links", () -> this.members.links().size());
 	}
@@ -202,13 +204,13 @@
 	 * @return done when all that is
 	 */
 	public Completable drain() {
-		return Completable.fromAction(this::leave)
-			.delay(NOTICE_MILLIS, TimeUnit.MILLISECONDS)
-			.andThen(Completable.fromAction(this::refuseNew))
-			.andThen(Flowable.interval(TICK_MILLIS, TimeUnit.MILLISECONDS)
-				.takeUntil((tick) -> openRequests() == 0)
+		return Completable.fromAction(this::markNotReady)
+			.delay(BALANCER_NOTICE_MILLIS, TimeUnit.MILLISECONDS)
+			.andThen(Completable.fromAction(this::stopAccepting))
+			.andThen(Flowable.interval(SHARD_TICK_MILLIS, TimeUnit.MILLISECONDS)
+				.takeUntil((tick) -> openRequestCount() == 0)
 				.ignoreElements())
-			.andThen(Completable.fromAction(this.copies::writeAll))
+			.andThen(Completable.fromAction(this.heldCopies::writeAll))
 			.andThen(Completable.defer(this.ledger::flushUntilWritten))
 			.andThen(Completable.defer(() -> this.grants.giveUpAll().onErrorComplete()));
 	}
@@ -217,15 +219,15 @@
 	 * Returns who hears of links that other entries dial to this node.
 	 * @return the listener
 	 */
-	public PeerListener peers() {
-		return new AcceptedPeers(this);
+	public PeerListener inboundPeerListener() {
+		return new InboundPeerListener(this);
 	}
 
 	/**
 	 * Stops at once.
 	 */
 	public void stop() {
-		this.loops.dispose();
+		this.subscriptions.dispose();
 	}
 
 	/**
@@ -233,7 +235,7 @@
 	 * @return true if templates are known, an agent is linked and the node is not
 	 * stopping
 	 */
-	public boolean ready() {
+	public boolean isReady() {
 		return !this.leaving && !this.templates.all().isEmpty()
 				&& this.members.links().values().stream().anyMatch((link) -> link.peerRole() == Role.AGENT);
 	}
@@ -242,7 +244,7 @@
 	public void up(PeerLink link) {
 		link.send(new Frame.Templates(List.copyOf(this.templates.all().values())));
 		if (link.peerRole() == Role.ENTRY) {
-			tellSuspects(link);
+			sendSuspects(link);
 		}
 	}
 
@@ -250,7 +252,7 @@
 	public void down(PeerLink link) {
 		this.inForce.remove(link.peer());
 		if (link.peerRole() == Role.AGENT) {
-			everywhere(new RouterEvent.AgentDown(link.peer()));
+			handleInAllShards(new RouterEvent.AgentDown(link.peer()));
 		}
 	}
 
@@ -258,28 +260,28 @@
 	public void frame(PeerLink link, Frame frame) {
 		switch (frame) {
 			case Frame.Status status -> {
-				everywhere(new RouterEvent.AgentUp(status.agent()));
+				handleInAllShards(new RouterEvent.AgentUp(status.agent()));
 				if (status.leaving()) {
-					agentLeaving(link.peer());
+					onAgentLeaving(link.peer());
 				}
 			}
-			case Frame.Load load -> everywhere(new RouterEvent.AgentLoadReported(link.peer(), load.load()));
-			case Frame.Leaving gone -> agentLeaving(link.peer());
+			case Frame.Load load -> handleInAllShards(new RouterEvent.AgentLoadReported(link.peer(), load.load()));
+			case Frame.Leaving gone -> onAgentLeaving(link.peer());
 			case Frame.Accepted accepted ->
-				attempt(accepted.attempt(), new RouterEvent.AttemptAccepted(accepted.attempt()));
+				handleInShard(accepted.attempt(), new RouterEvent.AttemptAccepted(accepted.attempt()));
 			case Frame.Refused refused ->
-				attempt(refused.attempt(), new RouterEvent.AttemptRefused(refused.attempt(), refused.refusal()));
-			case Frame.Chunk chunk ->
-				attempt(chunk.attempt(), new RouterEvent.AttemptChunk(chunk.attempt(), chunk.offset(), chunk.text()));
-			case Frame.Done done ->
-				attempt(done.attempt(), new RouterEvent.AttemptDone(done.attempt(), done.completion(), done.length()));
-			case Frame.Failed failed -> attempt(failed.attempt(), new RouterEvent.AttemptFailed(failed.attempt(),
+				handleInShard(refused.attempt(), new RouterEvent.AttemptRefused(refused.attempt(), refused.refusal()));
+			case Frame.Chunk chunk -> handleInShard(chunk.attempt(),
+					new RouterEvent.AttemptChunk(chunk.attempt(), chunk.offset(), chunk.text()));
+			case Frame.Done done -> handleInShard(done.attempt(),
+					new RouterEvent.AttemptDone(done.attempt(), done.completion(), done.length()));
+			case Frame.Failed failed -> handleInShard(failed.attempt(), new RouterEvent.AttemptFailed(failed.attempt(),
 					failed.verdict(), failed.crashed(), failed.usage()));
 			case Frame.Copy copy -> {
-				this.copies.hold(copy.line());
+				this.heldCopies.hold(copy.line());
 				link.send(new Frame.CopyHeld(copy.line().line().attempt()));
 			}
-			case Frame.Recorded others -> this.copies.recorded(others.requests());
+			case Frame.Recorded others -> this.heldCopies.onRecorded(others.requests());
 			case Frame.Templates pushed -> {
 				pushed.revisions().forEach(this.templates::apply);
 				link.send(new Frame.InForce(this.templates.revisions()));
@@ -287,25 +289,25 @@
 			case Frame.InForce revisions -> this.inForce.put(link.peer(), Map.copyOf(revisions.revisions()));
 			case Frame.Halted halted -> {
 				this.halts.put(halted.halt().template() + " " + halted.halt().version(), halted.halt());
-				everywhere(new RouterEvent.HaltAnnounced(halted.halt()));
+				handleInAllShards(new RouterEvent.HaltAnnounced(halted.halt()));
 			}
-			case Frame.Suspect suspect -> everywhere(new RouterEvent.SuspectAnnounced(suspect.suspicion()));
+			case Frame.Suspect suspect -> handleInAllShards(new RouterEvent.SuspectAnnounced(suspect.suspicion()));
 			default -> LOG.atDebug().addKeyValue("frame", frame.getClass().getSimpleName()).log("frame ignored");
 		}
 	}
 
 	@Override
-	public Claims claims() {
+	public ClaimRegistry claims() {
 		return this.claims;
 	}
 
 	@Override
-	public Sessions sessions() {
+	public SessionRegistry sessions() {
 		return this.sessions;
 	}
 
 	@Override
-	public Rater rater() {
+	public RatingClient ratingClient() {
 		return this.rater;
 	}
 
@@ -328,12 +330,12 @@
 	}
 
 	@Override
-	public void suspect(SuspectContent suspicion) {
-		tellOthers(new RouterEvent.SuspectAnnounced(suspicion), new Frame.Suspect(suspicion));
+	public void announceSuspect(SuspectContent suspicion) {
+		announce(new RouterEvent.SuspectAnnounced(suspicion), new Frame.Suspect(suspicion));
 	}
 
 	@Override
-	public void halted(Halt halt) {
+	public void announceHalt(Halt halt) {
 		LOG.atWarn()
 			.addKeyValue("template", halt.template())
 			.addKeyValue("version", halt.version())
@@ -341,20 +343,20 @@
 			.log("version halted until its template is changed");
 		this.halts.put(halt.template() + " " + halt.version(), halt);
 		this.telemetry.count("halts");
-		tellOthers(new RouterEvent.HaltAnnounced(halt), new Frame.Halted(halt));
+		announce(new RouterEvent.HaltAnnounced(halt), new Frame.Halted(halt));
 	}
 
 	@Override
-	public void keepRecord(RequestRecord record) {
+	public void writeRecordBeforeAnswer(RequestRecord record) {
 		this.ledger.append(new LedgerEntry.RequestEntry(record));
 	}
 
 	@Override
-	public void record(RequestRecord record) {
+	public void writeRecord(RequestRecord record) {
 		Set<NodeId> agents = new HashSet<>();
 		record.attempts().stream().map(AttemptRecord::agent).forEach(agents::add);
 		if (!agents.isEmpty()) {
-			this.holders.put(record.request(), agents);
+			this.recordHolders.put(record.request(), agents);
 		}
 		this.ledger.append(new LedgerEntry.RequestEntry(record));
 		Permit permit = this.permits.remove(record.request());
@@ -372,11 +374,11 @@
 			.log("request ended");
 	}
 
-	Exchange exchange(RoutingContext context) {
+	Exchange newExchange(RoutingContext context) {
 		return new Exchange(context, new RequestId(UUID.randomUUID().toString()), this.clock.now());
 	}
 
-	void accepted(Exchange exchange) {
+	void onAccepted(Exchange exchange) {
 		if (exchange.permit() != null) {
 			this.permits.put(exchange.id(), exchange.permit());
 		}
@@ -385,7 +387,7 @@
 	/**
 	 * Records a request that a filter refused, once it is known whose it is.
 	 */
-	void refusedAtOnce(Exchange exchange, Refusal refusal) {
+	void recordFilterRefusal(Exchange exchange, Refusal refusal) {
 		if (exchange.permit() != null) {
 			this.allowances.release(exchange.permit(), 0);
 		}
@@ -402,23 +404,23 @@
 		}
 	}
 
-	RouterShard shard(RequestId request) {
+	RouterShard shardOf(RequestId request) {
 		return this.shards.get(Math.floorMod(request.hashCode(), this.shards.size()));
 	}
 
-	Optional<TemplateRevision> template(TemplateName name) {
+	Optional<TemplateRevision> findTemplate(TemplateName name) {
 		return this.templates.get(name);
 	}
 
-	boolean ledgerHasRoom() {
+	boolean hasLedgerCapacity() {
 		return this.ledger.hasRoom();
 	}
 
-	boolean stopping() {
+	boolean isStopping() {
 		return this.stopping;
 	}
 
-	boolean cutOff() {
+	boolean isCutOff() {
 		return this.cutOff;
 	}
 
@@ -446,23 +448,23 @@
 		return this.members;
 	}
 
-	LedgerReader reader() {
-		return this.reader;
+	LedgerReader ledgerReader() {
+		return this.ledgerReader;
 	}
 
 	Settings settings() {
 		return this.settings;
 	}
 
-	int openRequests() {
-		return this.shards.stream().mapToInt(RouterShard::openRequests).sum();
+	int openRequestCount() {
+		return this.shards.stream().mapToInt(RouterShard::openRequestCount).sum();
 	}
 
 	/**
 	 * Returns the nodes on which a revision, or a later one, is in force, and all that
 	 * should have it.
 	 */
-	InForceCount inForce(TemplateName name, long revision) {
+	InForceCount countInForce(TemplateName name, long revision) {
 		Set<NodeId> expected = new HashSet<>(this.members.listed());
 		expected.addAll(this.members.links().keySet());
 		Set<NodeId> missing = new HashSet<>();
@@ -480,7 +482,7 @@
 	 * Tells this node's shards, in their own time as one of them is telling, and all
 	 * other entries.
 	 */
-	private void tellOthers(RouterEvent event, Frame frame) {
+	private void announce(RouterEvent event, Frame frame) {
 		this.shards.forEach((shard) -> Schedulers.computation().scheduleDirect(() -> shard.handle(event)));
 		this.members.links()
 			.values()
@@ -492,7 +494,7 @@
 	/**
 	 * Returns the versions that this node gives no new work.
 	 */
-	List<Halt> halts() {
+	List<Halt> activeHalts() {
 		return this.halts.values()
 			.stream()
 			.filter((halt) -> this.templates.get(halt.template())
@@ -501,30 +503,30 @@
 			.toList();
 	}
 
-	private void templateChanged(TemplateRevision revision) {
+	private void onTemplateChanged(TemplateRevision revision) {
 		this.allowances.applyTemplate(revision.template(), this.clock.millis());
 		// The agents hear of it first: a dispatch under a revision that its agent does
 		// not know
 		// would be refused.
 		Frame frame = new Frame.Templates(List.of(revision));
 		this.members.links().values().forEach((link) -> link.send(frame));
-		everywhere(new RouterEvent.TemplateChanged(revision));
+		handleInAllShards(new RouterEvent.TemplateChanged(revision));
 	}
 
-	private void agentLeaving(NodeId agent) {
-		everywhere(new RouterEvent.AgentLeaving(agent));
+	private void onAgentLeaving(NodeId agent) {
+		handleInAllShards(new RouterEvent.AgentLeaving(agent));
 	}
 
-	private void attempt(AttemptId attempt, RouterEvent event) {
-		shard(attempt.request()).handle(event);
+	private void handleInShard(AttemptId attempt, RouterEvent event) {
+		shardOf(attempt.request()).handle(event);
 	}
 
-	private void everywhere(RouterEvent event) {
+	private void handleInAllShards(RouterEvent event) {
 		this.shards.forEach((shard) -> shard.handle(event));
 	}
 
-	private void tick() {
-		everywhere(new RouterEvent.Tick());
+	private void tickShards() {
+		handleInAllShards(new RouterEvent.Tick());
 	}
 
 	private void tickRegisters() {
@@ -532,7 +534,7 @@
 		this.sessionRegister.tick();
 	}
 
-	private void checkFreshness() {
+	private void updateFreshness() {
 		Map<NodeId, PeerLink> links = this.members.links();
 		List<ConfigFreshness.Peer> peers = new ArrayList<>();
 		for (NodeId node : this.members.entries()) {
@@ -545,15 +547,15 @@
 		if (now != this.cutOff) {
 			this.cutOff = now;
 			LOG.atWarn().addKeyValue("cutOff", now).log("configuration freshness changed");
-			everywhere(new RouterEvent.FreshnessChanged(now));
+			handleInAllShards(new RouterEvent.FreshnessChanged(now));
 		}
 	}
 
-	private void recorded(List<RequestId> requests) {
+	private void onRecorded(List<RequestId> requests) {
 		Map<NodeId, List<RequestId>> byAgent = new HashMap<>();
 		for (RequestId request : requests) {
-			shard(request).handle(new RouterEvent.RecordStored(request));
-			Set<NodeId> agents = this.holders.remove(request);
+			shardOf(request).handle(new RouterEvent.RecordStored(request));
+			Set<NodeId> agents = this.recordHolders.remove(request);
 			if (agents != null) {
 				agents.forEach((agent) -> byAgent.computeIfAbsent(agent, (id) -> new ArrayList<>()).add(request));
 			}
@@ -564,23 +566,23 @@
 	/**
 	 * Tells an entry that may have just started what it must not run.
 	 */
-	void tellSuspects(PeerLink link) {
+	void sendSuspects(PeerLink link) {
 		this.shards.get(0).suspects().forEach((suspicion) -> link.send(new Frame.Suspect(suspicion)));
 	}
 
-	private void leave() {
+	private void markNotReady() {
 		this.leaving = true;
 		LOG.info("leaving: not ready any more");
 	}
 
-	private void refuseNew() {
+	private void stopAccepting() {
 		this.stopping = true;
 	}
 
 	/**
 	 * On how many nodes a revision is in force.
 	 */
-	record InForceCount(int nodes, int of, Set<NodeId> missing) {
+	record InForceCount(int currentNodes, int expectedNodes, Set<NodeId> missing) {
 	}
 
 }
--- a/daemon/src/main/java/org/gullsaddle/entry/EntryServer.java
+++ b/daemon/src/main/java/org/gullsaddle/entry/EntryServer.java
@@ -14,9 +14,9 @@
 
 	private final EntryNode node;
 
-	private final HttpServer callers;
+	private final HttpServer callerServer;
 
-	private final HttpServer admin;
+	private final HttpServer adminServer;
 
 	/**
 	 * Makes servers that do not listen yet.
@@ -26,12 +26,12 @@
 		this.node = node;
 		Settings.Entry settings = node.settings().entry().orElseThrow();
 		Router callerRouter = Router.router(node.vertx());
-		StatusRoutes.add(callerRouter, node.telemetry(), node::ready);
-		new CallerApi(node, settings).routes(callerRouter);
+		StatusRoutes.add(callerRouter, node.telemetry(), node::isReady);
+		new CallerApi(node, settings).addRoutes(callerRouter);
 		Router adminRouter = Router.router(node.vertx());
-		new AdminApi(node, settings).routes(adminRouter);
-		this.callers = node.vertx().createHttpServer().requestHandler(callerRouter);
-		this.admin = node.vertx().createHttpServer().requestHandler(adminRouter);
+		new AdminApi(node, settings).addRoutes(adminRouter);
+		this.callerServer = node.vertx().createHttpServer().requestHandler(callerRouter);
+		this.adminServer = node.vertx().createHttpServer().requestHandler(adminRouter);
 	}
 
 	/**
@@ -40,8 +40,8 @@
 	 */
 	public Future<Void> listen() {
 		Settings.Entry settings = this.node.settings().entry().orElseThrow();
-		return this.callers.listen(settings.listen().port(), settings.listen().host())
-			.compose((listening) -> this.admin.listen(settings.admin().port(), settings.admin().host()))
+		return this.callerServer.listen(settings.listen().port(), settings.listen().host())
+			.compose((listening) -> this.adminServer.listen(settings.admin().port(), settings.admin().host()))
 			.mapEmpty();
 	}
 
--- a/daemon/src/main/java/org/gullsaddle/entry/EntryServices.java
+++ b/daemon/src/main/java/org/gullsaddle/entry/EntryServices.java
@@ -12,11 +12,11 @@
  */
 interface EntryServices {
 
-	Claims claims();
+	ClaimRegistry claims();
 
-	Sessions sessions();
+	SessionRegistry sessions();
 
-	Rater rater();
+	RatingClient ratingClient();
 
 	/**
 	 * Sends an attempt; false if there is no link, and nothing was written.
@@ -31,22 +31,22 @@
 	/**
 	 * Tells this node's other shards and all other nodes of a suspicion.
 	 */
-	void suspect(SuspectContent suspicion);
+	void announceSuspect(SuspectContent suspicion);
 
 	/**
 	 * Tells this node's other shards, all other entries and the operators of a halt.
 	 */
-	void halted(Halt halt);
+	void announceHalt(Halt halt);
 
 	/**
 	 * Writes a request's record to the ledger ahead of its answer. The request's shard
 	 * hears once the store has it.
 	 */
-	void keepRecord(RequestRecord record);
+	void writeRecordBeforeAnswer(RequestRecord record);
 
 	/**
 	 * Writes a request's record to the ledger and gives its permit back.
 	 */
-	void record(RequestRecord record);
+	void writeRecord(RequestRecord record);
 
 }
--- a/daemon/src/main/java/org/gullsaddle/entry/Exchange.java
+++ b/daemon/src/main/java/org/gullsaddle/entry/Exchange.java
@@ -48,7 +48,7 @@
 
 	private SessionId session;
 
-	private ModelVersion pinned;
+	private ModelVersion pinnedVersion;
 
 	private Permit permit;
 
@@ -101,7 +101,7 @@
 		this.maxTokens = max;
 	}
 
-	boolean stream() {
+	boolean isStreamed() {
 		return this.stream;
 	}
 
@@ -135,7 +135,7 @@
 		return this.prefixHash;
 	}
 
-	boolean repeatable() {
+	boolean isRepeatable() {
 		return this.repeatable;
 	}
 
@@ -143,7 +143,7 @@
 		return this.idempotencyKey;
 	}
 
-	void onceOnly(String key) {
+	void requireAtMostOnce(String key) {
 		this.repeatable = false;
 		this.idempotencyKey = key;
 	}
@@ -164,12 +164,12 @@
 		this.session = value;
 	}
 
-	ModelVersion pinned() {
-		return this.pinned;
+	ModelVersion pinnedVersion() {
+		return this.pinnedVersion;
 	}
 
-	void pinned(ModelVersion value) {
-		this.pinned = value;
+	void pinnedVersion(ModelVersion value) {
+		this.pinnedVersion = value;
 	}
 
 	Permit permit() {
--- a/daemon/src/main/java/org/gullsaddle/entry/HeldCopies.java
+++ b/daemon/src/main/java/org/gullsaddle/entry/HeldCopyTable.java
@@ -15,35 +15,35 @@
  * Copies of lines of attempts that other entries sent, in case they and the agents are
  * lost; see {@link HeldLines}. Thread-safe.
  */
-final class HeldCopies {
+final class HeldCopyTable {
 
 	private static final long HOLD_MILLIS = 60_000;
 
-	private final HeldLines lines = new HeldLines(HOLD_MILLIS);
+	private final HeldLines heldLines = new HeldLines(HOLD_MILLIS);
 
 	private final LedgerController ledger;
 
 	private final NodeClock clock;
 
-	HeldCopies(LedgerController ledger, NodeClock clock) {
+	HeldCopyTable(LedgerController ledger, NodeClock clock) {
 		this.ledger = ledger;
 		this.clock = clock;
 	}
 
 	synchronized void hold(AgentRecord line) {
-		this.lines.hold(line, this.clock.millis());
+		this.heldLines.hold(line, this.clock.millis());
 	}
 
-	synchronized void recorded(List<RequestId> requests) {
-		this.lines.onRecorded(requests);
+	synchronized void onRecorded(List<RequestId> requests) {
+		this.heldLines.onRecorded(requests);
 	}
 
 	synchronized void writeDue(Set<NodeId> connected) {
-		write(this.lines.takeDue(this.clock.millis(), connected));
+		write(this.heldLines.takeDue(this.clock.millis(), connected));
 	}
 
 	synchronized void writeAll() {
-		write(this.lines.takeAll());
+		write(this.heldLines.takeAll());
 	}
 
 	private void write(List<AgentRecord> due) {
--- a/daemon/src/main/java/org/gullsaddle/entry/AcceptedPeers.java
+++ b/daemon/src/main/java/org/gullsaddle/entry/InboundPeerListener.java
@@ -9,18 +9,18 @@
  * Links that other entries dialed: they bring templates and what others know, and take no
  * work.
  */
-final class AcceptedPeers implements PeerListener {
+final class InboundPeerListener implements PeerListener {
 
 	private final EntryNode node;
 
-	AcceptedPeers(EntryNode node) {
+	InboundPeerListener(EntryNode node) {
 		this.node = node;
 	}
 
 	@Override
 	public void up(PeerLink link) {
 		if (link.peerRole() == Role.ENTRY) {
-			this.node.tellSuspects(link);
+			this.node.sendSuspects(link);
 		}
 		else {
 			link.close();
--- a/daemon/src/main/java/org/gullsaddle/entry/MeasuredAnswer.java
+++ b/daemon/src/main/java/org/gullsaddle/entry/MeasuredResponse.java
@@ -8,9 +8,9 @@
 /**
  * Measures an answer on its way to the caller.
  */
-final class MeasuredAnswer implements CallerAnswer {
+final class MeasuredResponse implements CallerResponse {
 
-	private final CallerAnswer answer;
+	private final CallerResponse response;
 
 	private final Exchange exchange;
 
@@ -18,10 +18,10 @@
 
 	private final Telemetry telemetry;
 
-	private long lastPart;
+	private long lastPartMillis;
 
-	MeasuredAnswer(CallerAnswer answer, Exchange exchange, EntryNode node) {
-		this.answer = answer;
+	MeasuredResponse(CallerResponse answer, Exchange exchange, EntryNode node) {
+		this.response = answer;
 		this.exchange = exchange;
 		this.node = node;
 		this.telemetry = node.telemetry();
@@ -30,31 +30,31 @@
 	@Override
 	public void deliver(ModelVersion version, String text, Runnable taken) {
 		long now = this.node.clock().millis();
-		if (this.lastPart == 0) {
+		if (this.lastPartMillis == 0) {
 			this.telemetry.first(this.exchange.template(), this.exchange.team(),
 					now - this.exchange.arrival().millis());
 		}
 		else {
-			this.telemetry.between(this.exchange.template(), this.exchange.team(), now - this.lastPart);
+			this.telemetry.between(this.exchange.template(), this.exchange.team(), now - this.lastPartMillis);
 		}
-		this.lastPart = now;
-		this.answer.deliver(version, text, taken);
+		this.lastPartMillis = now;
+		this.response.deliver(version, text, taken);
 	}
 
 	@Override
 	public void complete(String servedBy, Completion completion, long costMicros) {
-		ended("served");
+		recordEnd("served");
 		this.telemetry.served(this.exchange.template(), servedBy);
-		this.answer.complete(servedBy, completion, costMicros);
+		this.response.complete(servedBy, completion, costMicros);
 	}
 
 	@Override
 	public void refuse(Refusal refusal) {
-		ended(refusal.reason().toString());
-		this.answer.refuse(refusal);
+		recordEnd(refusal.reason().toString());
+		this.response.refuse(refusal);
 	}
 
-	private void ended(String outcome) {
+	private void recordEnd(String outcome) {
 		this.telemetry.whole(this.exchange.template(), this.exchange.team(),
 				this.node.clock().millis() - this.exchange.arrival().millis());
 		this.telemetry.outcome(this.exchange.template(), this.exchange.team(), outcome);
--- a/daemon/src/main/java/org/gullsaddle/entry/Rater.java
+++ b/daemon/src/main/java/org/gullsaddle/entry/RatingClient.java
@@ -15,7 +15,7 @@
 /**
  * Asks the platform's rating service. Thread-safe.
  */
-final class Rater {
+final class RatingClient {
 
 	private static final long TIMEOUT_MILLIS = 2000;
 
@@ -23,7 +23,7 @@
 
 	private final Optional<URI> url;
 
-	Rater(Vertx vertx, Optional<URI> url) {
+	RatingClient(Vertx vertx, Optional<URI> url) {
 		this.url = url;
 		this.client = WebClient.create(vertx);
 	}
@@ -41,11 +41,11 @@
 		return this.client.postAbs(this.url.get().toString())
 			.rxSendJsonObject(body)
 			.timeout(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)
-			.map((response) -> score(response.bodyAsJsonObject()))
+			.map((response) -> parseScore(response.bodyAsJsonObject()))
 			.onErrorReturnItem(OptionalDouble.empty());
 	}
 
-	private static OptionalDouble score(JsonObject answer) {
+	private static OptionalDouble parseScore(JsonObject answer) {
 		Double score = answer.getDouble("score");
 		return (score != null && score >= 0 && score <= 1) ? OptionalDouble.of(score) : OptionalDouble.empty();
 	}
--- a/daemon/src/main/java/org/gullsaddle/entry/Refusals.java
+++ b/daemon/src/main/java/org/gullsaddle/entry/RefusalWriter.java
@@ -9,11 +9,11 @@
  * Writes refusals: the reason, the verdict and when to come back, and nothing of other
  * teams.
  */
-final class Refusals {
+final class RefusalWriter {
 
 	private static final long MILLIS_PER_SECOND = 1000;
 
-	private Refusals() {
+	private RefusalWriter() {
 	}
 
 	static void write(Exchange exchange, Refusal refusal, String message) {
@@ -29,10 +29,10 @@
 			response.putHeader(Headers.RETRY_AFTER,
 					String.valueOf(Math.ceilDiv(refusal.retryAfterMillis(), MILLIS_PER_SECOND)));
 		}
-		response.end(body(exchange, refusal, message).encode());
+		response.end(errorJson(exchange, refusal, message).encode());
 	}
 
-	static JsonObject body(Exchange exchange, Refusal refusal, String message) {
+	static JsonObject errorJson(Exchange exchange, Refusal refusal, String message) {
 		JsonObject error = new JsonObject().put("type", refusal.reason().toString())
 			.put("message", message.isEmpty() ? refusal.reason().toString().replace('-', ' ') : message)
 			.put("verdict", refusal.verdict().toString())
--- a/daemon/src/main/java/org/gullsaddle/entry/Filter.java
+++ b/daemon/src/main/java/org/gullsaddle/entry/RequestFilter.java
@@ -3,7 +3,7 @@
 /**
  * A step that every request passes before it is routed.
  */
-interface Filter {
+interface RequestFilter {
 
 	/**
 	 * Lets a request pass, having added what it found out.
--- a/daemon/src/main/java/org/gullsaddle/entry/Filters.java
+++ b/daemon/src/main/java/org/gullsaddle/entry/RequestFilters.java
@@ -30,44 +30,44 @@
 /**
  * The filters, in the order that {@link CallerApi} chains them.
  */
-final class Filters {
+final class RequestFilters {
 
 	private static final String BEARER = "Bearer ";
 
-	private static final long STOPPING_COME_BACK_MILLIS = 500;
+	private static final long STOPPING_RETRY_AFTER_MILLIS = 500;
 
-	private static final long LEDGER_COME_BACK_MILLIS = 5000;
+	private static final long LEDGER_RETRY_AFTER_MILLIS = 5000;
 
 	private static final int MAX_MESSAGES = 1000;
 
-	private static final int DEFAULT_MAX_TOKENS = 1024;
+	private static final int DEFAULT_OUTPUT_TOKENS = 1024;
 
-	private static final int LIMIT_MAX_TOKENS = 32_768;
+	private static final int MAX_OUTPUT_TOKENS = 32_768;
 
 	private static final int CHARACTERS_PER_TOKEN = 3;
 
 	private static final long MAX_DEADLINE_MILLIS = 3_600_000;
 
-	private static final Set<String> ROLES = Set.of("system", "developer", "user", "assistant", "tool");
+	private static final Set<String> MESSAGE_ROLES = Set.of("system", "developer", "user", "assistant", "tool");
 
 	/** What a caller may set and the engine is handed as it is. */
-	private static final List<String> PASSED_ON = List.of("temperature", "top_p", "stop", "seed", "frequency_penalty",
-			"presence_penalty");
+	private static final List<String> FORWARDED_PARAMETERS = List.of("temperature", "top_p", "stop", "seed",
+			"frequency_penalty", "presence_penalty");
 
-	private static final Set<String> READS = Set.of("GET", "HEAD");
+	private static final Set<String> READ_METHODS = Set.of("GET", "HEAD");
 
-	private Filters() {
+	private RequestFilters() {
 	}
 
 	/**
 	 * Refuses everything while the node stops.
 	 */
-	record Running(EntryNode node) implements Filter {
+	record StopCheck(EntryNode node) implements RequestFilter {
 
 		@Override
 		public void apply(Exchange exchange) throws RefusedException {
-			if (this.node.stopping()) {
-				throw new RefusedException(Refusal.notRun(RefusalReason.STOPPING, STOPPING_COME_BACK_MILLIS),
+			if (this.node.isStopping()) {
+				throw new RefusedException(Refusal.notRun(RefusalReason.STOPPING, STOPPING_RETRY_AFTER_MILLIS),
 						"this node is stopping");
 			}
 		}
@@ -77,7 +77,7 @@
 	/**
 	 * Finds the team by the caller's key.
 	 */
-	record Team(List<AccessKey<TeamId>> keys) implements Filter {
+	record Authentication(List<AccessKey<TeamId>> keys) implements RequestFilter {
 
 		@Override
 		public void apply(Exchange exchange) throws RefusedException {
@@ -93,17 +93,19 @@
 	/**
 	 * Reads a chat completion's body.
 	 */
-	record Chat() implements Filter {
+	record ChatBody() implements RequestFilter {
 
 		@Override
 		public void apply(Exchange exchange) throws RefusedException {
-			JsonObject body = body(exchange);
+			JsonObject body = parseBody(exchange);
 			try {
 				exchange.template(new TemplateName(body.getString("model", "")));
-				JsonArray messages = messages(body);
-				int maxTokens = maxTokens(body);
+				JsonArray messages = readMessages(body);
+				int maxTokens = readMaxTokens(body);
 				JsonObject chat = new JsonObject().put("messages", messages).put("max_tokens", maxTokens);
-				PASSED_ON.stream().filter(body::containsKey).forEach((name) -> chat.put(name, body.getValue(name)));
+				FORWARDED_PARAMETERS.stream()
+					.filter(body::containsKey)
+					.forEach((name) -> chat.put(name, body.getValue(name)));
 				String text = chat.encode();
 				exchange.chat(chat, body.getBoolean("stream", false), text.length() / CHARACTERS_PER_TOKEN + 1,
 						maxTokens);
@@ -115,7 +117,7 @@
 			}
 		}
 
-		private static JsonObject body(Exchange exchange) throws RefusedException {
+		private static JsonObject parseBody(Exchange exchange) throws RefusedException {
 			try {
 				JsonObject body = exchange.context().body().asJsonObject();
 				if (body == null) {
@@ -128,7 +130,7 @@
 			}
 		}
 
-		private static JsonArray messages(JsonObject body) {
+		private static JsonArray readMessages(JsonObject body) {
 			JsonArray messages = body.getJsonArray("messages", new JsonArray());
 			if (messages.isEmpty() || messages.size() > MAX_MESSAGES) {
 				throw new IllegalArgumentException("messages must have 1 to " + MAX_MESSAGES + " items");
@@ -136,8 +138,8 @@
 			for (int i = 0; i < messages.size(); i++) {
 				JsonObject message = messages.getJsonObject(i);
 				String role = message.getString("role", "");
-				if (!ROLES.contains(role)) {
-					throw new IllegalArgumentException("messages[" + i + "].role must be one of " + ROLES);
+				if (!MESSAGE_ROLES.contains(role)) {
+					throw new IllegalArgumentException("messages[" + i + "].role must be one of " + MESSAGE_ROLES);
 				}
 				if (!(message.getValue("content") instanceof String)) {
 					throw new IllegalArgumentException("messages[" + i + "].content must be a text");
@@ -146,11 +148,11 @@
 			return messages;
 		}
 
-		private static int maxTokens(JsonObject body) {
+		private static int readMaxTokens(JsonObject body) {
 			Integer given = body.getInteger("max_completion_tokens", body.getInteger("max_tokens"));
-			int maxTokens = (given != null) ? given : DEFAULT_MAX_TOKENS;
-			if (maxTokens < 1 || maxTokens > LIMIT_MAX_TOKENS) {
-				throw new IllegalArgumentException("max_tokens must be between 1 and " + LIMIT_MAX_TOKENS);
+			int maxTokens = (given != null) ? given : DEFAULT_OUTPUT_TOKENS;
+			if (maxTokens < 1 || maxTokens > MAX_OUTPUT_TOKENS) {
+				throw new IllegalArgumentException("max_tokens must be between 1 and " + MAX_OUTPUT_TOKENS);
 			}
 			return maxTokens;
 		}
@@ -160,7 +162,7 @@
 	/**
 	 * Reads a call to a plain service.
 	 */
-	record Service() implements Filter {
+	record ServiceBody() implements RequestFilter {
 
 		@Override
 		public void apply(Exchange exchange) throws RefusedException {
@@ -171,10 +173,10 @@
 				String type = Optional.ofNullable(exchange.header("Content-Type")).orElse("application/octet-stream");
 				Buffer body = exchange.context().body().buffer();
 				String text = (body != null) ? body.toString(StandardCharsets.ISO_8859_1) : "";
-				ServiceCall call = new ServiceCall(method, path(exchange), type, key, text);
+				ServiceCall call = new ServiceCall(method, servicePath(exchange), type, key, text);
 				exchange.body(Json.write(call), exchange.template() + " " + method + " " + call.path() + " " + text, 0);
-				if (!READS.contains(method)) {
-					exchange.onceOnly(key);
+				if (!READ_METHODS.contains(method)) {
+					exchange.requireAtMostOnce(key);
 				}
 			}
 			catch (IllegalArgumentException ex) {
@@ -182,7 +184,7 @@
 			}
 		}
 
-		private static String path(Exchange exchange) {
+		private static String servicePath(Exchange exchange) {
 			String start = "/v1/services/" + exchange.template();
 			String rest = exchange.context().request().uri().substring(start.length());
 			return rest.startsWith("/") ? rest : "/" + rest;
@@ -193,23 +195,23 @@
 	/**
 	 * Checks the template and the idempotency key, and sets the deadline.
 	 */
-	record Rules(EntryNode node, TemplateKind kind) implements Filter {
+	record TemplateCheck(EntryNode node, TemplateKind kind) implements RequestFilter {
 
 		@Override
 		public void apply(Exchange exchange) throws RefusedException {
-			TemplateRevision revision = this.node.template(exchange.template()).orElse(null);
+			TemplateRevision revision = this.node.findTemplate(exchange.template()).orElse(null);
 			TeamRule team = (revision != null) ? revision.template().findTeam(exchange.team()).orElse(null) : null;
 			if (team == null || revision.template().kind() != this.kind) {
 				throw new RefusedException(RefusalReason.NO_TEMPLATE,
 						"there is no template '" + exchange.template() + "' for this key");
 			}
-			if (!exchange.repeatable()) {
-				checkKey(exchange, revision.template());
+			if (!exchange.isRepeatable()) {
+				checkIdempotencyKey(exchange, revision.template());
 			}
-			exchange.deadline(exchange.arrival().millis() + timeout(exchange, team));
+			exchange.deadline(exchange.arrival().millis() + timeoutMillis(exchange, team));
 		}
 
-		private static void checkKey(Exchange exchange, Template template) throws RefusedException {
+		private static void checkIdempotencyKey(Exchange exchange, Template template) throws RefusedException {
 			if (exchange.idempotencyKey().isEmpty() && !template.repeatable()) {
 				throw new RefusedException(RefusalReason.KEY_REQUIRED,
 						"this call may run at most once and needs the header " + Headers.IDEMPOTENCY_KEY);
@@ -220,7 +222,7 @@
 			}
 		}
 
-		private static long timeout(Exchange exchange, TeamRule team) throws RefusedException {
+		private static long timeoutMillis(Exchange exchange, TeamRule team) throws RefusedException {
 			String header = exchange.header(Headers.TIMEOUT);
 			if (header == null) {
 				return team.deadlineMillis();
@@ -237,7 +239,7 @@
 	/**
 	 * Reads the session and the version that it has.
 	 */
-	record Session(Sessions sessions) implements Filter {
+	record SessionPin(SessionRegistry sessions) implements RequestFilter {
 
 		@Override
 		public void apply(Exchange exchange) throws RefusedException {
@@ -251,11 +253,11 @@
 			catch (IllegalArgumentException ex) {
 				throw new RefusedException(RefusalReason.INVALID, Headers.SESSION_ID + ": " + ex.getMessage());
 			}
-			Optional<Sessions.Token> read = (token != null)
-					? this.sessions.read(token, exchange.team(), exchange.template()) : Optional.empty();
+			Optional<SessionRegistry.SessionToken> read = (token != null)
+					? this.sessions.readToken(token, exchange.team(), exchange.template()) : Optional.empty();
 			if (read.isPresent() && (id == null || read.get().session().equals(exchange.session()))) {
 				exchange.session(read.get().session());
-				exchange.pinned(read.get().version());
+				exchange.pinnedVersion(read.get().version());
 			}
 		}
 
@@ -264,12 +266,12 @@
 	/**
 	 * Refuses while the ledger has no room: what cannot be recorded is not run.
 	 */
-	record Ledger(EntryNode node) implements Filter {
+	record LedgerCheck(EntryNode node) implements RequestFilter {
 
 		@Override
 		public void apply(Exchange exchange) throws RefusedException {
-			if (!this.node.ledgerHasRoom()) {
-				throw new RefusedException(Refusal.notRun(RefusalReason.STORE_UNAVAILABLE, LEDGER_COME_BACK_MILLIS),
+			if (!this.node.hasLedgerCapacity()) {
+				throw new RefusedException(Refusal.notRun(RefusalReason.STORE_UNAVAILABLE, LEDGER_RETRY_AFTER_MILLIS),
 						"records cannot be written for now");
 			}
 		}
@@ -279,11 +281,11 @@
 	/**
 	 * Takes the request's part of its team's allowance.
 	 */
-	record Allowance(EntryNode node, AllowanceTable book) implements Filter {
+	record AllowanceCheck(EntryNode node, AllowanceTable allowances) implements RequestFilter {
 
 		@Override
 		public void apply(Exchange exchange) throws RefusedException {
-			Template template = this.node.template(exchange.template()).orElseThrow().template();
+			Template template = this.node.findTemplate(exchange.template()).orElseThrow().template();
 			Usage most = new Usage(exchange.promptTokens(), exchange.maxTokens());
 			// A cascade pays for each of its stages.
 			long cost = template.versions()
@@ -293,7 +295,7 @@
 				.sorted()
 				.skip(Math.max(0, template.versions().size() - 2))
 				.sum();
-			AllowanceTable.Result result = this.book.acquire(exchange.template(), exchange.team(), cost,
+			AllowanceTable.Result result = this.allowances.acquire(exchange.template(), exchange.team(), cost,
 					this.node.clock().millis(), this.node.clock().wallMillis());
 			if (result.refusal().isPresent()) {
 				throw new RefusedException(result.refusal().get(), "the team's allowance is used up for now");
--- a/daemon/src/main/java/org/gullsaddle/entry/RouterShard.java
+++ b/daemon/src/main/java/org/gullsaddle/entry/RouterShard.java
@@ -31,11 +31,11 @@
 
 	private final NodeClock clock;
 
-	private final Map<RequestId, CallerAnswer> callers = new HashMap<>();
+	private final Map<RequestId, CallerResponse> responses = new HashMap<>();
 
-	private final Map<RequestId, Current> currents = new HashMap<>();
+	private final Map<RequestId, CurrentAttempt> currentAttempts = new HashMap<>();
 
-	private final Queue<RouterEvent> events = new ArrayDeque<>();
+	private final Queue<RouterEvent> pendingEvents = new ArrayDeque<>();
 
 	private boolean handling;
 
@@ -45,8 +45,8 @@
 		this.clock = clock;
 	}
 
-	synchronized void submit(IncomingRequest request, CallerAnswer answer) {
-		this.callers.put(request.id(), answer);
+	synchronized void submit(IncomingRequest request, CallerResponse answer) {
+		this.responses.put(request.id(), answer);
 		handle(new RouterEvent.RequestArrived(request));
 	}
 
@@ -55,23 +55,23 @@
 	 * action leads to at once waits until the actions before it are done.
 	 */
 	synchronized void handle(RouterEvent event) {
-		this.events.add(event);
+		this.pendingEvents.add(event);
 		if (this.handling) {
 			return;
 		}
 		this.handling = true;
 		try {
-			while (!this.events.isEmpty()) {
-				RouterEvent next = this.events.poll();
+			while (!this.pendingEvents.isEmpty()) {
+				RouterEvent next = this.pendingEvents.poll();
 				boolean delivered = false;
 				for (RouterAction action : this.router.handle(this.clock.now(), next)) {
-					carryOut(action);
+					execute(action);
 					delivered |= action instanceof RouterAction.Deliver;
 				}
 				if (next instanceof RouterEvent.AttemptChunk chunk && !delivered) {
 					// Kept for a rating, or of an attempt that no longer counts: no
 					// caller will take it.
-					credit(chunk.attempt().request(), chunk.text().length());
+					sendCredit(chunk.attempt().request(), chunk.text().length());
 				}
 			}
 		}
@@ -84,17 +84,17 @@
 		return this.router.suspects();
 	}
 
-	synchronized int openRequests() {
+	synchronized int openRequestCount() {
 		return this.router.openRequestCount();
 	}
 
-	private void carryOut(RouterAction action) {
+	private void execute(RouterAction action) {
 		switch (action) {
 			case RouterAction.Claim claim -> this.services.claims()
 				.claim(claim.request(), claim.team(), claim.key(), claim.content())
 				.subscribe((answer) -> handle(new RouterEvent.ClaimCompleted(claim.request(), answer)));
 			case RouterAction.CompleteClaim settle ->
-				this.services.claims().settle(settle.request(), settle.team(), settle.key(), settle.outcome());
+				this.services.claims().complete(settle.request(), settle.team(), settle.key(), settle.outcome());
 			case RouterAction.ReleaseClaim release ->
 				this.services.claims().release(release.request(), release.team(), release.key());
 			case RouterAction.PinSession pin -> this.services.sessions()
@@ -103,26 +103,26 @@
 			case RouterAction.Send send -> send(send);
 			case RouterAction.Cancel cancel -> this.services.send(cancel.agent(), new Frame.Cancel(cancel.attempt()));
 			case RouterAction.Deliver deliver -> deliver(deliver);
-			case RouterAction.Complete complete -> this.callers.get(complete.request())
+			case RouterAction.Complete complete -> this.responses.get(complete.request())
 				.complete(complete.servedBy(), complete.completion(), complete.costMicros());
-			case RouterAction.Refuse refuse -> this.callers.get(refuse.request()).refuse(refuse.refusal());
-			case RouterAction.RateAnswer rate -> this.services.rater()
+			case RouterAction.Refuse refuse -> this.responses.get(refuse.request()).refuse(refuse.refusal());
+			case RouterAction.RateAnswer rate -> this.services.ratingClient()
 				.rate(rate.version(), rate.prompt(), rate.answer())
 				.subscribe((score) -> handle(new RouterEvent.AnswerRated(rate.attempt(), score)));
-			case RouterAction.AnnounceSuspect suspect -> this.services.suspect(suspect.suspicion());
-			case RouterAction.AnnounceHalt announce -> this.services.halted(announce.halt());
-			case RouterAction.WriteRecordBeforeAnswer keep -> this.services.keepRecord(keep.record());
+			case RouterAction.AnnounceSuspect suspect -> this.services.announceSuspect(suspect.suspicion());
+			case RouterAction.AnnounceHalt announce -> this.services.announceHalt(announce.halt());
+			case RouterAction.WriteRecordBeforeAnswer keep -> this.services.writeRecordBeforeAnswer(keep.record());
 			case RouterAction.WriteRecord record -> {
-				this.callers.remove(record.record().request());
-				this.currents.remove(record.record().request());
-				this.services.record(record.record());
+				this.responses.remove(record.record().request());
+				this.currentAttempts.remove(record.record().request());
+				this.services.writeRecord(record.record());
 			}
 		}
 	}
 
 	private void send(RouterAction.Send send) {
 		AttemptId attempt = send.dispatch().attempt();
-		this.currents.put(attempt.request(), new Current(send.agent(), attempt));
+		this.currentAttempts.put(attempt.request(), new CurrentAttempt(send.agent(), attempt));
 		if (!this.services.dispatch(send.agent(), send.dispatch())) {
 			// No link, so nothing was written: this attempt surely does not run.
 			handle(new RouterEvent.AttemptFailed(attempt, Verdict.NOT_RUN, false, Usage.NONE));
@@ -131,18 +131,18 @@
 
 	private void deliver(RouterAction.Deliver deliver) {
 		int characters = deliver.text().length();
-		this.callers.get(deliver.request())
-			.deliver(deliver.version(), deliver.text(), () -> credit(deliver.request(), characters));
+		this.responses.get(deliver.request())
+			.deliver(deliver.version(), deliver.text(), () -> sendCredit(deliver.request(), characters));
 	}
 
-	private synchronized void credit(RequestId request, int characters) {
-		Current current = this.currents.get(request);
+	private synchronized void sendCredit(RequestId request, int characters) {
+		CurrentAttempt current = this.currentAttempts.get(request);
 		if (current != null) {
 			this.services.send(current.agent(), new Frame.Credit(current.attempt(), characters));
 		}
 	}
 
-	private record Current(NodeId agent, AttemptId attempt) {
+	private record CurrentAttempt(NodeId agent, AttemptId attempt) {
 	}
 
 }
--- a/daemon/src/main/java/org/gullsaddle/entry/ServiceAnswer.java
+++ b/daemon/src/main/java/org/gullsaddle/entry/ServiceResponse.java
@@ -14,15 +14,15 @@
 /**
  * Answers a call to a plain service with what the service answered.
  */
-final class ServiceAnswer implements CallerAnswer {
+final class ServiceResponse implements CallerResponse {
 
 	private final Exchange exchange;
 
 	private final Context context;
 
-	private final StringBuilder whole = new StringBuilder();
+	private final StringBuilder collectedText = new StringBuilder();
 
-	ServiceAnswer(Exchange exchange, Context context) {
+	ServiceResponse(Exchange exchange, Context context) {
 		this.exchange = exchange;
 		this.context = context;
 	}
@@ -30,7 +30,7 @@
 	@Override
 	public void deliver(ModelVersion version, String text, Runnable taken) {
 		this.context.runOnContext((ignored) -> {
-			this.whole.append(text);
+			this.collectedText.append(text);
 			taken.run();
 		});
 	}
@@ -45,13 +45,13 @@
 				.putHeader(Headers.SERVED_BY, servedBy)
 				.putHeader(Headers.VERDICT, Verdict.RAN.toString())
 				.putHeader(Headers.COST, String.valueOf(costMicros))
-				.end(Buffer.buffer(this.whole.toString().getBytes(StandardCharsets.ISO_8859_1)));
+				.end(Buffer.buffer(this.collectedText.toString().getBytes(StandardCharsets.ISO_8859_1)));
 		});
 	}
 
 	@Override
 	public void refuse(Refusal refusal) {
-		this.context.runOnContext((ignored) -> Refusals.write(this.exchange, refusal, ""));
+		this.context.runOnContext((ignored) -> RefusalWriter.write(this.exchange, refusal, ""));
 	}
 
 }
--- a/daemon/src/main/java/org/gullsaddle/entry/Sessions.java
+++ b/daemon/src/main/java/org/gullsaddle/entry/SessionRegistry.java
@@ -24,26 +24,26 @@
  * Which version each session has: in a signed token that the caller hands back, and in
  * the store for callers that send only the session's id. Thread-safe.
  */
-final class Sessions {
+final class SessionRegistry {
 
-	private static final long PIN_MILLIS = 1500;
+	private static final long PIN_TIMEOUT_MILLIS = 1500;
 
-	private static final int MAX_REMEMBERED = 50_000;
+	private static final int MAX_CACHED_PINS = 50_000;
 
-	private final Map<String, ModelVersion> settled = new LinkedHashMap<>(16, 0.75F, true) {
+	private final Map<String, ModelVersion> pinnedVersions = new LinkedHashMap<>(16, 0.75F, true) {
 		@Override
 		protected boolean removeEldestEntry(Map.Entry<String, ModelVersion> eldest) {
-			return size() > MAX_REMEMBERED;
+			return size() > MAX_CACHED_PINS;
 		}
 	};
 
 	private final RegisterController register;
 
-	private final byte[] key;
+	private final byte[] signingKey;
 
-	Sessions(RegisterController register, byte[] key) {
+	SessionRegistry(RegisterController register, byte[] key) {
 		this.register = register;
-		this.key = key.clone();
+		this.signingKey = key.clone();
 	}
 
 	/**
@@ -53,7 +53,7 @@
 	 */
 	Single<Optional<ModelVersion>> pin(RouterAction.PinSession pin) {
 		String name = pin.team() + "/" + pin.template() + "/" + pin.session();
-		ModelVersion known = known(name);
+		ModelVersion known = cachedVersion(name);
 		if (known != null && !known.equals(pin.replaced())) {
 			return Single.just(Optional.of(known));
 		}
@@ -62,21 +62,21 @@
 		Operation operation = (pin.replaced() != null)
 				? new Operation.Replace(name, nonce, value, pin.replaced().toString())
 				: new Operation.Put(name, nonce, value);
-		return this.register.submit(operation, PIN_MILLIS)
+		return this.register.submit(operation, PIN_TIMEOUT_MILLIS)
 			.map((entry) -> entry.map(Entry::value).map(ModelVersion::of))
-			.doOnSuccess((version) -> version.ifPresent((settled) -> remember(name, settled)))
+			.doOnSuccess((version) -> version.ifPresent((settled) -> cacheVersion(name, settled)))
 			.onErrorReturnItem(Optional.empty());
 	}
 
-	private synchronized ModelVersion known(String name) {
-		return this.settled.get(name);
+	private synchronized ModelVersion cachedVersion(String name) {
+		return this.pinnedVersions.get(name);
 	}
 
-	private synchronized void remember(String name, ModelVersion version) {
-		this.settled.put(name, version);
+	private synchronized void cacheVersion(String name, ModelVersion version) {
+		this.pinnedVersions.put(name, version);
 	}
 
-	String token(TeamId team, TemplateName template, SessionId session, ModelVersion version) {
+	String createToken(TeamId team, TemplateName template, SessionId session, ModelVersion version) {
 		String text = String.join("|", team.value(), template.value(), session.value(), version.toString());
 		return encode(text.getBytes(StandardCharsets.UTF_8)) + "." + encode(sign(text));
 	}
@@ -85,7 +85,7 @@
 	 * Reads a token; one that was not signed with the key, or for another team or
 	 * template, is none.
 	 */
-	Optional<Token> read(String token, TeamId team, TemplateName template) {
+	Optional<SessionToken> readToken(String token, TeamId team, TemplateName template) {
 		int dot = token.indexOf('.');
 		if (dot <= 0) {
 			return Optional.empty();
@@ -98,7 +98,7 @@
 					|| !parts[1].equals(template.value())) {
 				return Optional.empty();
 			}
-			return Optional.of(new Token(new SessionId(parts[2]), ModelVersion.of(parts[3])));
+			return Optional.of(new SessionToken(new SessionId(parts[2]), ModelVersion.of(parts[3])));
 		}
 		catch (IllegalArgumentException ex) {
 			return Optional.empty();
@@ -106,7 +106,7 @@
 	}
 
 	private byte[] sign(String text) {
-		return Digests.hmac(this.key, text);
+		return Digests.hmac(this.signingKey, text);
 	}
 
 	private static String encode(byte[] bytes) {
@@ -116,7 +116,7 @@
 	/**
 	 * What a signed token says.
 	 */
-	record Token(SessionId session, ModelVersion version) {
+	record SessionToken(SessionId session, ModelVersion version) {
 	}
 
 }
--- a/daemon/src/test/java/org/gullsaddle/entry/ClaimsTests.java
+++ b/daemon/src/test/java/org/gullsaddle/entry/ClaimRegistryTests.java
@@ -13,11 +13,11 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-class ClaimsTests {
+class ClaimRegistryTests {
 
 	private static final String OPEN = "{\"request\":\"r1\",\"content\":\"c0ffee\"}";
 
-	private static final String SETTLED = """
+	private static final String COMPLETED = """
 			{"request":"r1","content":"c0ffee","outcome":{"request":"r1","servedBy":"booking@v1",\
 			"completion":{"status":201,"contentType":"text/plain","finishReason":"stop",\
 			"usage":{"promptTokens":1,"outputTokens":2}},"text":"ok"}}""";
@@ -30,14 +30,14 @@
 	 * Guards against a renamed component, which a node of another build would skip.
 	 */
 	@Test
-	void claimHasTheTextThatEarlierBuildsWrote() throws IOException {
-		Claims.Claim open = new Claims.Claim(REQUEST, CONTENT, null);
-		Claims.Claim settled = new Claims.Claim(REQUEST, CONTENT, new CallOutcome(REQUEST, "booking@v1",
+	void claimKeepsItsStoredFormat() throws IOException {
+		ClaimRegistry.Claim open = new ClaimRegistry.Claim(REQUEST, CONTENT, null);
+		ClaimRegistry.Claim settled = new ClaimRegistry.Claim(REQUEST, CONTENT, new CallOutcome(REQUEST, "booking@v1",
 				new Completion(201, "text/plain", "stop", new Usage(1, 2)), "ok"));
 		assertThat(Json.write(open)).isEqualTo(OPEN);
-		assertThat(Json.write(settled)).isEqualTo(SETTLED);
-		assertThat(Json.read(OPEN, Claims.Claim.class)).isEqualTo(open);
-		assertThat(Json.read(SETTLED, Claims.Claim.class)).isEqualTo(settled);
+		assertThat(Json.write(settled)).isEqualTo(COMPLETED);
+		assertThat(Json.read(OPEN, ClaimRegistry.Claim.class)).isEqualTo(open);
+		assertThat(Json.read(COMPLETED, ClaimRegistry.Claim.class)).isEqualTo(settled);
 	}
 
 }
