--- a/daemon/src/main/java/org/gullsaddle/entry/EntryNode.java
+++ b/daemon/src/main/java/org/gullsaddle/entry/EntryNode.java
@@ -112,7 +112,7 @@
 
 	private final SessionRegistry sessions;
 
-	private final RatingClient rater;
+	private final RatingClient ratingService;
 
 	private final MemberController members;
 
@@ -124,7 +124,7 @@
 
 	private final HeldCopyTable heldCopies;
 
-	private final Map<NodeId, Map<TemplateName, Long>> inForce = new ConcurrentHashMap<>();
+	private final Map<NodeId, Map<TemplateName, Long>> revisionsInForce = new ConcurrentHashMap<>();
 
 	private final Map<String, Halt> halts = new ConcurrentHashMap<>();
 
@@ -167,7 +167,7 @@
 				SESSION_RETENTION_MILLIS);
 		this.claims = new ClaimRegistry(this.claimRegister);
 		this.sessions = new SessionRegistry(this.sessionRegister, entry.sessionKey());
-		this.rater = new RatingClient(vertx, entry.ratingUrl());
+		this.ratingService = new RatingClient(vertx, entry.ratingUrl());
 		this.members = new MemberController(vertx, settings, dialer, this, this::onAgentLeaving);
 		RouterSettings routing = RouterSettings.builder(settings.region(), settings.dataCenter()).build();
 		for (int i = 0; i < entry.shards(); i++) {
@@ -250,7 +250,7 @@
 
 	@Override
 	public void down(PeerLink link) {
-		this.inForce.remove(link.peer());
+		this.revisionsInForce.remove(link.peer());
 		if (link.peerRole() == Role.AGENT) {
 			handleInAllShards(new RouterEvent.AgentDown(link.peer()));
 		}
@@ -286,7 +286,7 @@
 				pushed.revisions().forEach(this.templates::apply);
 				link.send(new Frame.InForce(this.templates.revisions()));
 			}
-			case Frame.InForce revisions -> this.inForce.put(link.peer(), Map.copyOf(revisions.revisions()));
+			case Frame.InForce revisions -> this.revisionsInForce.put(link.peer(), Map.copyOf(revisions.revisions()));
 			case Frame.Halted halted -> {
 				this.halts.put(halted.halt().template() + " " + halted.halt().version(), halted.halt());
 				handleInAllShards(new RouterEvent.HaltAnnounced(halted.halt()));
@@ -308,7 +308,7 @@
 
 	@Override
 	public RatingClient ratingClient() {
-		return this.rater;
+		return this.ratingService;
 	}
 
 	@Override
@@ -469,7 +469,7 @@
 		expected.addAll(this.members.links().keySet());
 		Set<NodeId> missing = new HashSet<>();
 		for (NodeId node : expected) {
-			if (this.inForce.getOrDefault(node, Map.of()).getOrDefault(name, 0L) < revision) {
+			if (this.revisionsInForce.getOrDefault(node, Map.of()).getOrDefault(name, 0L) < revision) {
 				missing.add(node);
 			}
 		}
--- a/daemon/src/main/java/org/gullsaddle/entry/Exchange.java
+++ b/daemon/src/main/java/org/gullsaddle/entry/Exchange.java
@@ -28,7 +28,7 @@
 
 	private JsonObject chat;
 
-	private boolean stream;
+	private boolean streamed;
 
 	private long promptTokens;
 
@@ -96,13 +96,13 @@
 
 	void chat(JsonObject value, boolean streamed, long prompt, long max) {
 		this.chat = value;
-		this.stream = streamed;
+		this.streamed = streamed;
 		this.promptTokens = prompt;
 		this.maxTokens = max;
 	}
 
 	boolean isStreamed() {
-		return this.stream;
+		return this.streamed;
 	}
 
 	long promptTokens() {
