--- a/daemon/src/main/java/org/gullsaddle/entry/AdminApi.java
+++ b/daemon/src/main/java/org/gullsaddle/entry/AdminApi.java
@@ -32,8 +32,8 @@
 import org.gullsaddle.yaml.YamlException;
 
 /**
- * What operators reach. They change templates and read; nothing here steers a single
- * request.
+ * HTTP API for operators: changes templates, and reads status, traces, bills and the
+ * ledger. Nothing here controls a single request.
  */
 final class AdminApi {
 
@@ -109,11 +109,11 @@
 	}
 
 	private void getTemplate(RoutingContext context) {
-		TemplateRevision held = findReadableTemplate(context).orElse(null);
-		if (held == null) {
+		TemplateRevision current = findReadableTemplate(context).orElse(null);
+		if (current == null) {
 			return;
 		}
-		context.json(summary(held).put("yaml", readableYaml(context, held)));
+		context.json(summary(current).put("yaml", readableYaml(context, current)));
 	}
 
 	private void putTemplate(RoutingContext context) {
@@ -148,21 +148,21 @@
 		if (!checkCanChange(context)) {
 			return;
 		}
-		TemplateRevision held = findReadableTemplate(context).orElse(null);
-		if (held == null) {
+		TemplateRevision current = findReadableTemplate(context).orElse(null);
+		if (current == null) {
 			return;
 		}
 		try {
 			JsonObject body = context.body().asJsonObject();
 			ModelVersion version = ModelVersion.of(context.pathParam("version"));
-			Template template = held.template();
+			Template template = current.template();
 			if (body.containsKey("state")) {
 				template = template.withState(version, parseState(body.getString("state")));
 			}
 			if (body.containsKey("share")) {
 				template = template.withShare(version, body.getDouble("share"));
 			}
-			long expected = context.queryParam("expect").isEmpty() ? held.revision() : expectedRevision(context);
+			long expected = context.queryParam("expect").isEmpty() ? current.revision() : expectedRevision(context);
 			changeTemplate(context, template, template.toYaml(), expected);
 		}
 		catch (IllegalArgumentException | ClassCastException ex) {
@@ -185,21 +185,21 @@
 				context.response().setStatusCode(CONFLICT);
 				context.json(body);
 			}
-			case StoreException lost -> {
+			case StoreException storeFailure -> {
 				context.response().setStatusCode(UNAVAILABLE);
-				context.json(new JsonObject().put("error", lost.getMessage())
-					.put("outcome", lost.unknown() ? "unknown" : "not-taken"));
+				context.json(new JsonObject().put("error", storeFailure.getMessage())
+					.put("outcome", storeFailure.unknown() ? "unknown" : "not-taken"));
 			}
 			default -> sendError(context, UNAVAILABLE, failure.getMessage());
 		}
 	}
 
 	private void history(RoutingContext context) {
-		TemplateRevision held = findReadableTemplate(context).orElse(null);
-		if (held == null) {
+		TemplateRevision current = findReadableTemplate(context).orElse(null);
+		if (current == null) {
 			return;
 		}
-		this.node.templates().history(held.template().name(), HISTORY_LIMIT).subscribe((revisions) -> {
+		this.node.templates().history(current.template().name(), HISTORY_LIMIT).subscribe((revisions) -> {
 			JsonArray list = new JsonArray();
 			revisions.forEach((revision) -> list.add(summary(revision).put("yaml", readableYaml(context, revision))));
 			context.json(new JsonObject().put("revisions", list));
@@ -207,12 +207,12 @@
 	}
 
 	private void inForce(RoutingContext context) {
-		TemplateRevision held = findReadableTemplate(context).orElse(null);
-		if (held == null) {
+		TemplateRevision current = findReadableTemplate(context).orElse(null);
+		if (current == null) {
 			return;
 		}
-		long revision = Long.parseLong(context.request().getParam("revision", String.valueOf(held.revision())));
-		EntryNode.InForceCount count = this.node.countInForce(held.template().name(), revision);
+		long revision = Long.parseLong(context.request().getParam("revision", String.valueOf(current.revision())));
+		EntryNode.InForceCount count = this.node.countInForce(current.template().name(), revision);
 		context.json(new JsonObject().put("revision", revision)
 			.put("nodes", count.currentNodes())
 			.put("of", count.expectedNodes())
@@ -247,7 +247,8 @@
 			.filter((entry) -> operator.mayRead(teamOf(entry)))
 			.toList()
 			.subscribe((entries) -> {
-				// One that may not be read looks like one that does not exist.
+				// A request that the operator may not read is reported as missing, so
+				// that its existence does not leak.
 				if (entries.isEmpty()) {
 					sendError(context, NOT_FOUND, "there is no request " + request);
 					return;
@@ -282,8 +283,8 @@
 	}
 
 	/**
-	 * Answers with JSON lines. An answer that breaks off is reset, so that it does not
-	 * pass for a whole one.
+	 * Streams JSON lines. On a failure the response is reset, so that the client does not
+	 * take a partial one for complete.
 	 */
 	private static void sendLines(RoutingContext context, Flowable<String> lines) {
 		context.response().putHeader("Content-Type", "application/x-ndjson").setChunked(true);
@@ -309,18 +310,18 @@
 	}
 
 	private Optional<TemplateRevision> findReadableTemplate(RoutingContext context) {
-		Optional<TemplateRevision> held = Optional.empty();
+		Optional<TemplateRevision> current = Optional.empty();
 		try {
-			held = this.node.findTemplate(new TemplateName(context.pathParam("name")))
+			current = this.node.findTemplate(new TemplateName(context.pathParam("name")))
 				.filter((revision) -> canReadAny(context, revision));
 		}
 		catch (IllegalArgumentException ex) {
-			// no template has such a name
+			// The name is not valid, so no template has it.
 		}
-		if (held.isEmpty()) {
+		if (current.isEmpty()) {
 			sendError(context, NOT_FOUND, "there is no template " + context.pathParam("name"));
 		}
-		return held;
+		return current;
 	}
 
 	private static boolean canReadAny(RoutingContext context, TemplateRevision revision) {
@@ -329,8 +330,8 @@
 	}
 
 	/**
-	 * Returns a template's text as far as the operator may read it: rivals' parameters
-	 * are left out.
+	 * Returns the template as YAML without the parameters of teams that the operator may
+	 * not read.
 	 */
 	private static String readableYaml(RoutingContext context, TemplateRevision revision) {
 		Settings.Operator operator = context.get(OPERATOR);
@@ -383,8 +384,8 @@
 
 	private static TeamId teamOf(LedgerEntry entry) {
 		return switch (entry) {
-			case LedgerEntry.RequestEntry whole -> whole.record().team();
-			case LedgerEntry.AttemptEntry part -> part.agentRecord().team();
+			case LedgerEntry.RequestEntry request -> request.record().team();
+			case LedgerEntry.AttemptEntry attempt -> attempt.agentRecord().team();
 		};
 	}
 
--- a/daemon/src/main/java/org/gullsaddle/entry/CallerApi.java
+++ b/daemon/src/main/java/org/gullsaddle/entry/CallerApi.java
@@ -22,7 +22,7 @@
 import org.gullsaddle.template.TemplateKind;
 
 /**
- * What callers reach: chat completions and calls to plain services.
+ * HTTP API for callers: chat completions, calls to services and the list of models.
  */
 final class CallerApi {
 
@@ -75,14 +75,14 @@
 			return;
 		}
 		Context vertxContext = this.node.vertx().getOrCreateContext();
-		CallerResponse answer = (exchange.chat() != null)
+		CallerResponse response = (exchange.chat() != null)
 				? new ChatResponse(exchange, this.node.sessions(), vertxContext, this.node.clock().wallMillis())
 				: new ServiceResponse(exchange, vertxContext);
 		IncomingRequest request = toIncomingRequest(exchange);
 		RouterShard shard = this.node.shardOf(exchange.id());
 		context.response().closeHandler((closed) -> shard.handle(new RouterEvent.CallerDisconnected(exchange.id())));
 		this.node.onAccepted(exchange);
-		shard.submit(request, new MeasuredResponse(answer, exchange, this.node));
+		shard.submit(request, new MeasuredResponse(response, exchange, this.node));
 	}
 
 	private static IncomingRequest toIncomingRequest(Exchange exchange) {
--- a/daemon/src/main/java/org/gullsaddle/entry/CallerResponse.java
+++ b/daemon/src/main/java/org/gullsaddle/entry/CallerResponse.java
@@ -5,24 +5,24 @@
 import org.gullsaddle.base.Refusal;
 
 /**
- * Where a caller's answer goes. Calls come one after another; exactly one of
- * {@link #complete} and {@link #refuse} comes, last.
+ * Receives the answer to a caller's request. Calls are sequential; the last one is either
+ * {@link #complete} or {@link #refuse}.
  */
 interface CallerResponse {
 
 	/**
-	 * Gives the caller a part of its answer.
-	 * @param taken run once the caller can take more
+	 * Sends the caller a part of the answer.
+	 * @param taken run when the caller can take more
 	 */
 	void deliver(ModelVersion version, String text, Runnable taken);
 
 	/**
-	 * Closes the answer; it is whole.
+	 * Ends a complete answer.
 	 */
 	void complete(String servedBy, Completion completion, long costMicros);
 
 	/**
-	 * Gives the caller its refusal, in place of the answer or of what is missing of it.
+	 * Sends the refusal in place of the answer, or of the rest of a partial one.
 	 */
 	void refuse(Refusal refusal);
 
--- a/daemon/src/main/java/org/gullsaddle/entry/ChatResponse.java
+++ b/daemon/src/main/java/org/gullsaddle/entry/ChatResponse.java
@@ -11,8 +11,8 @@
 import org.gullsaddle.base.Verdict;
 
 /**
- * Answers a chat completion, streamed or whole, in the shape that model API clients
- * expect.
+ * Writes a chat completion, streamed or as one body, in the format that clients of model
+ * APIs expect. State is confined to the request's Vert.x context.
  */
 final class ChatResponse implements CallerResponse {
 
@@ -100,8 +100,8 @@
 				RefusalWriter.write(this.exchange, refusal, "");
 				return;
 			}
-			// No closing mark: a client that waits for it sees that the answer is not
-			// whole.
+			// The [DONE] event is left out, so that clients see that the answer is
+			// incomplete.
 			writeEvent(RefusalWriter.errorJson(this.exchange, refusal, "the answer broke off"));
 			this.response.end();
 		});
--- a/daemon/src/main/java/org/gullsaddle/entry/ClaimRegistry.java
+++ b/daemon/src/main/java/org/gullsaddle/entry/ClaimRegistry.java
@@ -21,7 +21,8 @@
 import org.gullsaddle.route.ClaimResult;
 
 /**
- * Claims on idempotency keys, agreed between all entries through the store. Thread-safe.
+ * Claims idempotency keys for requests. The claims are shared by all entries through the
+ * store. Thread-safe.
  */
 final class ClaimRegistry {
 
@@ -29,7 +30,10 @@
 
 	private static final long CLAIM_TIMEOUT_MILLIS = 1500;
 
-	/** A longer answer is not kept; the call sent again is told that it may have run. */
+	/**
+	 * An outcome with a longer text is not stored; a repeated call is told that it may have
+	 * run.
+	 */
 	private static final int MAX_STORED_TEXT_CHARACTERS = 32_768;
 
 	private final RegisterController register;
@@ -72,8 +76,8 @@
 
 	private void submitWithoutTimeout(RequestId request, Operation operation) {
 		this.register.submit(operation, Long.MAX_VALUE)
-			.subscribe((entry) -> LOG.atDebug().addKeyValue("request", request).log("claim settled"),
-					(failure) -> LOG.atWarn().addKeyValue("request", request).log("claim not settled"));
+			.subscribe((entry) -> LOG.atDebug().addKeyValue("request", request).log("claim updated"),
+					(failure) -> LOG.atWarn().addKeyValue("request", request).log("claim could not be updated"));
 	}
 
 	private static ClaimResult toResult(Optional<Entry> entry, String nonce, Fingerprint content) throws IOException {
@@ -95,13 +99,13 @@
 	}
 
 	/**
-	 * A claim that this node put and has not settled.
+	 * A claim that this node made and has not completed or released.
 	 */
 	private record PendingClaim(String nonce, Fingerprint content) {
 	}
 
 	/**
-	 * What is kept under a key.
+	 * The value stored under an idempotency key; the outcome is null until completion.
 	 */
 	record Claim(RequestId request, Fingerprint content, CallOutcome outcome) {
 	}
--- a/daemon/src/main/java/org/gullsaddle/entry/EntryNode.java
+++ b/daemon/src/main/java/org/gullsaddle/entry/EntryNode.java
@@ -58,7 +58,8 @@
 import org.gullsaddle.wire.PeerListener;
 
 /**
- * The entry: holds its parts together.
+ * The entry node: connects the router's shards with the peers, the store, the ledger, the
+ * allowances and the HTTP APIs.
  */
 public final class EntryNode implements PeerListener, EntryServices {
 
@@ -67,9 +68,9 @@
 	private static final long SHARD_TICK_MILLIS = 50;
 
 	/**
-	 * How often registers are tried again that could not reach the store, in
-	 * milliseconds. Nothing else wakes an operation that failed: an order would wait for
-	 * its deadline, and a claim that is not settled would hold its key for a day.
+	 * Interval at which register operations that could not reach the store are retried,
+	 * in milliseconds. Nothing else retries a failed operation: an order would wait until
+	 * its deadline, and a claim that is not completed would hold its key for a day.
 	 */
 	private static final long REGISTER_RETRY_MILLIS = 200;
 
@@ -83,7 +84,7 @@
 
 	private static final long SESSION_RETENTION_MILLIS = TimeUnit.HOURS.toMillis(24);
 
-	/** How long the balancer has to notice that this node is not ready. */
+	/** Time the load balancer has to notice that this node is not ready. */
 	private static final long BALANCER_NOTICE_MILLIS = 500;
 
 	private final Vertx vertx;
@@ -137,14 +138,14 @@
 	private volatile boolean cutOff;
 
 	/**
-	 * Makes an entry that does nothing yet.
-	 * @param vertx where to run
+	 * Creates an entry node; {@link #start} starts it.
+	 * @param vertx the Vert.x instance to run on
 	 * @param settings the node's settings, of the role entry
 	 * @param clock the node's clocks
 	 * @param telemetry the node's metrics
 	 * @param templates the templates in force
 	 * @param store the platform's store
-	 * @param dialer dials the other nodes
+	 * @param dialer opens connections to the other nodes
 	 */
 	public EntryNode(io.vertx.rxjava3.core.Vertx vertx, Settings settings, NodeClock clock, Telemetry telemetry,
 			TemplateController templates, Store store, PeerDialer dialer) {
@@ -177,7 +178,7 @@
 	}
 
 	/**
-	 * Starts following the store, the VM list and the time.
+	 * Starts the periodic tasks that follow the store, the VM list and the clock.
 	 */
 	public void start() {
 		this.subscriptions.add(this.templates.run(Flowable.interval(1, TimeUnit.SECONDS)).subscribe());
@@ -199,9 +200,9 @@
 	}
 
 	/**
-	 * Stops gracefully: the balancer is told, requests under way end, the ledger is
-	 * written, and the allowances are given back.
-	 * @return done when all that is
+	 * Stops gracefully: reports not ready to the load balancer, lets open requests end,
+	 * writes the ledger, and gives the allowances back.
+	 * @return completes when all of this is done
 	 */
 	public Completable drain() {
 		return Completable.fromAction(this::markNotReady)
@@ -216,7 +217,7 @@
 	}
 
 	/**
-	 * Returns who hears of links that other entries dial to this node.
+	 * Returns the listener for links that other entries open to this node.
 	 * @return the listener
 	 */
 	public PeerListener inboundPeerListener() {
@@ -224,14 +225,14 @@
 	}
 
 	/**
-	 * Stops at once.
+	 * Stops immediately, without waiting for open requests.
 	 */
 	public void stop() {
 		this.subscriptions.dispose();
 	}
 
 	/**
-	 * Says whether callers should be sent here.
+	 * Returns whether the load balancer should send callers to this node.
 	 * @return true if templates are known, an agent is linked and the node is not
 	 * stopping
 	 */
@@ -266,7 +267,7 @@
 				}
 			}
 			case Frame.Load load -> handleInAllShards(new RouterEvent.AgentLoadReported(link.peer(), load.load()));
-			case Frame.Leaving gone -> onAgentLeaving(link.peer());
+			case Frame.Leaving leavingFrame -> onAgentLeaving(link.peer());
 			case Frame.Accepted accepted ->
 				handleInShard(accepted.attempt(), new RouterEvent.AttemptAccepted(accepted.attempt()));
 			case Frame.Refused refused ->
@@ -281,7 +282,7 @@
 				this.heldCopies.hold(copy.line());
 				link.send(new Frame.CopyHeld(copy.line().line().attempt()));
 			}
-			case Frame.Recorded others -> this.heldCopies.onRecorded(others.requests());
+			case Frame.Recorded recorded -> this.heldCopies.onRecorded(recorded.requests());
 			case Frame.Templates pushed -> {
 				pushed.revisions().forEach(this.templates::apply);
 				link.send(new Frame.InForce(this.templates.revisions()));
@@ -385,7 +386,8 @@
 	}
 
 	/**
-	 * Records a request that a filter refused, once it is known whose it is.
+	 * Writes a ledger record for a request that a filter refused. A request whose team,
+	 * template or deadline is not known is only counted.
 	 */
 	void recordFilterRefusal(Exchange exchange, Refusal refusal) {
 		if (exchange.permit() != null) {
@@ -461,8 +463,8 @@
 	}
 
 	/**
-	 * Returns the nodes on which a revision, or a later one, is in force, and all that
-	 * should have it.
+	 * Counts the nodes on which the revision or a later one is in force, and the nodes
+	 * that should have it; this node counts in both.
 	 */
 	InForceCount countInForce(TemplateName name, long revision) {
 		Set<NodeId> expected = new HashSet<>(this.members.listed());
@@ -473,14 +475,14 @@
 				missing.add(node);
 			}
 		}
-		boolean here = this.templates.get(name).map((held) -> held.revision() >= revision).orElse(false);
-		int self = here ? 1 : 0;
+		boolean inForceHere = this.templates.get(name).map((current) -> current.revision() >= revision).orElse(false);
+		int self = inForceHere ? 1 : 0;
 		return new InForceCount(expected.size() - missing.size() + self, expected.size() + 1, missing);
 	}
 
 	/**
-	 * Tells this node's shards, in their own time as one of them is telling, and all
-	 * other entries.
+	 * Passes an event to this node's shards and a frame to all other entries. The shards
+	 * handle it on another thread, since the calling shard holds its lock.
 	 */
 	private void announce(RouterEvent event, Frame frame) {
 		this.shards.forEach((shard) -> Schedulers.computation().scheduleDirect(() -> shard.handle(event)));
@@ -492,22 +494,21 @@
 	}
 
 	/**
-	 * Returns the versions that this node gives no new work.
+	 * Returns the halts that still apply: the template has not changed since.
 	 */
 	List<Halt> activeHalts() {
 		return this.halts.values()
 			.stream()
 			.filter((halt) -> this.templates.get(halt.template())
-				.map((held) -> held.revision() <= halt.revision())
+				.map((current) -> current.revision() <= halt.revision())
 				.orElse(true))
 			.toList();
 	}
 
 	private void onTemplateChanged(TemplateRevision revision) {
 		this.allowances.applyTemplate(revision.template(), this.clock.millis());
-		// The agents hear of it first: a dispatch under a revision that its agent does
-		// not know
-		// would be refused.
+		// Agents get the revision before the shards do, since an agent refuses a
+		// dispatch under a revision that it does not know.
 		Frame frame = new Frame.Templates(List.of(revision));
 		this.members.links().values().forEach((link) -> link.send(frame));
 		handleInAllShards(new RouterEvent.TemplateChanged(revision));
@@ -542,12 +543,12 @@
 			boolean reachable = link != null;
 			peers.add(new ConfigFreshness.Peer(reachable, reachable ? link.storeAge() : Long.MAX_VALUE));
 		}
-		boolean now = ConfigFreshness.isCutOff(this.templates.storeAge(),
+		boolean isCutOff = ConfigFreshness.isCutOff(this.templates.storeAge(),
 				this.settings.entry().orElseThrow().cutOffMillis(), peers);
-		if (now != this.cutOff) {
-			this.cutOff = now;
-			LOG.atWarn().addKeyValue("cutOff", now).log("configuration freshness changed");
-			handleInAllShards(new RouterEvent.FreshnessChanged(now));
+		if (isCutOff != this.cutOff) {
+			this.cutOff = isCutOff;
+			LOG.atWarn().addKeyValue("cutOff", isCutOff).log("configuration freshness changed");
+			handleInAllShards(new RouterEvent.FreshnessChanged(isCutOff));
 		}
 	}
 
@@ -560,11 +561,12 @@
 				agents.forEach((agent) -> byAgent.computeIfAbsent(agent, (id) -> new ArrayList<>()).add(request));
 			}
 		}
-		byAgent.forEach((agent, list) -> send(agent, new Frame.Recorded(list)));
+		byAgent.forEach((agent, stored) -> send(agent, new Frame.Recorded(stored)));
 	}
 
 	/**
-	 * Tells an entry that may have just started what it must not run.
+	 * Sends the suspect contents to an entry that may have just started and does not know
+	 * them.
 	 */
 	void sendSuspects(PeerLink link) {
 		this.shards.get(0).suspects().forEach((suspicion) -> link.send(new Frame.Suspect(suspicion)));
@@ -580,7 +582,8 @@
 	}
 
 	/**
-	 * On how many nodes a revision is in force.
+	 * The number of nodes on which a revision is in force, the number that should have
+	 * it, and the nodes that lack it.
 	 */
 	record InForceCount(int currentNodes, int expectedNodes, Set<NodeId> missing) {
 	}
--- a/daemon/src/main/java/org/gullsaddle/entry/EntryServer.java
+++ b/daemon/src/main/java/org/gullsaddle/entry/EntryServer.java
@@ -8,7 +8,7 @@
 import org.gullsaddle.telemetry.StatusRoutes;
 
 /**
- * The entry's two HTTP servers.
+ * The entry's HTTP servers: one for callers, one for operators.
  */
 public final class EntryServer {
 
@@ -19,8 +19,8 @@
 	private final HttpServer adminServer;
 
 	/**
-	 * Makes servers that do not listen yet.
-	 * @param node the entry
+	 * Creates the servers; {@link #listen} starts them.
+	 * @param node the entry node
 	 */
 	public EntryServer(EntryNode node) {
 		this.node = node;
@@ -35,8 +35,8 @@
 	}
 
 	/**
-	 * Listens.
-	 * @return done once both listen
+	 * Starts both servers.
+	 * @return completes when both listen
 	 */
 	public Future<Void> listen() {
 		Settings.Entry settings = this.node.settings().entry().orElseThrow();
--- a/daemon/src/main/java/org/gullsaddle/entry/EntryServices.java
+++ b/daemon/src/main/java/org/gullsaddle/entry/EntryServices.java
@@ -8,7 +8,7 @@
 import org.gullsaddle.wire.Frame;
 
 /**
- * What a shard carries its actions out with.
+ * Services that a shard uses to execute the router's actions.
  */
 interface EntryServices {
 
@@ -19,33 +19,34 @@
 	RatingClient ratingClient();
 
 	/**
-	 * Sends an attempt; false if there is no link, and nothing was written.
+	 * Sends an attempt to an agent. Returns false if there is no link and nothing was
+	 * sent.
 	 */
 	boolean dispatch(NodeId agent, Dispatch dispatch);
 
 	/**
-	 * Sends a frame, if there is a link.
+	 * Sends a frame to an agent, or drops it if there is no link.
 	 */
 	void send(NodeId agent, Frame frame);
 
 	/**
-	 * Tells this node's other shards and all other nodes of a suspicion.
+	 * Announces a suspect content to this node's shards and all other entries.
 	 */
 	void announceSuspect(SuspectContent suspicion);
 
 	/**
-	 * Tells this node's other shards, all other entries and the operators of a halt.
+	 * Announces a halt to this node's shards, all other entries and the operators.
 	 */
 	void announceHalt(Halt halt);
 
 	/**
-	 * Writes a request's record to the ledger ahead of its answer. The request's shard
-	 * hears once the store has it.
+	 * Writes a request's record to the ledger before its answer is sent. The request's
+	 * shard gets an event when the store has the record.
 	 */
 	void writeRecordBeforeAnswer(RequestRecord record);
 
 	/**
-	 * Writes a request's record to the ledger and gives its permit back.
+	 * Writes the record of an ended request to the ledger and releases its permit.
 	 */
 	void writeRecord(RequestRecord record);
 
--- a/daemon/src/main/java/org/gullsaddle/entry/Exchange.java
+++ b/daemon/src/main/java/org/gullsaddle/entry/Exchange.java
@@ -12,7 +12,7 @@
 import org.gullsaddle.clock.Moment;
 
 /**
- * A caller's request on its way through the filters; each adds what it finds out.
+ * A caller's HTTP request and what the filters have read from it.
  */
 final class Exchange {
 
@@ -118,12 +118,12 @@
 	}
 
 	/**
-	 * Sets what is handed to the backend server, and the content that tells whether two
-	 * requests are the same.
+	 * Sets the body for the backend server, and the content that identifies equal
+	 * requests.
 	 */
-	void body(String value, String sameness, long prefix) {
+	void body(String value, String contentKey, long prefix) {
 		this.body = value;
-		this.content = sameness;
+		this.content = contentKey;
 		this.prefixHash = prefix;
 	}
 
--- a/daemon/src/main/java/org/gullsaddle/entry/Headers.java
+++ b/daemon/src/main/java/org/gullsaddle/entry/Headers.java
@@ -1,7 +1,7 @@
 package org.gullsaddle.entry;
 
 /**
- * The headers that callers send and get beyond the usual ones.
+ * Names of the HTTP headers of the caller API.
  */
 final class Headers {
 
--- a/daemon/src/main/java/org/gullsaddle/entry/HeldCopyTable.java
+++ b/daemon/src/main/java/org/gullsaddle/entry/HeldCopyTable.java
@@ -12,8 +12,9 @@
 import org.gullsaddle.telemetry.NodeClock;
 
 /**
- * Copies of lines of attempts that other entries sent, in case they and the agents are
- * lost; see {@link HeldLines}. Thread-safe.
+ * Holds copies of attempt records that agents sent, in case the attempt's entry and agent
+ * are both lost, and writes them to the ledger when due; see {@link HeldLines}.
+ * Thread-safe.
  */
 final class HeldCopyTable {
 
--- a/daemon/src/main/java/org/gullsaddle/entry/InboundPeerListener.java
+++ b/daemon/src/main/java/org/gullsaddle/entry/InboundPeerListener.java
@@ -6,8 +6,8 @@
 import org.gullsaddle.wire.PeerListener;
 
 /**
- * Links that other entries dialed: they bring templates and what others know, and take no
- * work.
+ * Handles links that other entries opened to this node. They carry templates, suspects,
+ * halts and records, but no attempts.
  */
 final class InboundPeerListener implements PeerListener {
 
@@ -37,7 +37,7 @@
 
 	@Override
 	public void down(PeerLink link) {
-		// This node dials the other one itself, and hears there whether it lives.
+		// This node has its own link to the other entry and detects failures there.
 	}
 
 }
--- a/daemon/src/main/java/org/gullsaddle/entry/MeasuredResponse.java
+++ b/daemon/src/main/java/org/gullsaddle/entry/MeasuredResponse.java
@@ -6,7 +6,7 @@
 import org.gullsaddle.telemetry.Telemetry;
 
 /**
- * Measures an answer on its way to the caller.
+ * Records latency and outcome metrics of a response, and passes it on.
  */
 final class MeasuredResponse implements CallerResponse {
 
@@ -20,8 +20,8 @@
 
 	private long lastPartMillis;
 
-	MeasuredResponse(CallerResponse answer, Exchange exchange, EntryNode node) {
-		this.response = answer;
+	MeasuredResponse(CallerResponse response, Exchange exchange, EntryNode node) {
+		this.response = response;
 		this.exchange = exchange;
 		this.node = node;
 		this.telemetry = node.telemetry();
--- a/daemon/src/main/java/org/gullsaddle/entry/RatingClient.java
+++ b/daemon/src/main/java/org/gullsaddle/entry/RatingClient.java
@@ -13,7 +13,7 @@
 import org.gullsaddle.base.ModelVersion;
 
 /**
- * Asks the platform's rating service. Thread-safe.
+ * Client of the platform's rating service. Thread-safe.
  */
 final class RatingClient {
 
@@ -29,7 +29,8 @@
 	}
 
 	/**
-	 * Rates an answer; empty if no rating came in time.
+	 * Rates an answer. The result is empty if there is no rating service, or no valid
+	 * score arrives in time.
 	 */
 	Single<OptionalDouble> rate(ModelVersion version, String prompt, String answer) {
 		if (this.url.isEmpty()) {
--- a/daemon/src/main/java/org/gullsaddle/entry/RefusalWriter.java
+++ b/daemon/src/main/java/org/gullsaddle/entry/RefusalWriter.java
@@ -6,8 +6,8 @@
 import org.gullsaddle.base.Refusal;
 
 /**
- * Writes refusals: the reason, the verdict and when to come back, and nothing of other
- * teams.
+ * Writes refusals: the reason, the verdict and when to retry. A refusal contains nothing
+ * about other teams.
  */
 final class RefusalWriter {
 
--- a/daemon/src/main/java/org/gullsaddle/entry/RefusedException.java
+++ b/daemon/src/main/java/org/gullsaddle/entry/RefusedException.java
@@ -4,7 +4,7 @@
 import org.gullsaddle.base.RefusalReason;
 
 /**
- * A filter refused a request, which was not run.
+ * Thrown when a filter refuses a request, which then is not run.
  */
 class RefusedException extends Exception {
 
--- a/daemon/src/main/java/org/gullsaddle/entry/RequestFilter.java
+++ b/daemon/src/main/java/org/gullsaddle/entry/RequestFilter.java
@@ -1,13 +1,13 @@
 package org.gullsaddle.entry;
 
 /**
- * A step that every request passes before it is routed.
+ * A check that a caller's request passes before it is routed.
  */
 interface RequestFilter {
 
 	/**
-	 * Lets a request pass, having added what it found out.
-	 * @throws RefusedException if the request goes no further
+	 * Checks a request and adds what it reads to the exchange.
+	 * @throws RefusedException if the request is refused
 	 */
 	void apply(Exchange exchange) throws RefusedException;
 
--- a/daemon/src/main/java/org/gullsaddle/entry/RequestFilters.java
+++ b/daemon/src/main/java/org/gullsaddle/entry/RequestFilters.java
@@ -28,7 +28,7 @@
 import org.gullsaddle.template.VersionRule;
 
 /**
- * The filters, in the order that {@link CallerApi} chains them.
+ * The request filters, in the order in which {@link CallerApi} applies them.
  */
 final class RequestFilters {
 
@@ -50,7 +50,7 @@
 
 	private static final Set<String> MESSAGE_ROLES = Set.of("system", "developer", "user", "assistant", "tool");
 
-	/** What a caller may set and the engine is handed as it is. */
+	/** Parameters of the request body that are forwarded to the engine unchanged. */
 	private static final List<String> FORWARDED_PARAMETERS = List.of("temperature", "top_p", "stop", "seed",
 			"frequency_penalty", "presence_penalty");
 
@@ -60,7 +60,7 @@
 	}
 
 	/**
-	 * Refuses everything while the node stops.
+	 * Refuses every request while the node is stopping.
 	 */
 	record StopCheck(EntryNode node) implements RequestFilter {
 
@@ -75,7 +75,7 @@
 	}
 
 	/**
-	 * Finds the team by the caller's key.
+	 * Identifies the team by the caller's API key.
 	 */
 	record Authentication(List<AccessKey<TeamId>> keys) implements RequestFilter {
 
@@ -91,7 +91,7 @@
 	}
 
 	/**
-	 * Reads a chat completion's body.
+	 * Parses and checks the body of a chat completion request.
 	 */
 	record ChatBody() implements RequestFilter {
 
@@ -149,8 +149,8 @@
 		}
 
 		private static int readMaxTokens(JsonObject body) {
-			Integer given = body.getInteger("max_completion_tokens", body.getInteger("max_tokens"));
-			int maxTokens = (given != null) ? given : DEFAULT_OUTPUT_TOKENS;
+			Integer requested = body.getInteger("max_completion_tokens", body.getInteger("max_tokens"));
+			int maxTokens = (requested != null) ? requested : DEFAULT_OUTPUT_TOKENS;
 			if (maxTokens < 1 || maxTokens > MAX_OUTPUT_TOKENS) {
 				throw new IllegalArgumentException("max_tokens must be between 1 and " + MAX_OUTPUT_TOKENS);
 			}
@@ -160,7 +160,7 @@
 	}
 
 	/**
-	 * Reads a call to a plain service.
+	 * Reads a call to a service that is not a language model.
 	 */
 	record ServiceBody() implements RequestFilter {
 
@@ -185,15 +185,16 @@
 		}
 
 		private static String servicePath(Exchange exchange) {
-			String start = "/v1/services/" + exchange.template();
-			String rest = exchange.context().request().uri().substring(start.length());
-			return rest.startsWith("/") ? rest : "/" + rest;
+			String prefix = "/v1/services/" + exchange.template();
+			String path = exchange.context().request().uri().substring(prefix.length());
+			return path.startsWith("/") ? path : "/" + path;
 		}
 
 	}
 
 	/**
-	 * Checks the template and the idempotency key, and sets the deadline.
+	 * Checks that the team may use the template and that a required idempotency key is
+	 * there, and sets the deadline.
 	 */
 	record TemplateCheck(EntryNode node, TemplateKind kind) implements RequestFilter {
 
@@ -237,7 +238,7 @@
 	}
 
 	/**
-	 * Reads the session and the version that it has.
+	 * Reads the session id and the version that the session is pinned to by its token.
 	 */
 	record SessionPin(SessionRegistry sessions) implements RequestFilter {
 
@@ -253,18 +254,19 @@
 			catch (IllegalArgumentException ex) {
 				throw new RefusedException(RefusalReason.INVALID, Headers.SESSION_ID + ": " + ex.getMessage());
 			}
-			Optional<SessionRegistry.SessionToken> read = (token != null)
+			Optional<SessionRegistry.SessionToken> parsed = (token != null)
 					? this.sessions.readToken(token, exchange.team(), exchange.template()) : Optional.empty();
-			if (read.isPresent() && (id == null || read.get().session().equals(exchange.session()))) {
-				exchange.session(read.get().session());
-				exchange.pinnedVersion(read.get().version());
+			if (parsed.isPresent() && (id == null || parsed.get().session().equals(exchange.session()))) {
+				exchange.session(parsed.get().session());
+				exchange.pinnedVersion(parsed.get().version());
 			}
 		}
 
 	}
 
 	/**
-	 * Refuses while the ledger has no room: what cannot be recorded is not run.
+	 * Refuses requests while the ledger is full, since a request that cannot be recorded
+	 * must not run.
 	 */
 	record LedgerCheck(EntryNode node) implements RequestFilter {
 
@@ -279,19 +281,19 @@
 	}
 
 	/**
-	 * Takes the request's part of its team's allowance.
+	 * Reserves the request's highest possible cost from its team's allowance.
 	 */
 	record AllowanceCheck(EntryNode node, AllowanceTable allowances) implements RequestFilter {
 
 		@Override
 		public void apply(Exchange exchange) throws RefusedException {
 			Template template = this.node.findTemplate(exchange.template()).orElseThrow().template();
-			Usage most = new Usage(exchange.promptTokens(), exchange.maxTokens());
-			// A cascade pays for each of its stages.
+			Usage maxUsage = new Usage(exchange.promptTokens(), exchange.maxTokens());
+			// A cascade may run two versions, so the two highest costs are reserved.
 			long cost = template.versions()
 				.stream()
 				.map(VersionRule::price)
-				.mapToLong((price) -> price.costOf(most))
+				.mapToLong((price) -> price.costOf(maxUsage))
 				.sorted()
 				.skip(Math.max(0, template.versions().size() - 2))
 				.sum();
--- a/daemon/src/main/java/org/gullsaddle/entry/RouterShard.java
+++ b/daemon/src/main/java/org/gullsaddle/entry/RouterShard.java
@@ -20,8 +20,8 @@
 import org.gullsaddle.wire.Frame;
 
 /**
- * A part of the entry's requests, under its own lock: carries out what its {@link Router}
- * decides.
+ * Holds a share of the entry's requests under its own lock, and executes the actions that
+ * its {@link Router} decides on.
  */
 final class RouterShard {
 
@@ -45,14 +45,14 @@
 		this.clock = clock;
 	}
 
-	synchronized void submit(IncomingRequest request, CallerResponse answer) {
-		this.responses.put(request.id(), answer);
+	synchronized void submit(IncomingRequest request, CallerResponse response) {
+		this.responses.put(request.id(), response);
 		handle(new RouterEvent.RequestArrived(request));
 	}
 
 	/**
-	 * Decides on an event and carries the actions out, in their order. An event that an
-	 * action leads to at once waits until the actions before it are done.
+	 * Passes an event to the router and executes the resulting actions in order. An event
+	 * that an action raises synchronously is queued until these actions are done.
 	 */
 	synchronized void handle(RouterEvent event) {
 		this.pendingEvents.add(event);
@@ -69,8 +69,8 @@
 					delivered |= action instanceof RouterAction.Deliver;
 				}
 				if (next instanceof RouterEvent.AttemptChunk chunk && !delivered) {
-					// Kept for a rating, or of an attempt that no longer counts: no
-					// caller will take it.
+					// The chunk is kept for a rating, or its attempt no longer counts.
+					// No caller reads it, so the credit is returned here.
 					sendCredit(chunk.attempt().request(), chunk.text().length());
 				}
 			}
@@ -92,9 +92,9 @@
 		switch (action) {
 			case RouterAction.Claim claim -> this.services.claims()
 				.claim(claim.request(), claim.team(), claim.key(), claim.content())
-				.subscribe((answer) -> handle(new RouterEvent.ClaimCompleted(claim.request(), answer)));
-			case RouterAction.CompleteClaim settle ->
-				this.services.claims().complete(settle.request(), settle.team(), settle.key(), settle.outcome());
+				.subscribe((result) -> handle(new RouterEvent.ClaimCompleted(claim.request(), result)));
+			case RouterAction.CompleteClaim completion -> this.services.claims()
+				.complete(completion.request(), completion.team(), completion.key(), completion.outcome());
 			case RouterAction.ReleaseClaim release ->
 				this.services.claims().release(release.request(), release.team(), release.key());
 			case RouterAction.PinSession pin -> this.services.sessions()
@@ -111,11 +111,11 @@
 				.subscribe((score) -> handle(new RouterEvent.AnswerRated(rate.attempt(), score)));
 			case RouterAction.AnnounceSuspect suspect -> this.services.announceSuspect(suspect.suspicion());
 			case RouterAction.AnnounceHalt announce -> this.services.announceHalt(announce.halt());
-			case RouterAction.WriteRecordBeforeAnswer keep -> this.services.writeRecordBeforeAnswer(keep.record());
-			case RouterAction.WriteRecord record -> {
-				this.responses.remove(record.record().request());
-				this.currentAttempts.remove(record.record().request());
-				this.services.writeRecord(record.record());
+			case RouterAction.WriteRecordBeforeAnswer early -> this.services.writeRecordBeforeAnswer(early.record());
+			case RouterAction.WriteRecord write -> {
+				this.responses.remove(write.record().request());
+				this.currentAttempts.remove(write.record().request());
+				this.services.writeRecord(write.record());
 			}
 		}
 	}
@@ -124,7 +124,7 @@
 		AttemptId attempt = send.dispatch().attempt();
 		this.currentAttempts.put(attempt.request(), new CurrentAttempt(send.agent(), attempt));
 		if (!this.services.dispatch(send.agent(), send.dispatch())) {
-			// No link, so nothing was written: this attempt surely does not run.
+			// Without a link nothing was sent, so the attempt cannot have run.
 			handle(new RouterEvent.AttemptFailed(attempt, Verdict.NOT_RUN, false, Usage.NONE));
 		}
 	}
--- a/daemon/src/main/java/org/gullsaddle/entry/ServiceResponse.java
+++ b/daemon/src/main/java/org/gullsaddle/entry/ServiceResponse.java
@@ -12,7 +12,8 @@
 import org.gullsaddle.base.Verdict;
 
 /**
- * Answers a call to a plain service with what the service answered.
+ * Returns a service's answer to the caller as one body. State is confined to the
+ * request's Vert.x context.
  */
 final class ServiceResponse implements CallerResponse {
 
--- a/daemon/src/main/java/org/gullsaddle/entry/SessionRegistry.java
+++ b/daemon/src/main/java/org/gullsaddle/entry/SessionRegistry.java
@@ -21,8 +21,8 @@
 import org.gullsaddle.route.RouterAction;
 
 /**
- * Which version each session has: in a signed token that the caller hands back, and in
- * the store for callers that send only the session's id. Thread-safe.
+ * Keeps the version that each session is pinned to: in a signed token that the caller
+ * sends back, and in the store for callers that send only the session id. Thread-safe.
  */
 final class SessionRegistry {
 
@@ -47,15 +47,15 @@
 	}
 
 	/**
-	 * Settles a session's version; empty if the store cannot say. What was settled here
-	 * once needs no store: a version changes only when it is withdrawn, and then the
-	 * router asks to replace it.
+	 * Pins a session to a version. The result is empty if the store does not answer. A
+	 * pin cached here needs no store: a version changes only when it is withdrawn, and
+	 * then the router asks to replace it.
 	 */
 	Single<Optional<ModelVersion>> pin(RouterAction.PinSession pin) {
 		String name = pin.team() + "/" + pin.template() + "/" + pin.session();
-		ModelVersion known = cachedVersion(name);
-		if (known != null && !known.equals(pin.replaced())) {
-			return Single.just(Optional.of(known));
+		ModelVersion cached = cachedVersion(name);
+		if (cached != null && !cached.equals(pin.replaced())) {
+			return Single.just(Optional.of(cached));
 		}
 		String nonce = UUID.randomUUID().toString();
 		String value = pin.proposed().toString();
@@ -64,7 +64,7 @@
 				: new Operation.Put(name, nonce, value);
 		return this.register.submit(operation, PIN_TIMEOUT_MILLIS)
 			.map((entry) -> entry.map(Entry::value).map(ModelVersion::of))
-			.doOnSuccess((version) -> version.ifPresent((settled) -> cacheVersion(name, settled)))
+			.doOnSuccess((version) -> version.ifPresent((pinned) -> cacheVersion(name, pinned)))
 			.onErrorReturnItem(Optional.empty());
 	}
 
@@ -82,8 +82,8 @@
 	}
 
 	/**
-	 * Reads a token; one that was not signed with the key, or for another team or
-	 * template, is none.
+	 * Reads a token. The result is empty if the token is malformed, not signed with the
+	 * key, or issued for another team or template.
 	 */
 	Optional<SessionToken> readToken(String token, TeamId team, TemplateName template) {
 		int dot = token.indexOf('.');
@@ -114,7 +114,7 @@
 	}
 
 	/**
-	 * What a signed token says.
+	 * The content of a signed token.
 	 */
 	record SessionToken(SessionId session, ModelVersion version) {
 	}
--- a/daemon/src/main/java/org/gullsaddle/entry/package-info.java
+++ b/daemon/src/main/java/org/gullsaddle/entry/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The entry: takes callers' requests through a chain of filters to the router's shards,
- * carries out what they decide, and serves operators.
+ * The entry node: passes callers' requests through filters to the router's shards,
+ * executes the router's actions, and serves the operators' API.
  */
 package org.gullsaddle.entry;
--- a/daemon/src/test/java/org/gullsaddle/entry/ClaimRegistryTests.java
+++ b/daemon/src/test/java/org/gullsaddle/entry/ClaimRegistryTests.java
@@ -27,17 +27,18 @@
 	private static final Fingerprint CONTENT = new Fingerprint("c0ffee");
 
 	/**
-	 * Guards against a renamed component, which a node of another build would skip.
+	 * Guards against a renamed record component, which a node of another build would
+	 * ignore when it reads the stored claim.
 	 */
 	@Test
 	void claimKeepsItsStoredFormat() throws IOException {
 		ClaimRegistry.Claim open = new ClaimRegistry.Claim(REQUEST, CONTENT, null);
-		ClaimRegistry.Claim settled = new ClaimRegistry.Claim(REQUEST, CONTENT, new CallOutcome(REQUEST, "booking@v1",
+		ClaimRegistry.Claim completed = new ClaimRegistry.Claim(REQUEST, CONTENT, new CallOutcome(REQUEST, "booking@v1",
 				new Completion(201, "text/plain", "stop", new Usage(1, 2)), "ok"));
 		assertThat(Json.write(open)).isEqualTo(OPEN);
-		assertThat(Json.write(settled)).isEqualTo(COMPLETED);
+		assertThat(Json.write(completed)).isEqualTo(COMPLETED);
 		assertThat(Json.read(OPEN, ClaimRegistry.Claim.class)).isEqualTo(open);
-		assertThat(Json.read(COMPLETED, ClaimRegistry.Claim.class)).isEqualTo(settled);
+		assertThat(Json.read(COMPLETED, ClaimRegistry.Claim.class)).isEqualTo(completed);
 	}
 
 }
--- a/daemon/src/test/java/org/gullsaddle/entry/SessionRegistryTests.java
+++ b/daemon/src/test/java/org/gullsaddle/entry/SessionRegistryTests.java
@@ -39,8 +39,8 @@
 
 	@Test
 	void ignoresTokenSignedWithAnotherKey() {
-		SessionRegistry others = new SessionRegistry(null, "another key".getBytes(StandardCharsets.UTF_8));
-		assertThat(others.readToken(this.token, GOLD, TEMPLATE)).isEmpty();
+		SessionRegistry otherRegistry = new SessionRegistry(null, "another key".getBytes(StandardCharsets.UTF_8));
+		assertThat(otherRegistry.readToken(this.token, GOLD, TEMPLATE)).isEmpty();
 	}
 
 	@ParameterizedTest
