--- a/daemon/src/main/java/org/gullsaddle/entry/ClaimRegistry.java
+++ b/daemon/src/main/java/org/gullsaddle/entry/ClaimRegistry.java
@@ -31,8 +31,8 @@
 	private static final long CLAIM_TIMEOUT_MILLIS = 1500;
 
 	/**
-	 * An outcome with a longer text is not stored; a repeated call is told that it may have
-	 * run.
+	 * An outcome with a longer text is not stored; a repeated call is told that it may
+	 * have run.
 	 */
 	private static final int MAX_STORED_TEXT_CHARACTERS = 32_768;
 
