--- a/daemon/src/main/java/org/gullsaddle/entry/Exchange.java
+++ b/daemon/src/main/java/org/gullsaddle/entry/Exchange.java
@@ -12,7 +12,7 @@
 import org.gullsaddle.clock.Moment;
 
 /**
- * A caller's request on its way through the filters; each adds what it finds out.
+ * A caller's HTTP request and what the filters have read from it.
  */
 final class Exchange {
 
@@ -28,7 +28,7 @@
 
 	private JsonObject chat;
 
-	private boolean stream;
+	private boolean streamed;
 
 	private long promptTokens;
 
@@ -48,7 +48,7 @@
 
 	private SessionId session;
 
-	private ModelVersion pinned;
+	private ModelVersion pinnedVersion;
 
 	private Permit permit;
 
@@ -96,13 +96,13 @@
 
 	void chat(JsonObject value, boolean streamed, long prompt, long max) {
 		this.chat = value;
-		this.stream = streamed;
+		this.streamed = streamed;
 		this.promptTokens = prompt;
 		this.maxTokens = max;
 	}
 
-	boolean stream() {
-		return this.stream;
+	boolean isStreamed() {
+		return this.streamed;
 	}
 
 	long promptTokens() {
@@ -118,12 +118,12 @@
 	}
 
 	/**
-	 * Sets what is handed to the backend server, and the content that tells whether two
-	 * requests are the same.
+	 * Sets the body for the backend server, and the content that identifies equal
+	 * requests.
 	 */
-	void body(String value, String sameness, long prefix) {
+	void body(String value, String contentKey, long prefix) {
 		this.body = value;
-		this.content = sameness;
+		this.content = contentKey;
 		this.prefixHash = prefix;
 	}
 
@@ -135,7 +135,7 @@
 		return this.prefixHash;
 	}
 
-	boolean repeatable() {
+	boolean isRepeatable() {
 		return this.repeatable;
 	}
 
@@ -143,7 +143,7 @@
 		return this.idempotencyKey;
 	}
 
-	void onceOnly(String key) {
+	void requireAtMostOnce(String key) {
 		this.repeatable = false;
 		this.idempotencyKey = key;
 	}
@@ -164,12 +164,12 @@
 		this.session = value;
 	}
 
-	ModelVersion pinned() {
-		return this.pinned;
+	ModelVersion pinnedVersion() {
+		return this.pinnedVersion;
 	}
 
-	void pinned(ModelVersion value) {
-		this.pinned = value;
+	void pinnedVersion(ModelVersion value) {
+		this.pinnedVersion = value;
 	}
 
 	Permit permit() {
--- a/daemon/src/main/java/org/gullsaddle/entry/Rater.java
+++ b/daemon/src/main/java/org/gullsaddle/entry/RatingClient.java
@@ -13,9 +13,9 @@
 import org.gullsaddle.base.ModelVersion;
 
 /**
- * Asks the platform's rating service. Thread-safe.
+ * Client of the platform's rating service. Thread-safe.
  */
-final class Rater {
+final class RatingClient {
 
 	private static final long TIMEOUT_MILLIS = 2000;
 
@@ -23,13 +23,14 @@
 
 	private final Optional<URI> url;
 
-	Rater(Vertx vertx, Optional<URI> url) {
+	RatingClient(Vertx vertx, Optional<URI> url) {
 		this.url = url;
 		this.client = WebClient.create(vertx);
 	}
 
 	/**
-	 * Rates an answer; empty if no rating came in time.
+	 * Rates an answer. The result is empty if there is no rating service, or no valid
+	 * score arrives in time.
 	 */
 	Single<OptionalDouble> rate(ModelVersion version, String prompt, String answer) {
 		if (this.url.isEmpty()) {
@@ -41,11 +42,11 @@
 		return this.client.postAbs(this.url.get().toString())
 			.rxSendJsonObject(body)
 			.timeout(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)
-			.map((response) -> score(response.bodyAsJsonObject()))
+			.map((response) -> parseScore(response.bodyAsJsonObject()))
 			.onErrorReturnItem(OptionalDouble.empty());
 	}
 
-	private static OptionalDouble score(JsonObject answer) {
+	private static OptionalDouble parseScore(JsonObject answer) {
 		Double score = answer.getDouble("score");
 		return (score != null && score >= 0 && score <= 1) ? OptionalDouble.of(score) : OptionalDouble.empty();
 	}
--- a/daemon/src/main/java/org/gullsaddle/entry/RouterShard.java
+++ b/daemon/src/main/java/org/gullsaddle/entry/RouterShard.java
@@ -20,8 +20,8 @@
 import org.gullsaddle.wire.Frame;
 
 /**
- * A part of the entry's requests, under its own lock: carries out what its {@link Router}
- * decides.
+ * Holds a share of the entry's requests under its own lock, and executes the actions that
+ * its {@link Router} decides on.
  */
 final class RouterShard {
 
@@ -31,11 +31,11 @@
 
 	private final NodeClock clock;
 
-	private final Map<RequestId, CallerAnswer> callers = new HashMap<>();
+	private final Map<RequestId, CallerResponse> responses = new HashMap<>();
 
-	private final Map<RequestId, Current> currents = new HashMap<>();
+	private final Map<RequestId, CurrentAttempt> currentAttempts = new HashMap<>();
 
-	private final Queue<RouterEvent> events = new ArrayDeque<>();
+	private final Queue<RouterEvent> pendingEvents = new ArrayDeque<>();
 
 	private boolean handling;
 
@@ -45,33 +45,33 @@
 		this.clock = clock;
 	}
 
-	synchronized void submit(IncomingRequest request, CallerAnswer answer) {
-		this.callers.put(request.id(), answer);
+	synchronized void submit(IncomingRequest request, CallerResponse response) {
+		this.responses.put(request.id(), response);
 		handle(new RouterEvent.RequestArrived(request));
 	}
 
 	/**
-	 * Decides on an event and carries the actions out, in their order. An event that an
-	 * action leads to at once waits until the actions before it are done.
+	 * Passes an event to the router and executes the resulting actions in order. An event
+	 * that an action raises synchronously is queued until these actions are done.
 	 */
 	synchronized void handle(RouterEvent event) {
-		this.events.add(event);
+		this.pendingEvents.add(event);
 		if (this.handling) {
 			return;
 		}
 		this.handling = true;
 		try {
-			while (!this.events.isEmpty()) {
-				RouterEvent next = this.events.poll();
+			while (!this.pendingEvents.isEmpty()) {
+				RouterEvent next = this.pendingEvents.poll();
 				boolean delivered = false;
 				for (RouterAction action : this.router.handle(this.clock.now(), next)) {
-					carryOut(action);
+					execute(action);
 					delivered |= action instanceof RouterAction.Deliver;
 				}
 				if (next instanceof RouterEvent.AttemptChunk chunk && !delivered) {
-					// Kept for a rating, or of an attempt that no longer counts: no
-					// caller will take it.
-					credit(chunk.attempt().request(), chunk.text().length());
+					// The chunk is kept for a rating, or its attempt no longer counts.
+					// No caller reads it, so the credit is returned here.
+					sendCredit(chunk.attempt().request(), chunk.text().length());
 				}
 			}
 		}
@@ -84,17 +84,17 @@
 		return this.router.suspects();
 	}
 
-	synchronized int openRequests() {
+	synchronized int openRequestCount() {
 		return this.router.openRequestCount();
 	}
 
-	private void carryOut(RouterAction action) {
+	private void execute(RouterAction action) {
 		switch (action) {
 			case RouterAction.Claim claim -> this.services.claims()
 				.claim(claim.request(), claim.team(), claim.key(), claim.content())
-				.subscribe((answer) -> handle(new RouterEvent.ClaimCompleted(claim.request(), answer)));
-			case RouterAction.CompleteClaim settle ->
-				this.services.claims().settle(settle.request(), settle.team(), settle.key(), settle.outcome());
+				.subscribe((result) -> handle(new RouterEvent.ClaimCompleted(claim.request(), result)));
+			case RouterAction.CompleteClaim completion -> this.services.claims()
+				.complete(completion.request(), completion.team(), completion.key(), completion.outcome());
 			case RouterAction.ReleaseClaim release ->
 				this.services.claims().release(release.request(), release.team(), release.key());
 			case RouterAction.PinSession pin -> this.services.sessions()
@@ -103,46 +103,46 @@
 			case RouterAction.Send send -> send(send);
 			case RouterAction.Cancel cancel -> this.services.send(cancel.agent(), new Frame.Cancel(cancel.attempt()));
 			case RouterAction.Deliver deliver -> deliver(deliver);
-			case RouterAction.Complete complete -> this.callers.get(complete.request())
+			case RouterAction.Complete complete -> this.responses.get(complete.request())
 				.complete(complete.servedBy(), complete.completion(), complete.costMicros());
-			case RouterAction.Refuse refuse -> this.callers.get(refuse.request()).refuse(refuse.refusal());
-			case RouterAction.RateAnswer rate -> this.services.rater()
+			case RouterAction.Refuse refuse -> this.responses.get(refuse.request()).refuse(refuse.refusal());
+			case RouterAction.RateAnswer rate -> this.services.ratingClient()
 				.rate(rate.version(), rate.prompt(), rate.answer())
 				.subscribe((score) -> handle(new RouterEvent.AnswerRated(rate.attempt(), score)));
-			case RouterAction.AnnounceSuspect suspect -> this.services.suspect(suspect.suspicion());
-			case RouterAction.AnnounceHalt announce -> this.services.halted(announce.halt());
-			case RouterAction.WriteRecordBeforeAnswer keep -> this.services.keepRecord(keep.record());
-			case RouterAction.WriteRecord record -> {
-				this.callers.remove(record.record().request());
-				this.currents.remove(record.record().request());
-				this.services.record(record.record());
+			case RouterAction.AnnounceSuspect suspect -> this.services.announceSuspect(suspect.suspicion());
+			case RouterAction.AnnounceHalt announce -> this.services.announceHalt(announce.halt());
+			case RouterAction.WriteRecordBeforeAnswer early -> this.services.writeRecordBeforeAnswer(early.record());
+			case RouterAction.WriteRecord write -> {
+				this.responses.remove(write.record().request());
+				this.currentAttempts.remove(write.record().request());
+				this.services.writeRecord(write.record());
 			}
 		}
 	}
 
 	private void send(RouterAction.Send send) {
 		AttemptId attempt = send.dispatch().attempt();
-		this.currents.put(attempt.request(), new Current(send.agent(), attempt));
+		this.currentAttempts.put(attempt.request(), new CurrentAttempt(send.agent(), attempt));
 		if (!this.services.dispatch(send.agent(), send.dispatch())) {
-			// No link, so nothing was written: this attempt surely does not run.
+			// Without a link nothing was sent, so the attempt cannot have run.
 			handle(new RouterEvent.AttemptFailed(attempt, Verdict.NOT_RUN, false, Usage.NONE));
 		}
 	}
 
 	private void deliver(RouterAction.Deliver deliver) {
 		int characters = deliver.text().length();
-		this.callers.get(deliver.request())
-			.deliver(deliver.version(), deliver.text(), () -> credit(deliver.request(), characters));
+		this.responses.get(deliver.request())
+			.deliver(deliver.version(), deliver.text(), () -> sendCredit(deliver.request(), characters));
 	}
 
-	private synchronized void credit(RequestId request, int characters) {
-		Current current = this.currents.get(request);
+	private synchronized void sendCredit(RequestId request, int characters) {
+		CurrentAttempt current = this.currentAttempts.get(request);
 		if (current != null) {
 			this.services.send(current.agent(), new Frame.Credit(current.attempt(), characters));
 		}
 	}
 
-	private record Current(NodeId agent, AttemptId attempt) {
+	private record CurrentAttempt(NodeId agent, AttemptId attempt) {
 	}
 
 }
