--- a/daemon/src/main/java/org/gullsaddle/backend/AgentNode.java
+++ b/daemon/src/main/java/org/gullsaddle/backend/AgentNode.java
@@ -124,7 +124,7 @@
 		this.backend = (agent.kind() == TemplateKind.CHAT) ? new EngineBackend(http)
 				: new ServiceBackend(http, agent.versions());
 		this.admission = new Admission(AdmissionSettings.of(settings.node()).withMaxQueued(agent.maxQueued()));
-		templates.listen(this::templateChanged);
+		templates.addListener(this::templateChanged);
 	}
 
 	/**
@@ -408,7 +408,7 @@
 	}
 
 	private Frame.InForce inForce() {
-		return new Frame.InForce(this.templates.revisions());
+		return new Frame.InForce(this.templates.revisionNumbers());
 	}
 
 }
--- a/daemon/src/main/java/org/gullsaddle/controller/ConflictException.java
+++ b/daemon/src/main/java/org/gullsaddle/controller/ConflictException.java
@@ -9,20 +9,20 @@
  */
 public class ConflictException extends Exception {
 
-	private final transient Optional<TemplateRevision> present;
+	private final transient Optional<TemplateRevision> current;
 
 	ConflictException(Optional<TemplateRevision> present) {
 		super(present.map((held) -> "the template is at revision " + held.revision() + ", changed by " + held.author())
 			.orElse("the template does not exist"));
-		this.present = present;
+		this.current = present;
 	}
 
 	/**
 	 * Returns the revision found.
 	 * @return the revision, or empty if the template does not exist
 	 */
-	public Optional<TemplateRevision> present() {
-		return this.present;
+	public Optional<TemplateRevision> current() {
+		return this.current;
 	}
 
 }
--- a/daemon/src/main/java/org/gullsaddle/controller/GrantController.java
+++ b/daemon/src/main/java/org/gullsaddle/controller/GrantController.java
@@ -23,7 +23,7 @@
 
 	private static final Logger LOG = LoggerFactory.getLogger(GrantController.class);
 
-	private static final int CONFLICTS = 5;
+	private static final int MAX_CONFLICT_RETRIES = 5;
 
 	private final Store store;
 
@@ -31,7 +31,7 @@
 
 	private final NodeClock clock;
 
-	private final GrantCoordinator keeper;
+	private final GrantCoordinator coordinator;
 
 	/**
 	 * Makes a controller.
@@ -44,7 +44,7 @@
 		this.store = store;
 		this.key = prefix + "grants";
 		this.clock = clock;
-		this.keeper = keeper;
+		this.coordinator = keeper;
 	}
 
 	/**
@@ -53,41 +53,41 @@
 	 * @return never done
 	 */
 	public Completable run(Flowable<?> every) {
-		return every.onBackpressureDrop().concatMapCompletable((tick) -> round(CONFLICTS).onErrorComplete());
+		return every.onBackpressureDrop().concatMapCompletable((tick) -> renew(MAX_CONFLICT_RETRIES).onErrorComplete());
 	}
 
 	/**
 	 * Gives all shares back.
 	 * @return done when the store has taken it
 	 */
-	public Completable giveUpAll() {
+	public Completable releaseAll() {
 		return this.store.get(this.key).flatMapCompletable((found) -> {
 			if (found.isEmpty()) {
 				return Completable.complete();
 			}
-			GrantDocument document = this.keeper.releaseGrants(read(found), this.clock.millis());
+			GrantDocument document = this.coordinator.releaseGrants(decode(found), this.clock.millis());
 			return write(found, document).ignoreElement();
 		});
 	}
 
-	private Completable round(int triesLeft) {
+	private Completable renew(int triesLeft) {
 		long askedAt = this.clock.millis();
 		return this.store.get(this.key).flatMapCompletable((found) -> {
-			GrantDocument next = this.keeper.propose(read(found), askedAt, this.clock.millis(),
+			GrantDocument next = this.coordinator.propose(decode(found), askedAt, this.clock.millis(),
 					this.clock.wallMillis());
 			if (next == null) {
 				return Completable.complete();
 			}
 			return write(found, next).flatMapCompletable((revision) -> {
 				if (revision.isPresent()) {
-					this.keeper.onAccepted(this.clock.millis());
+					this.coordinator.onAccepted(this.clock.millis());
 					return Completable.complete();
 				}
-				this.keeper.onNotAccepted();
-				return (triesLeft > 0) ? round(triesLeft - 1) : Completable.complete();
+				this.coordinator.onNotAccepted();
+				return (triesLeft > 0) ? renew(triesLeft - 1) : Completable.complete();
 			});
 		}).doOnError((failure) -> {
-			this.keeper.onNotAccepted();
+			this.coordinator.onNotAccepted();
 			LOG.atWarn().addKeyValue("reason", failure.getMessage()).log("allowances not renewed");
 		});
 	}
@@ -97,7 +97,7 @@
 				List.of(new Store.Put(this.key, Json.write(document))));
 	}
 
-	private static GrantDocument read(Optional<Store.StoredValue> found) throws IOException {
+	private static GrantDocument decode(Optional<Store.StoredValue> found) throws IOException {
 		return found.isPresent() ? Json.read(found.get().value(), GrantDocument.class) : GrantDocument.EMPTY;
 	}
 
--- a/daemon/src/main/java/org/gullsaddle/controller/LedgerController.java
+++ b/daemon/src/main/java/org/gullsaddle/controller/LedgerController.java
@@ -30,7 +30,7 @@
 	private static final int MAX_PENDING = 50_000;
 
 	/** The pause before a write that follows a failed one, in milliseconds. */
-	private static final long AGAIN_MILLIS = 200;
+	private static final long RETRY_DELAY_MILLIS = 200;
 
 	private final Store store;
 
@@ -40,11 +40,11 @@
 
 	private final LedgerWriter writer;
 
-	private final Consumer<List<RequestId>> recorded;
+	private final Consumer<List<RequestId>> recordedListener;
 
-	private String key;
+	private String segmentKey;
 
-	private Completable flushing;
+	private Completable currentFlush;
 
 	/**
 	 * Makes a controller.
@@ -60,7 +60,7 @@
 		this.keys = new LedgerKeys(prefix);
 		this.clock = clock;
 		this.writer = new LedgerWriter(writer, MAX_PENDING);
-		this.recorded = recorded;
+		this.recordedListener = recorded;
 	}
 
 	/**
@@ -75,7 +75,7 @@
 	 * Says whether more requests may be let in.
 	 * @return true if there is room for their records
 	 */
-	public synchronized boolean hasRoom() {
+	public synchronized boolean hasCapacity() {
 		return this.writer.hasCapacity();
 	}
 
@@ -83,7 +83,7 @@
 	 * Returns how many entries are not known to be in the store.
 	 * @return the number
 	 */
-	public synchronized int waiting() {
+	public synchronized int pendingCount() {
 		return this.writer.pendingCount();
 	}
 
@@ -100,10 +100,12 @@
 		return Completable.defer(() -> {
 			Completable before;
 			synchronized (this) {
-				before = this.flushing;
+				before = this.currentFlush;
 				if (before == null) {
-					this.flushing = writeAll().doOnTerminate(this::flushed).doOnDispose(this::flushed).cache();
-					return this.flushing;
+					this.currentFlush = writePending().doOnTerminate(this::onFlushEnd)
+						.doOnDispose(this::onFlushEnd)
+						.cache();
+					return this.currentFlush;
 				}
 			}
 			return before.onErrorComplete().andThen(Completable.defer(this::flush));
@@ -116,20 +118,20 @@
 	 * @return done when nothing waits; whoever stops must bound the time
 	 */
 	public Completable flushUntilWritten() {
-		return flush().retryWhen((failures) -> failures.delay(AGAIN_MILLIS, TimeUnit.MILLISECONDS));
+		return flush().retryWhen((failures) -> failures.delay(RETRY_DELAY_MILLIS, TimeUnit.MILLISECONDS));
 	}
 
-	private synchronized void flushed() {
-		this.flushing = null;
+	private synchronized void onFlushEnd() {
+		this.currentFlush = null;
 	}
 
-	private Completable writeAll() {
+	private Completable writePending() {
 		return Completable.defer(() -> {
-			Optional<Segment> segment = next();
+			Optional<Segment> segment = nextSegment();
 			if (segment.isEmpty()) {
 				return Completable.complete();
 			}
-			return write(segment.get()).andThen(Completable.defer(this::writeAll));
+			return write(segment.get()).andThen(Completable.defer(this::writePending));
 		});
 	}
 
@@ -142,49 +144,49 @@
 		return every.onBackpressureDrop()
 			.concatMapCompletable((tick) -> flush()
 				.doOnError((failure) -> LOG.atWarn()
-					.addKeyValue("waiting", waiting())
+					.addKeyValue("waiting", pendingCount())
 					.addKeyValue("reason", failure.getMessage())
 					.log("ledger not written"))
 				.onErrorComplete());
 	}
 
-	private synchronized Optional<Segment> next() {
+	private synchronized Optional<Segment> nextSegment() {
 		Optional<Segment> segment = this.writer.nextSegment();
-		if (segment.isPresent() && this.key == null) {
+		if (segment.isPresent() && this.segmentKey == null) {
 			// The hour is part of the key, and must not change while the write is in
 			// doubt.
-			this.key = this.keys.segment(this.clock.wallMillis(), segment.get());
+			this.segmentKey = this.keys.segmentKey(this.clock.wallMillis(), segment.get());
 		}
 		return segment;
 	}
 
 	private Completable write(Segment segment) {
-		String target = this.key;
+		String target = this.segmentKey;
 		Store.Put put = new Store.Put(target, Json.write(segment));
-		Store.Put head = new Store.Put(this.keys.head(segment.writer()),
+		Store.Put head = new Store.Put(this.keys.headKey(segment.writer()),
 				Json.write(new LedgerHead(segment.writer(), segment.sequence(), segment.head())));
 		return this.store.write(target, 0, List.of(put, head))
-			.flatMap((revision) -> revision.isPresent() ? Single.just(true) : isOurs(target, segment))
-			.flatMapCompletable((ours) -> ours ? Completable.fromAction(this::written)
+			.flatMap((revision) -> revision.isPresent() ? Single.just(true) : isAlreadyWritten(target, segment))
+			.flatMapCompletable((ours) -> ours ? Completable.fromAction(this::onWritten)
 					: Completable.error(new IllegalStateException("another writer uses the key " + target)));
 	}
 
 	/**
 	 * Says whether the segment is there already, from a write whose answer was lost.
 	 */
-	private Single<Boolean> isOurs(String target, Segment segment) {
+	private Single<Boolean> isAlreadyWritten(String target, Segment segment) {
 		return this.store.get(target)
 			.map((found) -> found.isPresent()
 					&& Json.read(found.get().value(), Segment.class).head().equals(segment.head()));
 	}
 
-	private void written() {
+	private void onWritten() {
 		List<RequestId> requests;
 		synchronized (this) {
 			requests = this.writer.onWritten();
-			this.key = null;
+			this.segmentKey = null;
 		}
-		this.recorded.accept(requests);
+		this.recordedListener.accept(requests);
 	}
 
 }
--- a/daemon/src/main/java/org/gullsaddle/controller/LedgerKeys.java
+++ b/daemon/src/main/java/org/gullsaddle/controller/LedgerKeys.java
@@ -19,24 +19,24 @@
 		this.prefix = prefix;
 	}
 
-	String segments() {
+	String segmentsPrefix() {
 		return this.prefix + "ledger/";
 	}
 
-	String hour(long wallMillis) {
-		return segments() + HOUR.format(Instant.ofEpochMilli(wallMillis));
+	String hourPrefix(long wallMillis) {
+		return segmentsPrefix() + HOUR.format(Instant.ofEpochMilli(wallMillis));
 	}
 
-	String segment(long wallMillis, Segment segment) {
-		return hour(wallMillis) + "/" + segment.writer() + "/" + String.format("%010d", segment.sequence());
+	String segmentKey(long wallMillis, Segment segment) {
+		return hourPrefix(wallMillis) + "/" + segment.writer() + "/" + String.format("%010d", segment.sequence());
 	}
 
-	String heads() {
+	String headsPrefix() {
 		return this.prefix + "heads/";
 	}
 
-	String head(String writer) {
-		return heads() + writer;
+	String headKey(String writer) {
+		return headsPrefix() + writer;
 	}
 
 }
--- a/daemon/src/main/java/org/gullsaddle/controller/LedgerReader.java
+++ b/daemon/src/main/java/org/gullsaddle/controller/LedgerReader.java
@@ -17,7 +17,7 @@
  */
 public final class LedgerReader {
 
-	private static final int PAGE = 10;
+	private static final int PAGE_SIZE = 10;
 
 	private final Store store;
 
@@ -40,7 +40,8 @@
 	 * @return the segments
 	 */
 	public Flowable<Segment> segments(long fromMillis, long toMillis) {
-		return values(this.keys.hour(fromMillis), toMillis).map((value) -> Json.read(value.value(), Segment.class));
+		return segmentValues(this.keys.hourPrefix(fromMillis), toMillis)
+			.map((value) -> Json.read(value.value(), Segment.class));
 	}
 
 	/**
@@ -48,7 +49,7 @@
 	 * @return the heads
 	 */
 	public Flowable<LedgerHead> heads() {
-		return pages(this.keys.heads(), "").map((value) -> Json.read(value.value(), LedgerHead.class));
+		return pages(this.keys.headsPrefix(), "").map((value) -> Json.read(value.value(), LedgerHead.class));
 	}
 
 	/**
@@ -60,9 +61,10 @@
 	 */
 	public Flowable<Row> rows(long fromMillis, long toMillis, String after) {
 		int colon = after.lastIndexOf(':');
-		String first = (colon > 0) ? this.keys.segments() + after.substring(0, colon) : this.keys.hour(fromMillis);
+		String first = (colon > 0) ? this.keys.segmentsPrefix() + after.substring(0, colon)
+				: this.keys.hourPrefix(fromMillis);
 		int skipped = (colon > 0) ? Integer.parseInt(after.substring(colon + 1)) : 0;
-		Flowable<Row> rest = values(first, toMillis).concatMapIterable(this::rows);
+		Flowable<Row> rest = segmentValues(first, toMillis).concatMapIterable(this::rows);
 		if (colon <= 0) {
 			return rest;
 		}
@@ -76,19 +78,19 @@
 		Segment segment = Json.read(value.value(), Segment.class);
 		List<Row> rows = new ArrayList<>();
 		for (Segment.Row row : segment.rows()) {
-			String cursor = value.key().substring(this.keys.segments().length()) + ":" + (rows.size() + 1);
+			String cursor = value.key().substring(this.keys.segmentsPrefix().length()) + ":" + (rows.size() + 1);
 			rows.add(new Row(cursor, segment.writer(), row.text()));
 		}
 		return rows;
 	}
 
-	private Flowable<Store.StoredValue> values(String after, long toMillis) {
-		String last = this.keys.hour(toMillis) + "~";
-		return pages(this.keys.segments(), after).takeWhile((value) -> value.key().compareTo(last) < 0);
+	private Flowable<Store.StoredValue> segmentValues(String after, long toMillis) {
+		String last = this.keys.hourPrefix(toMillis) + "~";
+		return pages(this.keys.segmentsPrefix(), after).takeWhile((value) -> value.key().compareTo(last) < 0);
 	}
 
 	private Flowable<Store.StoredValue> pages(String under, String after) {
-		return this.store.list(under, after, PAGE).flatMapPublisher((listing) -> {
+		return this.store.list(under, after, PAGE_SIZE).flatMapPublisher((listing) -> {
 			Flowable<Store.StoredValue> page = Flowable.fromIterable(listing.values());
 			if (!listing.more()) {
 				return page;
--- a/daemon/src/main/java/org/gullsaddle/controller/MemberController.java
+++ b/daemon/src/main/java/org/gullsaddle/controller/MemberController.java
@@ -39,7 +39,7 @@
 
 	private static final Logger LOG = LoggerFactory.getLogger(MemberController.class);
 
-	private static final long TIMEOUT_MILLIS = 1000;
+	private static final long READ_TIMEOUT_MILLIS = 1000;
 
 	private final WebClient client;
 
@@ -53,7 +53,7 @@
 
 	private final PeerListener listener;
 
-	private final Consumer<NodeId> leaving;
+	private final Consumer<NodeId> leavingListener;
 
 	private final Map<NodeId, PeerLink> links = new HashMap<>();
 
@@ -78,7 +78,7 @@
 		this.self = settings.node();
 		this.dialer = dialer;
 		this.listener = listener;
-		this.leaving = leaving;
+		this.leavingListener = leaving;
 		this.client = WebClient.create(vertx,
 				new WebClientOptions().setDefaultHost(this.url.getHost()).setDefaultPort(this.url.getPort()));
 	}
@@ -90,7 +90,7 @@
 	public Completable run() {
 		return Flowable.interval(0, this.pollMillis, TimeUnit.MILLISECONDS)
 			.onBackpressureDrop()
-			.concatMapCompletable((tick) -> read().doOnSuccess(this::follow)
+			.concatMapCompletable((tick) -> readList().doOnSuccess(this::applyList)
 				.ignoreElement()
 				.doOnError(
 						(failure) -> LOG.atDebug().addKeyValue("reason", failure.getMessage()).log("VM list not read"))
@@ -130,14 +130,14 @@
 		return this.entries;
 	}
 
-	private Single<JsonNode> read() {
+	private Single<JsonNode> readList() {
 		return this.client.get(this.url.getPath())
 			.rxSend()
-			.timeout(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)
+			.timeout(READ_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)
 			.map((response) -> Json.tree(response.bodyAsString()));
 	}
 
-	private void follow(JsonNode list) throws IOException {
+	private void applyList(JsonNode list) throws IOException {
 		Set<NodeId> seen = new HashSet<>();
 		Set<NodeId> seenEntries = new HashSet<>();
 		for (JsonNode vm : list) {
@@ -150,7 +150,7 @@
 				seenEntries.add(node);
 			}
 			if (vm.path("state").asText().equals("leaving")) {
-				this.leaving.accept(node);
+				this.leavingListener.accept(node);
 			}
 			dial(node, Address.of(vm.path("address").asText()));
 		}
@@ -164,21 +164,21 @@
 				return;
 			}
 		}
-		this.dialer.dial(address, new Tracker(node)).onFailure((failure) -> dialed(node));
+		this.dialer.dial(address, new DialListener(node)).onFailure((failure) -> onDialEnd(node));
 	}
 
-	private synchronized void dialed(NodeId node) {
+	private synchronized void onDialEnd(NodeId node) {
 		this.dialing.remove(node);
 	}
 
 	/**
 	 * Follows one link from its dialing to its end.
 	 */
-	private final class Tracker implements PeerListener {
+	private final class DialListener implements PeerListener {
 
 		private final NodeId node;
 
-		Tracker(NodeId node) {
+		DialListener(NodeId node) {
 			this.node = node;
 		}
 
@@ -216,7 +216,7 @@
 
 		@Override
 		public void failed(PeerLink link) {
-			dialed(this.node);
+			onDialEnd(this.node);
 		}
 
 	}
--- a/daemon/src/main/java/org/gullsaddle/controller/RegisterController.java
+++ b/daemon/src/main/java/org/gullsaddle/controller/RegisterController.java
@@ -29,7 +29,7 @@
  */
 public final class RegisterController {
 
-	private static final int MAX_ENTRIES = 4000;
+	private static final int MAX_ENTRIES_PER_SHARD = 4000;
 
 	private final Store store;
 
@@ -37,7 +37,7 @@
 
 	private final List<Shard> shards = new ArrayList<>();
 
-	private final AtomicLong ids = new AtomicLong();
+	private final AtomicLong lastId = new AtomicLong();
 
 	/**
 	 * Makes a register.
@@ -52,7 +52,7 @@
 		this.store = store;
 		this.clock = clock;
 		for (int i = 0; i < shards; i++) {
-			this.shards.add(new Shard(prefix + i, new RegisterShard(MAX_ENTRIES, retentionMillis)));
+			this.shards.add(new Shard(prefix + i, new RegisterShard(MAX_ENTRIES_PER_SHARD, retentionMillis)));
 		}
 	}
 
@@ -65,7 +65,7 @@
 	 * {@link RegisterUnavailableException} if it could not be settled in time
 	 */
 	public Single<Optional<Entry>> submit(Operation operation, long withinMillis) {
-		long id = this.ids.incrementAndGet();
+		long id = this.lastId.incrementAndGet();
 		long deadline = (withinMillis == Long.MAX_VALUE) ? Long.MAX_VALUE : this.clock.millis() + withinMillis;
 		Shard shard = shard(operation.key());
 		SingleSubject<Optional<Entry>> answer = SingleSubject.create();
@@ -92,9 +92,9 @@
 
 		private final String key;
 
-		private final RegisterShard core;
+		private final RegisterShard state;
 
-		private final Map<Long, SingleSubject<Optional<Entry>>> waiting = new HashMap<>();
+		private final Map<Long, SingleSubject<Optional<Entry>>> pendingAnswers = new HashMap<>();
 
 		private final Queue<RegisterEvent> events = new ArrayDeque<>();
 
@@ -102,12 +102,12 @@
 
 		Shard(String key, RegisterShard core) {
 			this.key = key;
-			this.core = core;
+			this.state = core;
 		}
 
 		void handle(RegisterEvent event, long id, SingleSubject<Optional<Entry>> answer) {
 			synchronized (this) {
-				this.waiting.put(id, answer);
+				this.pendingAnswers.put(id, answer);
 			}
 			handle(event);
 		}
@@ -123,8 +123,8 @@
 				while (!this.events.isEmpty()) {
 					long now = RegisterController.this.clock.millis();
 					long wall = RegisterController.this.clock.wallMillis();
-					for (RegisterAction action : this.core.handle(now, wall, this.events.poll())) {
-						carryOut(action, answers);
+					for (RegisterAction action : this.state.handle(now, wall, this.events.poll())) {
+						execute(action, answers);
 					}
 				}
 				this.handling = false;
@@ -133,16 +133,16 @@
 			answers.forEach(Runnable::run);
 		}
 
-		private void carryOut(RegisterAction action, List<Runnable> answers) {
+		private void execute(RegisterAction action, List<Runnable> answers) {
 			switch (action) {
 				case RegisterAction.Read read -> read();
 				case RegisterAction.Write write -> write(write);
 				case RegisterAction.Answer answer -> {
-					SingleSubject<Optional<Entry>> subject = this.waiting.remove(answer.id());
+					SingleSubject<Optional<Entry>> subject = this.pendingAnswers.remove(answer.id());
 					answers.add(() -> subject.onSuccess(Optional.ofNullable(answer.entry())));
 				}
 				case RegisterAction.Unavailable unavailable -> {
-					SingleSubject<Optional<Entry>> subject = this.waiting.remove(unavailable.id());
+					SingleSubject<Optional<Entry>> subject = this.pendingAnswers.remove(unavailable.id());
 					answers.add(() -> subject.onError(new RegisterUnavailableException()));
 				}
 			}
--- a/daemon/src/main/java/org/gullsaddle/controller/TemplateController.java
+++ b/daemon/src/main/java/org/gullsaddle/controller/TemplateController.java
@@ -34,11 +34,11 @@
 
 	private static final Logger LOG = LoggerFactory.getLogger(TemplateController.class);
 
-	private static final long RETRY_MILLIS = 500;
+	private static final long RETRY_DELAY_MILLIS = 500;
 
 	private static final int MAX_TEMPLATES = 10_000;
 
-	private static final int SETTLE_ATTEMPTS = 5;
+	private static final int MAX_VERIFY_ATTEMPTS = 5;
 
 	private final Store store;
 
@@ -46,11 +46,11 @@
 
 	private final NodeClock clock;
 
-	private final TemplateTable book = new TemplateTable();
+	private final TemplateTable table = new TemplateTable();
 
 	private final List<Consumer<TemplateRevision>> listeners = new CopyOnWriteArrayList<>();
 
-	private volatile long storeHeardAt = Long.MIN_VALUE;
+	private volatile long lastStoreAnswerMillis = Long.MIN_VALUE;
 
 	/**
 	 * Makes a controller that knows no template.
@@ -68,7 +68,7 @@
 	 * Adds who hears of each revision that comes into force here.
 	 * @param listener the listener, called while no other revision is taken in
 	 */
-	public void listen(Consumer<TemplateRevision> listener) {
+	public void addListener(Consumer<TemplateRevision> listener) {
 		this.listeners.add(listener);
 	}
 
@@ -78,7 +78,7 @@
 	 * @return true if it is now in force
 	 */
 	public synchronized boolean apply(TemplateRevision revision) {
-		if (!this.book.apply(revision)) {
+		if (!this.table.apply(revision)) {
 			return false;
 		}
 		LOG.atInfo()
@@ -93,17 +93,17 @@
 	 * Returns the templates in force.
 	 * @return a snapshot
 	 */
-	public synchronized Map<TemplateName, TemplateRevision> all() {
-		return this.book.snapshot();
+	public synchronized Map<TemplateName, TemplateRevision> allTemplates() {
+		return this.table.snapshot();
 	}
 
 	/**
 	 * Returns the numbers of the revisions in force.
 	 * @return a snapshot, by template
 	 */
-	public synchronized Map<TemplateName, Long> revisions() {
+	public synchronized Map<TemplateName, Long> revisionNumbers() {
 		Map<TemplateName, Long> numbers = new HashMap<>();
-		this.book.snapshot().forEach((name, revision) -> numbers.put(name, revision.revision()));
+		this.table.snapshot().forEach((name, revision) -> numbers.put(name, revision.revision()));
 		return numbers;
 	}
 
@@ -112,16 +112,16 @@
 	 * @param name its name
 	 * @return its revision, or empty if there is none
 	 */
-	public synchronized Optional<TemplateRevision> get(TemplateName name) {
-		return this.book.find(name);
+	public synchronized Optional<TemplateRevision> find(TemplateName name) {
+		return this.table.find(name);
 	}
 
 	/**
 	 * Returns how long ago the store was last heard of.
 	 * @return milliseconds
 	 */
-	public long storeAge() {
-		long heard = this.storeHeardAt;
+	public long storeAgeMillis() {
+		long heard = this.lastStoreAnswerMillis;
 		return (heard == Long.MIN_VALUE) ? Long.MAX_VALUE : this.clock.millis() - heard;
 	}
 
@@ -130,9 +130,9 @@
 	 * @return the store's revision that they were read at
 	 */
 	public Single<Long> load() {
-		return this.store.list(templates(), "", MAX_TEMPLATES).map((listing) -> {
-			heard();
-			listing.values().forEach(this::take);
+		return this.store.list(templatesPrefix(), "", MAX_TEMPLATES).map((listing) -> {
+			onStoreAnswer();
+			listing.values().forEach(this::applyStored);
 			return listing.revision();
 		});
 	}
@@ -147,12 +147,12 @@
 	 * @return never done
 	 */
 	public Completable run(Flowable<?> every) {
-		Completable watch = load().flatMapPublisher((revision) -> this.store.watch(templates(), revision + 1))
-			.doOnNext(this::take)
+		Completable watch = load().flatMapPublisher((revision) -> this.store.watch(templatesPrefix(), revision + 1))
+			.doOnNext(this::applyStored)
 			.ignoreElements()
 			.doOnError((failure) -> LOG.atDebug().addKeyValue("reason", failure.getMessage()).log("watch broken"))
 			.onErrorComplete()
-			.delay(RETRY_MILLIS, TimeUnit.MILLISECONDS)
+			.delay(RETRY_DELAY_MILLIS, TimeUnit.MILLISECONDS)
 			.repeat();
 		Completable read = every.onBackpressureDrop()
 			.concatMapCompletable((tick) -> load().ignoreElement().onErrorComplete());
@@ -172,7 +172,7 @@
 	public Single<TemplateRevision> change(Template template, String yaml, long expected, String author) {
 		TemplateRevision next = new TemplateRevision(expected + 1, UUID.randomUUID().toString(), author,
 				this.clock.wallMillis(), yaml, template);
-		return stored(template.name()).flatMap((held) -> write(next, held, expected)).doOnSuccess(this::apply);
+		return readStored(template.name()).flatMap((held) -> write(next, held, expected)).doOnSuccess(this::apply);
 	}
 
 	/**
@@ -191,19 +191,19 @@
 		});
 	}
 
-	private Single<TemplateRevision> write(TemplateRevision next, Optional<Held> held, long expected) {
+	private Single<TemplateRevision> write(TemplateRevision next, Optional<StoredTemplate> held, long expected) {
 		long present = held.map((one) -> one.revision().revision()).orElse(0L);
 		if (present != expected) {
-			return Single.error(new ConflictException(held.map(Held::revision)));
+			return Single.error(new ConflictException(held.map(StoredTemplate::revision)));
 		}
 		TemplateName name = next.template().name();
 		String value = Json.write(next);
-		List<Store.Put> puts = List.of(new Store.Put(key(name), value),
+		List<Store.Put> puts = List.of(new Store.Put(templateKey(name), value),
 				new Store.Put(this.prefix + "history/" + name + "/" + String.format("%010d", next.revision()), value));
-		return this.store.write(key(name), held.map(Held::storeRevision).orElse(0L), puts)
-			.flatMap((revision) -> revision.isPresent() ? Single.just(next) : settle(next))
+		return this.store.write(templateKey(name), held.map(StoredTemplate::storeRevision).orElse(0L), puts)
+			.flatMap((revision) -> revision.isPresent() ? Single.just(next) : verifyChange(next))
 			.onErrorResumeNext((failure) -> (failure instanceof StoreException lost && lost.unknown())
-					? settle(next).onErrorResumeNext(
+					? verifyChange(next).onErrorResumeNext(
 							(again) -> Single.error((again instanceof ConflictException) ? again : failure))
 					: Single.error(failure));
 	}
@@ -214,7 +214,7 @@
 	 * A change that was taken and then replaced by another operator's is found by its
 	 * change id in the history, which is written together with it and never written over.
 	 */
-	private Single<TemplateRevision> settle(TemplateRevision next) {
+	private Single<TemplateRevision> verifyChange(TemplateRevision next) {
 		String key = this.prefix + "history/" + next.template().name() + "/" + String.format("%010d", next.revision());
 		return this.store.get(key).flatMap((found) -> {
 			if (found.isEmpty()) {
@@ -224,25 +224,26 @@
 			return taken.changeId().equals(next.changeId()) ? Single.just(taken)
 					: Single.error(new ConflictException(Optional.of(taken)));
 		})
-			.retryWhen((failures) -> failures.zipWith(Flowable.range(1, SETTLE_ATTEMPTS), (failure, count) -> failure)
+			.retryWhen((failures) -> failures
+				.zipWith(Flowable.range(1, MAX_VERIFY_ATTEMPTS), (failure, count) -> failure)
 				.concatMap((failure) -> (failure instanceof StoreException)
-						? Flowable.timer(RETRY_MILLIS, TimeUnit.MILLISECONDS) : Flowable.error(failure))
+						? Flowable.timer(RETRY_DELAY_MILLIS, TimeUnit.MILLISECONDS) : Flowable.error(failure))
 				.concatWith(Flowable
 					.error(new StoreException("the store does not say whether the change was taken", true, null))));
 	}
 
-	private Single<Optional<Held>> stored(TemplateName name) {
-		return this.store.get(key(name)).map((found) -> {
+	private Single<Optional<StoredTemplate>> readStored(TemplateName name) {
+		return this.store.get(templateKey(name)).map((found) -> {
 			if (found.isEmpty()) {
 				return Optional.empty();
 			}
 			return Optional
-				.of(new Held(Json.read(found.get().value(), TemplateRevision.class), found.get().revision()));
+				.of(new StoredTemplate(Json.read(found.get().value(), TemplateRevision.class), found.get().revision()));
 		});
 	}
 
-	private void take(Store.StoredValue value) {
-		heard();
+	private void applyStored(Store.StoredValue value) {
+		onStoreAnswer();
 		try {
 			apply(Json.read(value.value(), TemplateRevision.class));
 		}
@@ -254,19 +255,19 @@
 		}
 	}
 
-	private void heard() {
-		this.storeHeardAt = this.clock.millis();
+	private void onStoreAnswer() {
+		this.lastStoreAnswerMillis = this.clock.millis();
 	}
 
-	private String templates() {
+	private String templatesPrefix() {
 		return this.prefix + "templates/";
 	}
 
-	private String key(TemplateName name) {
-		return templates() + name;
+	private String templateKey(TemplateName name) {
+		return templatesPrefix() + name;
 	}
 
-	private record Held(TemplateRevision revision, long storeRevision) {
+	private record StoredTemplate(TemplateRevision revision, long storeRevision) {
 	}
 
 }
--- a/daemon/src/main/java/org/gullsaddle/daemon/Daemon.java
+++ b/daemon/src/main/java/org/gullsaddle/daemon/Daemon.java
@@ -121,7 +121,7 @@
 
 	private void startEntry(Store store, TemplateController templates) throws IOException {
 		PeerIdentity self = new PeerIdentity(this.settings.node(), Role.ENTRY, this.settings.peers().key(), this.clock,
-				templates::storeAge);
+				templates::storeAgeMillis);
 		PeerDialer dialer = new PeerDialer(this.vertx.getDelegate(), self);
 		this.entry = new EntryNode(this.vertx, this.settings, this.clock, this.telemetry, templates, store, dialer);
 		listen(self, this.entry.peers());
--- a/daemon/src/main/java/org/gullsaddle/entry/AdminApi.java
+++ b/daemon/src/main/java/org/gullsaddle/entry/AdminApi.java
@@ -100,7 +100,7 @@
 
 	private void list(RoutingContext context) {
 		JsonArray templates = new JsonArray();
-		this.node.templates().all().values().forEach((revision) -> {
+		this.node.templates().allTemplates().values().forEach((revision) -> {
 			if (mayReadAny(context, revision)) {
 				templates.add(summary(revision));
 			}
@@ -181,7 +181,7 @@
 		switch (failure) {
 			case ConflictException conflict -> {
 				JsonObject body = new JsonObject().put("error", conflict.getMessage());
-				conflict.present().ifPresent((present) -> body.put("present", summary(present)));
+				conflict.current().ifPresent((present) -> body.put("present", summary(present)));
 				context.response().setStatusCode(CONFLICT);
 				context.json(body);
 			}
@@ -229,7 +229,7 @@
 		context.json(new JsonObject().put("node", this.node.settings().node().value())
 			.put("ready", this.node.ready())
 			.put("cutOff", this.node.cutOff())
-			.put("storeAgeMillis", this.node.templates().storeAge())
+			.put("storeAgeMillis", this.node.templates().storeAgeMillis())
 			.put("openRequests", this.node.openRequests())
 			.put("halted",
 					new JsonArray(this.node.halts().stream().map((halt) -> new JsonObject(Json.write(halt))).toList()))
--- a/daemon/src/main/java/org/gullsaddle/entry/CallerApi.java
+++ b/daemon/src/main/java/org/gullsaddle/entry/CallerApi.java
@@ -113,7 +113,7 @@
 			return;
 		}
 		JsonArray data = new JsonArray();
-		this.node.templates().all().forEach((name, revision) -> {
+		this.node.templates().allTemplates().forEach((name, revision) -> {
 			if (revision.template().findTeam(exchange.team()).isPresent()) {
 				data.add(new JsonObject().put("id", name.value()).put("object", "model").put("owned_by", "gullsaddle"));
 			}
--- a/daemon/src/main/java/org/gullsaddle/entry/EntryNode.java
+++ b/daemon/src/main/java/org/gullsaddle/entry/EntryNode.java
@@ -173,7 +173,7 @@
 		for (int i = 0; i < entry.shards(); i++) {
 			this.shards.add(new RouterShard(new Router(routing, new Random()), this, clock));
 		}
-		templates.listen(this::templateChanged);
+		templates.addListener(this::templateChanged);
 	}
 
 	/**
@@ -192,7 +192,7 @@
 		this.loops
 			.add(Flowable.interval(1, TimeUnit.SECONDS).onBackpressureDrop().subscribe((tick) -> checkFreshness()));
 		this.telemetry.gauge("requests.open", this::openRequests);
-		this.telemetry.gauge("ledger.waiting", this.ledger::waiting);
+		this.telemetry.gauge("ledger.waiting", this.ledger::pendingCount);
 		this.telemetry.gauge("links", () -> this.members.links().size());
 	}
 
@@ -210,7 +210,7 @@
 				.ignoreElements())
 			.andThen(Completable.fromAction(this.copies::writeAll))
 			.andThen(Completable.defer(this.ledger::flushUntilWritten))
-			.andThen(Completable.defer(() -> this.grants.giveUpAll().onErrorComplete()));
+			.andThen(Completable.defer(() -> this.grants.releaseAll().onErrorComplete()));
 	}
 
 	/**
@@ -234,13 +234,13 @@
 	 * stopping
 	 */
 	public boolean ready() {
-		return !this.leaving && !this.templates.all().isEmpty()
+		return !this.leaving && !this.templates.allTemplates().isEmpty()
 				&& this.members.links().values().stream().anyMatch((link) -> link.peerRole() == Role.AGENT);
 	}
 
 	@Override
 	public void up(PeerLink link) {
-		link.send(new Frame.Templates(List.copyOf(this.templates.all().values())));
+		link.send(new Frame.Templates(List.copyOf(this.templates.allTemplates().values())));
 		if (link.peerRole() == Role.ENTRY) {
 			tellSuspects(link);
 		}
@@ -282,7 +282,7 @@
 			case Frame.Recorded others -> this.copies.recorded(others.requests());
 			case Frame.Templates pushed -> {
 				pushed.revisions().forEach(this.templates::apply);
-				link.send(new Frame.InForce(this.templates.revisions()));
+				link.send(new Frame.InForce(this.templates.revisionNumbers()));
 			}
 			case Frame.InForce revisions -> this.inForce.put(link.peer(), Map.copyOf(revisions.revisions()));
 			case Frame.Halted halted -> {
@@ -394,7 +394,7 @@
 			return;
 		}
 		this.telemetry.outcome(exchange.template(), exchange.team(), refusal.reason().toString());
-		if (this.ledger.hasRoom()) {
+		if (this.ledger.hasCapacity()) {
 			String session = (exchange.session() != null) ? exchange.session().value() : null;
 			this.ledger.append(new LedgerEntry.RequestEntry(new RequestRecord(exchange.id(), exchange.team(),
 					exchange.template(), session, exchange.arrival().stamp(), "none", List.of(), Verdict.NOT_RUN,
@@ -407,11 +407,11 @@
 	}
 
 	Optional<TemplateRevision> template(TemplateName name) {
-		return this.templates.get(name);
+		return this.templates.find(name);
 	}
 
 	boolean ledgerHasRoom() {
-		return this.ledger.hasRoom();
+		return this.ledger.hasCapacity();
 	}
 
 	boolean stopping() {
@@ -471,7 +471,7 @@
 				missing.add(node);
 			}
 		}
-		boolean here = this.templates.get(name).map((held) -> held.revision() >= revision).orElse(false);
+		boolean here = this.templates.find(name).map((held) -> held.revision() >= revision).orElse(false);
 		int self = here ? 1 : 0;
 		return new InForceCount(expected.size() - missing.size() + self, expected.size() + 1, missing);
 	}
@@ -495,7 +495,7 @@
 	List<Halt> halts() {
 		return this.halts.values()
 			.stream()
-			.filter((halt) -> this.templates.get(halt.template())
+			.filter((halt) -> this.templates.find(halt.template())
 				.map((held) -> held.revision() <= halt.revision())
 				.orElse(true))
 			.toList();
@@ -540,7 +540,7 @@
 			boolean reachable = link != null;
 			peers.add(new ConfigFreshness.Peer(reachable, reachable ? link.storeAge() : Long.MAX_VALUE));
 		}
-		boolean now = ConfigFreshness.isCutOff(this.templates.storeAge(),
+		boolean now = ConfigFreshness.isCutOff(this.templates.storeAgeMillis(),
 				this.settings.entry().orElseThrow().cutOffMillis(), peers);
 		if (now != this.cutOff) {
 			this.cutOff = now;
--- a/daemon/src/test/java/org/gullsaddle/controller/LedgerControllerTests.java
+++ b/daemon/src/test/java/org/gullsaddle/controller/LedgerControllerTests.java
@@ -45,7 +45,7 @@
 	 * records counted as written and were lost.
 	 */
 	@Test
-	void twoFlushesAtOnceWriteEachRecordOnce() {
+	void concurrentFlushesWriteEachRecordOnce() {
 		RequestId first = append("r1");
 		TestObserver<Void> periodic = this.ledger.flush().test();
 		RequestId second = append("r2");
@@ -65,7 +65,7 @@
 	 * itself.
 	 */
 	@Test
-	void flushThatWaitedForAFailedOneWritesItself() {
+	void flushAfterFailedFlushWritesPendingRecords() {
 		RequestId first = append("r1");
 		TestObserver<Void> periodic = this.ledger.flush().test();
 		TestObserver<Void> stop = this.ledger.flush().test();
@@ -82,7 +82,7 @@
 	 * taken.
 	 */
 	@Test
-	void stopTriesAgainWhileTheStoreFails() {
+	void flushUntilWrittenRetriesWhileTheStoreFails() {
 		RequestId first = append("r1");
 		TestObserver<Void> stop = this.ledger.flushUntilWritten().test();
 		this.store.writes.get(0).onError(new IllegalStateException("busy"));
--- a/daemon/src/test/java/org/gullsaddle/controller/LossyStore.java
+++ b/daemon/src/test/java/org/gullsaddle/controller/LossyStore.java
@@ -28,7 +28,7 @@
 	/**
 	 * Loses the next write, and then lets something else happen.
 	 */
-	void lose(Loss next, Runnable then) {
+	void loseNextWrite(Loss next, Runnable then) {
 		this.loss = next;
 		this.afterLoss = then;
 	}
@@ -50,12 +50,12 @@
 		return Single.defer(() -> {
 			Loss now = this.loss;
 			this.loss = Loss.NONE;
-			if (now == Loss.BEFORE) {
+			if (now == Loss.BEFORE_APPLY) {
 				this.afterLoss.run();
 				return Single.error(new StoreException("lost", true, null));
 			}
 			Optional<Long> result = apply(guard, expectedRevision, puts);
-			if (now == Loss.AFTER) {
+			if (now == Loss.AFTER_APPLY) {
 				this.afterLoss.run();
 				return Single.error(new StoreException("lost", true, null));
 			}
@@ -83,7 +83,7 @@
 	 */
 	enum Loss {
 
-		NONE, BEFORE, AFTER
+		NONE, BEFORE_APPLY, AFTER_APPLY
 
 	}
 
--- a/daemon/src/test/java/org/gullsaddle/controller/TemplateControllerTests.java
+++ b/daemon/src/test/java/org/gullsaddle/controller/TemplateControllerTests.java
@@ -20,9 +20,9 @@
 
 	private final LossyStore store = new LossyStore();
 
-	private final TemplateController ann = controller();
+	private final TemplateController first = controller();
 
-	private final TemplateController bo = controller();
+	private final TemplateController second = controller();
 
 	private TemplateController controller() {
 		return new TemplateController(this.store, "p/", new NodeClock());
@@ -46,15 +46,15 @@
 	}
 
 	@Test
-	void changeIsInForceHereAtOnce() {
-		assertThat(change(this.ann, 0, "ann")).isEqualTo("revision 1 by ann");
-		assertThat(this.ann.get(template().name())).map(TemplateRevision::revision).contains(1L);
+	void changeIsInForceImmediately() {
+		assertThat(change(this.first, 0, "ann")).isEqualTo("revision 1 by ann");
+		assertThat(this.first.find(template().name())).map(TemplateRevision::revision).contains(1L);
 	}
 
 	@Test
 	void secondOfTwoOperatorsGetsAConflict() {
-		change(this.ann, 0, "ann");
-		assertThat(change(this.bo, 0, "bo")).isEqualTo("ConflictException");
+		change(this.first, 0, "ann");
+		assertThat(change(this.second, 0, "bo")).isEqualTo("ConflictException");
 	}
 
 	/**
@@ -62,10 +62,10 @@
 	 * taken, as it was.
 	 */
 	@Test
-	void lostAnswerOfAChangeThatWasTakenIsFoundOut() {
-		this.store.lose(LossyStore.Loss.AFTER, () -> {
+	void acceptedChangeIsFoundAfterLostAnswer() {
+		this.store.loseNextWrite(LossyStore.Loss.AFTER_APPLY, () -> {
 		});
-		assertThat(change(this.ann, 0, "ann")).isEqualTo("revision 1 by ann");
+		assertThat(change(this.first, 0, "ann")).isEqualTo("revision 1 by ann");
 	}
 
 	/**
@@ -73,10 +73,10 @@
 	 * operator has changed the template further. The first change was taken all the same.
 	 */
 	@Test
-	void lostAnswerOfAChangeThatWasOverwrittenIsFoundOut() {
-		this.store.lose(LossyStore.Loss.AFTER, () -> change(this.bo, 1, "bo"));
-		assertThat(change(this.ann, 0, "ann")).isEqualTo("revision 1 by ann");
-		assertThat(this.bo.history(template().name(), 10).blockingGet()).extracting(TemplateRevision::author)
+	void overwrittenChangeIsFoundAfterLostAnswer() {
+		this.store.loseNextWrite(LossyStore.Loss.AFTER_APPLY, () -> change(this.second, 1, "bo"));
+		assertThat(change(this.first, 0, "ann")).isEqualTo("revision 1 by ann");
+		assertThat(this.second.history(template().name(), 10).blockingGet()).extracting(TemplateRevision::author)
 			.containsExactly("ann", "bo");
 	}
 
@@ -85,17 +85,17 @@
 	 * told of the conflict, and not that hers is in force.
 	 */
 	@Test
-	void lostChangeThatAnotherTookThePlaceOfIsAConflict() {
-		this.store.lose(LossyStore.Loss.BEFORE, () -> change(this.bo, 0, "bo"));
-		assertThat(change(this.ann, 0, "ann")).isEqualTo("ConflictException");
+	void lostChangeReplacedByAnotherIsAConflict() {
+		this.store.loseNextWrite(LossyStore.Loss.BEFORE_APPLY, () -> change(this.second, 0, "bo"));
+		assertThat(change(this.first, 0, "ann")).isEqualTo("ConflictException");
 	}
 
 	@Test
-	void lostChangeThatNobodyTookIsToldAsUnknown() {
-		this.store.lose(LossyStore.Loss.BEFORE, () -> {
+	void lostChangeIsReportedAsUnknown() {
+		this.store.loseNextWrite(LossyStore.Loss.BEFORE_APPLY, () -> {
 		});
-		assertThat(change(this.ann, 0, "ann")).isEqualTo("StoreException unknown true");
-		assertThat(this.ann.get(template().name())).isEmpty();
+		assertThat(change(this.first, 0, "ann")).isEqualTo("StoreException unknown true");
+		assertThat(this.first.find(template().name())).isEmpty();
 	}
 
 }
