--- a/daemon/src/main/java/org/gullsaddle/controller/ConflictException.java
+++ b/daemon/src/main/java/org/gullsaddle/controller/ConflictException.java
@@ -5,20 +5,20 @@
 import org.gullsaddle.template.TemplateRevision;
 
 /**
- * A template was changed by someone else since the revision that a change was made from.
+ * Thrown when a template's current revision is not the one that a change was based on.
  */
 public class ConflictException extends Exception {
 
 	private final transient Optional<TemplateRevision> current;
 
-	ConflictException(Optional<TemplateRevision> present) {
-		super(present.map((held) -> "the template is at revision " + held.revision() + ", changed by " + held.author())
+	ConflictException(Optional<TemplateRevision> current) {
+		super(current.map((held) -> "the template is at revision " + held.revision() + ", changed by " + held.author())
 			.orElse("the template does not exist"));
-		this.current = present;
+		this.current = current;
 	}
 
 	/**
-	 * Returns the revision found.
+	 * Returns the template's current revision.
 	 * @return the revision, or empty if the template does not exist
 	 */
 	public Optional<TemplateRevision> current() {
--- a/daemon/src/main/java/org/gullsaddle/controller/GrantController.java
+++ b/daemon/src/main/java/org/gullsaddle/controller/GrantController.java
@@ -17,7 +17,7 @@
 import org.gullsaddle.telemetry.NodeClock;
 
 /**
- * Keeps this entry's parts of the allowances in step with the store.
+ * Synchronizes this entry's shares of the team allowances with the store.
  */
 public final class GrantController {
 
@@ -34,31 +34,31 @@
 	private final GrantCoordinator coordinator;
 
 	/**
-	 * Makes a controller.
+	 * Creates a controller.
 	 * @param store the store
-	 * @param prefix the start of the system's keys
+	 * @param prefix the prefix of the system's keys
 	 * @param clock the node's clocks
-	 * @param keeper decides the shares
+	 * @param coordinator decides the shares
 	 */
-	public GrantController(Store store, String prefix, NodeClock clock, GrantCoordinator keeper) {
+	public GrantController(Store store, String prefix, NodeClock clock, GrantCoordinator coordinator) {
 		this.store = store;
 		this.key = prefix + "grants";
 		this.clock = clock;
-		this.coordinator = keeper;
+		this.coordinator = coordinator;
 	}
 
 	/**
-	 * Renews and adjusts the shares, again and again, until cancelled.
-	 * @param every what starts each round
-	 * @return never done
+	 * Renews and adjusts the shares on each tick until cancelled.
+	 * @param ticks emits an item to start each round
+	 * @return a completable that never completes
 	 */
-	public Completable run(Flowable<?> every) {
-		return every.onBackpressureDrop().concatMapCompletable((tick) -> renew(MAX_CONFLICT_RETRIES).onErrorComplete());
+	public Completable run(Flowable<?> ticks) {
+		return ticks.onBackpressureDrop().concatMapCompletable((tick) -> renew(MAX_CONFLICT_RETRIES).onErrorComplete());
 	}
 
 	/**
-	 * Gives all shares back.
-	 * @return done when the store has taken it
+	 * Releases all shares of this entry.
+	 * @return completes once the store has accepted the release
 	 */
 	public Completable releaseAll() {
 		return this.store.get(this.key).flatMapCompletable((found) -> {
@@ -70,10 +70,10 @@
 		});
 	}
 
-	private Completable renew(int triesLeft) {
-		long askedAt = this.clock.millis();
+	private Completable renew(int retriesLeft) {
+		long readStartMillis = this.clock.millis();
 		return this.store.get(this.key).flatMapCompletable((found) -> {
-			GrantDocument next = this.coordinator.propose(decode(found), askedAt, this.clock.millis(),
+			GrantDocument next = this.coordinator.propose(decode(found), readStartMillis, this.clock.millis(),
 					this.clock.wallMillis());
 			if (next == null) {
 				return Completable.complete();
@@ -84,7 +84,7 @@
 					return Completable.complete();
 				}
 				this.coordinator.onNotAccepted();
-				return (triesLeft > 0) ? renew(triesLeft - 1) : Completable.complete();
+				return (retriesLeft > 0) ? renew(retriesLeft - 1) : Completable.complete();
 			});
 		}).doOnError((failure) -> {
 			this.coordinator.onNotAccepted();
--- a/daemon/src/main/java/org/gullsaddle/controller/LedgerController.java
+++ b/daemon/src/main/java/org/gullsaddle/controller/LedgerController.java
@@ -29,7 +29,7 @@
 
 	private static final int MAX_PENDING = 50_000;
 
-	/** The pause before a write that follows a failed one, in milliseconds. */
+	/** Delay before retrying a failed write, in milliseconds. */
 	private static final long RETRY_DELAY_MILLIS = 200;
 
 	private final Store store;
@@ -47,24 +47,25 @@
 	private Completable currentFlush;
 
 	/**
-	 * Makes a controller.
+	 * Creates a controller.
 	 * @param store the store
-	 * @param prefix the start of the system's keys
+	 * @param prefix the prefix of the system's keys
 	 * @param clock the node's clocks
-	 * @param writer the ledger writer's name, which no other run of any node may have
-	 * @param recorded hears of the requests whose entries are in the store
+	 * @param writer the ledger writer's name, unique to this run of this node
+	 * @param recordedListener is called with the requests whose entries are now in the
+	 * store
 	 */
 	public LedgerController(Store store, String prefix, NodeClock clock, String writer,
-			Consumer<List<RequestId>> recorded) {
+			Consumer<List<RequestId>> recordedListener) {
 		this.store = store;
 		this.keys = new LedgerKeys(prefix);
 		this.clock = clock;
 		this.writer = new LedgerWriter(writer, MAX_PENDING);
-		this.recordedListener = recorded;
+		this.recordedListener = recordedListener;
 	}
 
 	/**
-	 * Adds an entry.
+	 * Appends an entry to the next batch.
 	 * @param entry the entry
 	 */
 	public synchronized void append(LedgerEntry entry) {
@@ -72,15 +73,15 @@
 	}
 
 	/**
-	 * Says whether more requests may be let in.
-	 * @return true if there is room for their records
+	 * Returns whether more requests may be admitted.
+	 * @return true if the buffer has capacity for their records
 	 */
 	public synchronized boolean hasCapacity() {
 		return this.writer.hasCapacity();
 	}
 
 	/**
-	 * Returns how many entries are not known to be in the store.
+	 * Returns the number of entries not yet confirmed to be in the store.
 	 * @return the number
 	 */
 	public synchronized int pendingCount() {
@@ -88,34 +89,34 @@
 	}
 
 	/**
-	 * Writes what waits, until nothing does or the store fails.
+	 * Writes all pending entries; ends with an error if the store fails.
 	 * <p>
-	 * One flush is under way at a time. Two would write the same segment, and the later
-	 * answer would count for the segment after it, whose records would be lost; a stop
-	 * beside a periodic flush is the usual case. One that finds another under way waits
-	 * for its end and then writes what is left.
-	 * @return done when nothing waits; an error if the store failed
+	 * Only one flush runs at a time. Two concurrent flushes would write the same segment,
+	 * and the later acknowledgement would be counted for the next segment, whose records
+	 * would be lost. This happens when a stop overlaps a periodic flush. A flush that
+	 * finds another one running waits for its end and then writes the remaining entries.
+	 * @return completes when nothing is pending; an error if the store failed
 	 */
 	public Completable flush() {
 		return Completable.defer(() -> {
-			Completable before;
+			Completable running;
 			synchronized (this) {
-				before = this.currentFlush;
-				if (before == null) {
+				running = this.currentFlush;
+				if (running == null) {
 					this.currentFlush = writePending().doOnTerminate(this::onFlushEnd)
 						.doOnDispose(this::onFlushEnd)
 						.cache();
 					return this.currentFlush;
 				}
 			}
-			return before.onErrorComplete().andThen(Completable.defer(this::flush));
+			return running.onErrorComplete().andThen(Completable.defer(this::flush));
 		});
 	}
 
 	/**
-	 * Writes what waits, trying again while the store fails. A stop that gave up at one
-	 * slow answer would lose the records that it still holds.
-	 * @return done when nothing waits; whoever stops must bound the time
+	 * Writes all pending entries, retrying while the store fails. A stop that gave up
+	 * after one slow answer would lose its pending records.
+	 * @return completes when nothing is pending; the caller must bound the time
 	 */
 	public Completable flushUntilWritten() {
 		return flush().retryWhen((failures) -> failures.delay(RETRY_DELAY_MILLIS, TimeUnit.MILLISECONDS));
@@ -136,12 +137,12 @@
 	}
 
 	/**
-	 * Writes what waits, again and again, until cancelled.
-	 * @param every what starts each round
-	 * @return never done
+	 * Writes pending entries on each tick until cancelled.
+	 * @param ticks emits an item to start each round
+	 * @return a completable that never completes
 	 */
-	public Completable run(Flowable<?> every) {
-		return every.onBackpressureDrop()
+	public Completable run(Flowable<?> ticks) {
+		return ticks.onBackpressureDrop()
 			.concatMapCompletable((tick) -> flush()
 				.doOnError((failure) -> LOG.atWarn()
 					.addKeyValue("waiting", pendingCount())
@@ -153,29 +154,30 @@
 	private synchronized Optional<Segment> nextSegment() {
 		Optional<Segment> segment = this.writer.nextSegment();
 		if (segment.isPresent() && this.segmentKey == null) {
-			// The hour is part of the key, and must not change while the write is in
-			// doubt.
+			// The key contains the hour and must stay the same until the write's outcome
+			// is known.
 			this.segmentKey = this.keys.segmentKey(this.clock.wallMillis(), segment.get());
 		}
 		return segment;
 	}
 
 	private Completable write(Segment segment) {
-		String target = this.segmentKey;
-		Store.Put put = new Store.Put(target, Json.write(segment));
+		String key = this.segmentKey;
+		Store.Put put = new Store.Put(key, Json.write(segment));
 		Store.Put head = new Store.Put(this.keys.headKey(segment.writer()),
 				Json.write(new LedgerHead(segment.writer(), segment.sequence(), segment.head())));
-		return this.store.write(target, 0, List.of(put, head))
-			.flatMap((revision) -> revision.isPresent() ? Single.just(true) : isAlreadyWritten(target, segment))
-			.flatMapCompletable((ours) -> ours ? Completable.fromAction(this::onWritten)
-					: Completable.error(new IllegalStateException("another writer uses the key " + target)));
+		return this.store.write(key, 0, List.of(put, head))
+			.flatMap((revision) -> revision.isPresent() ? Single.just(true) : isAlreadyWritten(key, segment))
+			.flatMapCompletable((stored) -> stored ? Completable.fromAction(this::onWritten)
+					: Completable.error(new IllegalStateException("another writer uses the key " + key)));
 	}
 
 	/**
-	 * Says whether the segment is there already, from a write whose answer was lost.
+	 * Returns whether the store already holds the segment, from an earlier write whose
+	 * answer was lost.
 	 */
-	private Single<Boolean> isAlreadyWritten(String target, Segment segment) {
-		return this.store.get(target)
+	private Single<Boolean> isAlreadyWritten(String key, Segment segment) {
+		return this.store.get(key)
 			.map((found) -> found.isPresent()
 					&& Json.read(found.get().value(), Segment.class).head().equals(segment.head()));
 	}
--- a/daemon/src/main/java/org/gullsaddle/controller/LedgerKeys.java
+++ b/daemon/src/main/java/org/gullsaddle/controller/LedgerKeys.java
@@ -7,7 +7,7 @@
 import org.gullsaddle.ledger.Segment;
 
 /**
- * Where the ledger's values lie in the store, for its writers and its readers.
+ * Builds the store keys of ledger segments and heads, for writers and readers.
  */
 final class LedgerKeys {
 
--- a/daemon/src/main/java/org/gullsaddle/controller/LedgerReader.java
+++ b/daemon/src/main/java/org/gullsaddle/controller/LedgerReader.java
@@ -13,7 +13,7 @@
 import org.gullsaddle.store.Store;
 
 /**
- * Reads the ledger from the store, a page at a time.
+ * Reads the ledger from the store page by page.
  */
 public final class LedgerReader {
 
@@ -24,9 +24,9 @@
 	private final LedgerKeys keys;
 
 	/**
-	 * Makes a reader.
+	 * Creates a reader.
 	 * @param store the store
-	 * @param prefix the start of the system's keys
+	 * @param prefix the prefix of the system's keys
 	 */
 	public LedgerReader(Store store, String prefix) {
 		this.store = store;
@@ -34,7 +34,7 @@
 	}
 
 	/**
-	 * Returns the segments written in a span of time, by hour and writer.
+	 * Returns the segments written in a time range, ordered by hour and writer.
 	 * @param fromMillis the start, in milliseconds since the epoch
 	 * @param toMillis the end, in milliseconds since the epoch
 	 * @return the segments
@@ -53,11 +53,12 @@
 	}
 
 	/**
-	 * Returns the rows written in a span of time.
+	 * Returns the rows written in a time range.
 	 * @param fromMillis the start, in milliseconds since the epoch
 	 * @param toMillis the end, in milliseconds since the epoch
-	 * @param after the cursor of the last row that is not wanted again, or empty
-	 * @return the rows, some entries perhaps twice
+	 * @param after the cursor of the last row already read, or empty to start at the
+	 * beginning
+	 * @return the rows; an entry may occur twice
 	 */
 	public Flowable<Row> rows(long fromMillis, long toMillis, String after) {
 		int colon = after.lastIndexOf(':');
@@ -68,10 +69,10 @@
 		if (colon <= 0) {
 			return rest;
 		}
-		Flowable<Row> begun = this.store.get(first)
+		Flowable<Row> restOfSegment = this.store.get(first)
 			.flattenAsFlowable((found) -> found.isPresent() ? rows(found.get()) : List.<Row>of())
 			.skip(skipped);
-		return begun.concatWith(rest);
+		return restOfSegment.concatWith(rest);
 	}
 
 	private List<Row> rows(Store.StoredValue value) throws IOException {
@@ -89,30 +90,30 @@
 		return pages(this.keys.segmentsPrefix(), after).takeWhile((value) -> value.key().compareTo(last) < 0);
 	}
 
-	private Flowable<Store.StoredValue> pages(String under, String after) {
-		return this.store.list(under, after, PAGE_SIZE).flatMapPublisher((listing) -> {
+	private Flowable<Store.StoredValue> pages(String prefix, String after) {
+		return this.store.list(prefix, after, PAGE_SIZE).flatMapPublisher((listing) -> {
 			Flowable<Store.StoredValue> page = Flowable.fromIterable(listing.values());
 			if (!listing.more()) {
 				return page;
 			}
 			String next = listing.values().get(listing.values().size() - 1).key();
-			return page.concatWith(Flowable.defer(() -> pages(under, next)));
+			return page.concatWith(Flowable.defer(() -> pages(prefix, next)));
 		});
 	}
 
 	/**
 	 * A row of the ledger.
 	 *
-	 * @param cursor where to go on after it
-	 * @param writer who wrote it
+	 * @param cursor position to resume reading after this row
+	 * @param writer the name of the ledger writer
 	 * @param text the entry's JSON text
 	 */
 	public record Row(String cursor, String writer, String text) {
 
 		/**
-		 * Reads the entry.
+		 * Parses the entry.
 		 * @return the entry
-		 * @throws IOException if the text is of no known kind
+		 * @throws IOException if the text is not a known kind of entry
 		 */
 		public LedgerEntry entry() throws IOException {
 			return LedgerEntry.read(this.text);
--- a/daemon/src/main/java/org/gullsaddle/controller/MemberController.java
+++ b/daemon/src/main/java/org/gullsaddle/controller/MemberController.java
@@ -30,10 +30,11 @@
 import org.gullsaddle.wire.PeerListener;
 
 /**
- * Keeps links to all other nodes on the platform's VM list. Thread-safe.
+ * Maintains links to all peers on the platform's VM list. Thread-safe.
  * <p>
- * The list lags: it names VMs that are gone and lacks new ones. It only says whom to dial
- * and who is leaving; whether a node lives, its link tells.
+ * The list lags behind: it may hold VMs that are gone and lack new ones. It is used only
+ * to find nodes to dial and nodes that are leaving; whether a node is alive is determined
+ * by its link.
  */
 public final class MemberController {
 
@@ -64,28 +65,28 @@
 	private volatile Set<NodeId> entries = Set.of();
 
 	/**
-	 * Makes a controller.
-	 * @param vertx where to run
+	 * Creates a controller.
+	 * @param vertx the Vert.x instance
 	 * @param settings the node's settings
-	 * @param dialer dials the other nodes
-	 * @param listener hears of the links
-	 * @param leaving hears of nodes that the list says are leaving, on each reading
+	 * @param dialer dials the peers
+	 * @param listener receives the events of all links
+	 * @param leavingListener is called on each reading with every node listed as leaving
 	 */
 	public MemberController(Vertx vertx, Settings settings, PeerDialer dialer, PeerListener listener,
-			Consumer<NodeId> leaving) {
+			Consumer<NodeId> leavingListener) {
 		this.url = settings.vms().url();
 		this.pollMillis = settings.vms().pollMillis();
 		this.self = settings.node();
 		this.dialer = dialer;
 		this.listener = listener;
-		this.leavingListener = leaving;
+		this.leavingListener = leavingListener;
 		this.client = WebClient.create(vertx,
 				new WebClientOptions().setDefaultHost(this.url.getHost()).setDefaultPort(this.url.getPort()));
 	}
 
 	/**
-	 * Reads the list and dials, again and again, until cancelled.
-	 * @return never done
+	 * Reads the list periodically and dials unlinked nodes, until cancelled.
+	 * @return a completable that never completes
 	 */
 	public Completable run() {
 		return Flowable.interval(0, this.pollMillis, TimeUnit.MILLISECONDS)
@@ -107,7 +108,7 @@
 	}
 
 	/**
-	 * Returns all links that are up.
+	 * Returns all established links.
 	 * @return a snapshot
 	 */
 	public synchronized Map<NodeId, PeerLink> links() {
@@ -115,7 +116,7 @@
 	}
 
 	/**
-	 * Returns the nodes on the list at its last reading, without this one.
+	 * Returns the nodes on the list as last read, except this node.
 	 * @return the nodes
 	 */
 	public Set<NodeId> listed() {
@@ -123,7 +124,7 @@
 	}
 
 	/**
-	 * Returns the entries on the list at its last reading, without this node.
+	 * Returns the entries on the list as last read, except this node.
 	 * @return the entries
 	 */
 	public Set<NodeId> entries() {
@@ -138,24 +139,24 @@
 	}
 
 	private void applyList(JsonNode list) throws IOException {
-		Set<NodeId> seen = new HashSet<>();
-		Set<NodeId> seenEntries = new HashSet<>();
+		Set<NodeId> listedNodes = new HashSet<>();
+		Set<NodeId> listedEntries = new HashSet<>();
 		for (JsonNode vm : list) {
 			NodeId node = new NodeId(vm.path("id").asText());
 			if (node.equals(this.self)) {
 				continue;
 			}
-			seen.add(node);
+			listedNodes.add(node);
 			if (vm.path("role").asText().equals(Role.ENTRY.toString())) {
-				seenEntries.add(node);
+				listedEntries.add(node);
 			}
 			if (vm.path("state").asText().equals("leaving")) {
 				this.leavingListener.accept(node);
 			}
 			dial(node, Address.of(vm.path("address").asText()));
 		}
-		this.listed = Set.copyOf(seen);
-		this.entries = Set.copyOf(seenEntries);
+		this.listed = Set.copyOf(listedNodes);
+		this.entries = Set.copyOf(listedEntries);
 	}
 
 	private void dial(NodeId node, Address address) {
@@ -172,7 +173,7 @@
 	}
 
 	/**
-	 * Follows one link from its dialing to its end.
+	 * Handles the events of one dialed link and passes them on.
 	 */
 	private final class DialListener implements PeerListener {
 
@@ -185,7 +186,10 @@
 		@Override
 		public void up(PeerLink link) {
 			if (!link.peer().equals(this.node)) {
-				LOG.atWarn().addKeyValue("listed", this.node).addKeyValue("peer", link.peer()).log("wrong name listed");
+				LOG.atWarn()
+					.addKeyValue("listed", this.node)
+					.addKeyValue("peer", link.peer())
+					.log("listed name differs from the peer's");
 				link.close();
 				return;
 			}
--- a/daemon/src/main/java/org/gullsaddle/controller/RegisterController.java
+++ b/daemon/src/main/java/org/gullsaddle/controller/RegisterController.java
@@ -24,8 +24,8 @@
 import org.gullsaddle.telemetry.NodeClock;
 
 /**
- * A register spread over several values in the store. Thread-safe; each shard has its own
- * lock.
+ * A register of entries by key, sharded over several values in the store. Thread-safe;
+ * each shard has its own lock.
  */
 public final class RegisterController {
 
@@ -40,11 +40,11 @@
 	private final AtomicLong lastId = new AtomicLong();
 
 	/**
-	 * Makes a register.
+	 * Creates a register.
 	 * @param store the store
-	 * @param prefix the start of the keys of the register's values
+	 * @param prefix the prefix of the keys of the register's values
 	 * @param clock the node's clocks
-	 * @param shards over how many values to spread it; the same on every node
+	 * @param shards the number of shards; must be the same on every node
 	 * @param retentionMillis how long an entry is kept after its last change, in
 	 * milliseconds
 	 */
@@ -57,16 +57,16 @@
 	}
 
 	/**
-	 * Carries out an operation.
+	 * Submits an operation.
 	 * @param operation the operation
-	 * @param withinMillis how long its answer may take, in milliseconds;
-	 * {@link Long#MAX_VALUE} to try until it is done
-	 * @return the entry that its key has then, or empty; an
-	 * {@link RegisterUnavailableException} if it could not be settled in time
+	 * @param timeoutMillis how long its answer may take, in milliseconds;
+	 * {@link Long#MAX_VALUE} to retry without limit
+	 * @return the entry of its key after the operation, or empty; an
+	 * {@link RegisterUnavailableException} if it did not complete in time
 	 */
-	public Single<Optional<Entry>> submit(Operation operation, long withinMillis) {
+	public Single<Optional<Entry>> submit(Operation operation, long timeoutMillis) {
 		long id = this.lastId.incrementAndGet();
-		long deadline = (withinMillis == Long.MAX_VALUE) ? Long.MAX_VALUE : this.clock.millis() + withinMillis;
+		long deadline = (timeoutMillis == Long.MAX_VALUE) ? Long.MAX_VALUE : this.clock.millis() + timeoutMillis;
 		Shard shard = shard(operation.key());
 		SingleSubject<Optional<Entry>> answer = SingleSubject.create();
 		shard.handle(new RegisterEvent.Submitted(id, operation, deadline), id, answer);
@@ -74,7 +74,7 @@
 	}
 
 	/**
-	 * Lets time pass: ends what waited too long and tries again what failed.
+	 * Fails operations past their deadline and retries failed store calls.
 	 */
 	public void tick() {
 		this.shards.forEach((shard) -> shard.handle(new RegisterEvent.Tick()));
@@ -86,7 +86,7 @@
 	}
 
 	/**
-	 * One value of the register.
+	 * One shard of the register, stored as a single value.
 	 */
 	private final class Shard {
 
@@ -100,9 +100,9 @@
 
 		private boolean handling;
 
-		Shard(String key, RegisterShard core) {
+		Shard(String key, RegisterShard state) {
 			this.key = key;
-			this.state = core;
+			this.state = state;
 		}
 
 		void handle(RegisterEvent event, long id, SingleSubject<Optional<Entry>> answer) {
@@ -121,15 +121,15 @@
 				}
 				this.handling = true;
 				while (!this.events.isEmpty()) {
-					long now = RegisterController.this.clock.millis();
-					long wall = RegisterController.this.clock.wallMillis();
-					for (RegisterAction action : this.state.handle(now, wall, this.events.poll())) {
+					long nowMillis = RegisterController.this.clock.millis();
+					long wallMillis = RegisterController.this.clock.wallMillis();
+					for (RegisterAction action : this.state.handle(nowMillis, wallMillis, this.events.poll())) {
 						execute(action, answers);
 					}
 				}
 				this.handling = false;
 			}
-			// Whoever is answered may submit again; no lock is held then.
+			// Callbacks may submit again, so they run without the lock.
 			answers.forEach(Runnable::run);
 		}
 
--- a/daemon/src/main/java/org/gullsaddle/controller/RegisterUnavailableException.java
+++ b/daemon/src/main/java/org/gullsaddle/controller/RegisterUnavailableException.java
@@ -1,12 +1,12 @@
 package org.gullsaddle.controller;
 
 /**
- * An operation on a register could not be settled in time.
+ * Thrown when a register operation did not complete before its deadline.
  */
 public class RegisterUnavailableException extends Exception {
 
 	RegisterUnavailableException() {
-		super("the register could not be settled in time");
+		super("the register operation did not complete in time");
 	}
 
 }
--- a/daemon/src/main/java/org/gullsaddle/controller/TemplateController.java
+++ b/daemon/src/main/java/org/gullsaddle/controller/TemplateController.java
@@ -27,8 +27,8 @@
 import org.gullsaddle.template.TemplateTable;
 
 /**
- * Keeps the templates in force, from the store and from peers, and changes them by
- * compare-and-swap. Thread-safe.
+ * Holds the templates in force, learned from the store and from peers, and changes them
+ * by compare-and-swap. Thread-safe.
  */
 public final class TemplateController {
 
@@ -53,9 +53,9 @@
 	private volatile long lastStoreAnswerMillis = Long.MIN_VALUE;
 
 	/**
-	 * Makes a controller that knows no template.
+	 * Creates a controller without templates.
 	 * @param store the store
-	 * @param prefix the start of the system's keys
+	 * @param prefix the prefix of the system's keys
 	 * @param clock the node's clocks
 	 */
 	public TemplateController(Store store, String prefix, NodeClock clock) {
@@ -65,15 +65,15 @@
 	}
 
 	/**
-	 * Adds who hears of each revision that comes into force here.
-	 * @param listener the listener, called while no other revision is taken in
+	 * Adds a listener for each revision that comes into force on this node.
+	 * @param listener the listener; calls are serialized
 	 */
 	public void addListener(Consumer<TemplateRevision> listener) {
 		this.listeners.add(listener);
 	}
 
 	/**
-	 * Takes in a revision, unless it is not newer than the one held.
+	 * Applies a revision if it is newer than the one in force.
 	 * @param revision the revision
 	 * @return true if it is now in force
 	 */
@@ -98,7 +98,7 @@
 	}
 
 	/**
-	 * Returns the numbers of the revisions in force.
+	 * Returns the revision numbers in force.
 	 * @return a snapshot, by template
 	 */
 	public synchronized Map<TemplateName, Long> revisionNumbers() {
@@ -117,17 +117,17 @@
 	}
 
 	/**
-	 * Returns how long ago the store was last heard of.
-	 * @return milliseconds
+	 * Returns the time since the store last answered.
+	 * @return milliseconds; {@link Long#MAX_VALUE} if it never has
 	 */
 	public long storeAgeMillis() {
-		long heard = this.lastStoreAnswerMillis;
-		return (heard == Long.MIN_VALUE) ? Long.MAX_VALUE : this.clock.millis() - heard;
+		long lastAnswer = this.lastStoreAnswerMillis;
+		return (lastAnswer == Long.MIN_VALUE) ? Long.MAX_VALUE : this.clock.millis() - lastAnswer;
 	}
 
 	/**
 	 * Reads the templates once.
-	 * @return the store's revision that they were read at
+	 * @return the store revision of the reading
 	 */
 	public Single<Long> load() {
 		return this.store.list(templatesPrefix(), "", MAX_TEMPLATES).map((listing) -> {
@@ -138,15 +138,15 @@
 	}
 
 	/**
-	 * Reads the templates and watches them, again and again, until cancelled.
+	 * Reads and watches the templates until cancelled.
 	 * <p>
-	 * A watch that is cut off says nothing, as does one where nothing changes. The store
-	 * is therefore also read on each tick, which bounds how long a lost change stays
-	 * unseen and tells how fresh the configuration is.
-	 * @param every what starts each reading
-	 * @return never done
+	 * A broken watch cannot be told from one without changes. The store is therefore also
+	 * read on each tick, which bounds how long a missed change stays unseen and shows how
+	 * fresh the configuration is.
+	 * @param ticks emits an item to start each reading
+	 * @return a completable that never completes
 	 */
-	public Completable run(Flowable<?> every) {
+	public Completable run(Flowable<?> ticks) {
 		Completable watch = load().flatMapPublisher((revision) -> this.store.watch(templatesPrefix(), revision + 1))
 			.doOnNext(this::applyStored)
 			.ignoreElements()
@@ -154,7 +154,7 @@
 			.onErrorComplete()
 			.delay(RETRY_DELAY_MILLIS, TimeUnit.MILLISECONDS)
 			.repeat();
-		Completable read = every.onBackpressureDrop()
+		Completable read = ticks.onBackpressureDrop()
 			.concatMapCompletable((tick) -> load().ignoreElement().onErrorComplete());
 		return Completable.mergeArray(watch, read);
 	}
@@ -162,23 +162,23 @@
 	/**
 	 * Changes a template.
 	 * @param template the template
-	 * @param yaml its text
+	 * @param yaml the template's YAML text
 	 * @param expected the number of the revision that the change was made from, 0 for a
 	 * new template
-	 * @param author who changes it
+	 * @param author the author of the change
 	 * @return the new revision; a {@link ConflictException} if the template has another
-	 * revision, a {@link StoreException} if the store cannot say whether it was taken
+	 * revision, a {@link StoreException} if the outcome is unknown
 	 */
 	public Single<TemplateRevision> change(Template template, String yaml, long expected, String author) {
 		TemplateRevision next = new TemplateRevision(expected + 1, UUID.randomUUID().toString(), author,
 				this.clock.wallMillis(), yaml, template);
-		return readStored(template.name()).flatMap((held) -> write(next, held, expected)).doOnSuccess(this::apply);
+		return readStored(template.name()).flatMap((stored) -> write(next, stored, expected)).doOnSuccess(this::apply);
 	}
 
 	/**
-	 * Returns a template's earlier and present revisions from the store.
+	 * Returns a template's past and current revisions from the store.
 	 * @param name the template
-	 * @param limit how many at most
+	 * @param limit the maximum number
 	 * @return the revisions, oldest first
 	 */
 	public Single<List<TemplateRevision>> history(TemplateName name, int limit) {
@@ -191,45 +191,46 @@
 		});
 	}
 
-	private Single<TemplateRevision> write(TemplateRevision next, Optional<StoredTemplate> held, long expected) {
-		long present = held.map((one) -> one.revision().revision()).orElse(0L);
-		if (present != expected) {
-			return Single.error(new ConflictException(held.map(StoredTemplate::revision)));
+	private Single<TemplateRevision> write(TemplateRevision next, Optional<StoredTemplate> stored, long expected) {
+		long current = stored.map((template) -> template.revision().revision()).orElse(0L);
+		if (current != expected) {
+			return Single.error(new ConflictException(stored.map(StoredTemplate::revision)));
 		}
 		TemplateName name = next.template().name();
 		String value = Json.write(next);
 		List<Store.Put> puts = List.of(new Store.Put(templateKey(name), value),
 				new Store.Put(this.prefix + "history/" + name + "/" + String.format("%010d", next.revision()), value));
-		return this.store.write(templateKey(name), held.map(StoredTemplate::storeRevision).orElse(0L), puts)
+		return this.store.write(templateKey(name), stored.map(StoredTemplate::storeRevision).orElse(0L), puts)
 			.flatMap((revision) -> revision.isPresent() ? Single.just(next) : verifyChange(next))
 			.onErrorResumeNext((failure) -> (failure instanceof StoreException lost && lost.unknown())
-					? verifyChange(next).onErrorResumeNext(
-							(again) -> Single.error((again instanceof ConflictException) ? again : failure))
+					? verifyChange(next).onErrorResumeNext((checkFailure) -> Single
+						.error((checkFailure instanceof ConflictException) ? checkFailure : failure))
 					: Single.error(failure));
 	}
 
 	/**
-	 * Finds out whether a change was taken whose answer was lost or was a conflict.
+	 * Checks whether a change was stored although its write conflicted or its answer was
+	 * lost.
 	 * <p>
-	 * A change that was taken and then replaced by another operator's is found by its
-	 * change id in the history, which is written together with it and never written over.
+	 * The history is written in the same transaction and never overwritten, so the change
+	 * id is found there even if another operator has since replaced the change.
 	 */
 	private Single<TemplateRevision> verifyChange(TemplateRevision next) {
 		String key = this.prefix + "history/" + next.template().name() + "/" + String.format("%010d", next.revision());
 		return this.store.get(key).flatMap((found) -> {
 			if (found.isEmpty()) {
-				return Single.<TemplateRevision>error(new StoreException("the change was not taken", false, null));
+				return Single.<TemplateRevision>error(new StoreException("the change was not stored", false, null));
 			}
-			TemplateRevision taken = Json.read(found.get().value(), TemplateRevision.class);
-			return taken.changeId().equals(next.changeId()) ? Single.just(taken)
-					: Single.error(new ConflictException(Optional.of(taken)));
+			TemplateRevision stored = Json.read(found.get().value(), TemplateRevision.class);
+			return stored.changeId().equals(next.changeId()) ? Single.just(stored)
+					: Single.error(new ConflictException(Optional.of(stored)));
 		})
-			.retryWhen((failures) -> failures
-				.zipWith(Flowable.range(1, MAX_VERIFY_ATTEMPTS), (failure, count) -> failure)
-				.concatMap((failure) -> (failure instanceof StoreException)
-						? Flowable.timer(RETRY_DELAY_MILLIS, TimeUnit.MILLISECONDS) : Flowable.error(failure))
-				.concatWith(Flowable
-					.error(new StoreException("the store does not say whether the change was taken", true, null))));
+			.retryWhen(
+					(failures) -> failures.zipWith(Flowable.range(1, MAX_VERIFY_ATTEMPTS), (failure, count) -> failure)
+						.concatMap((failure) -> (failure instanceof StoreException)
+								? Flowable.timer(RETRY_DELAY_MILLIS, TimeUnit.MILLISECONDS) : Flowable.error(failure))
+						.concatWith(Flowable
+							.error(new StoreException("cannot determine whether the change was stored", true, null))));
 	}
 
 	private Single<Optional<StoredTemplate>> readStored(TemplateName name) {
@@ -251,7 +252,7 @@
 			LOG.atError()
 				.addKeyValue("key", value.key())
 				.addKeyValue("reason", ex.getMessage())
-				.log("unreadable template left aside");
+				.log("unreadable template skipped");
 		}
 	}
 
--- a/daemon/src/main/java/org/gullsaddle/controller/package-info.java
+++ b/daemon/src/main/java/org/gullsaddle/controller/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Controllers: each keeps one kind of state in step with the platform's store or its
- * lists, for as long as the node runs.
+ * Controllers, each of which keeps one kind of state synchronized with the platform's
+ * store or VM list while the node runs.
  */
 package org.gullsaddle.controller;
--- a/daemon/src/test/java/org/gullsaddle/controller/LedgerControllerTests.java
+++ b/daemon/src/test/java/org/gullsaddle/controller/LedgerControllerTests.java
@@ -39,10 +39,10 @@
 	}
 
 	/**
-	 * A node stops while its periodic write is still waiting for a busy store. Both took
-	 * the same segment; the one that was answered last found nothing under way, and the
-	 * stop ended as if work had been cut off. With another segment begun meanwhile, its
-	 * records counted as written and were lost.
+	 * Guards against two flushes writing the same segment, when a node stops during a
+	 * periodic write to a busy store. The later answer found no write in progress and the
+	 * stop failed; if another segment had begun, its records were counted as written and
+	 * lost.
 	 */
 	@Test
 	void concurrentFlushesWriteEachRecordOnce() {
@@ -61,8 +61,8 @@
 	}
 
 	/**
-	 * The periodic write fails while a stop waits for it. The stop writes the segment
-	 * itself.
+	 * The periodic write fails while a stop waits for it; the stop then writes the
+	 * segment itself.
 	 */
 	@Test
 	void flushAfterFailedFlushWritesPendingRecords() {
@@ -77,9 +77,8 @@
 	}
 
 	/**
-	 * A node stops, and the busy store answers its first write with an error. The stop
-	 * reported lost work and the records were gone, though the next write would have been
-	 * taken.
+	 * Guards against losing records at a stop because a busy store fails the first write,
+	 * although the next write would succeed.
 	 */
 	@Test
 	void flushUntilWrittenRetriesWhileTheStoreFails() {
@@ -96,7 +95,7 @@
 	}
 
 	/**
-	 * A store whose writes are answered when the test says so.
+	 * A store whose writes complete when the test calls {@link #answer(int)}.
 	 */
 	private static final class SlowStore implements Store {
 
--- a/daemon/src/test/java/org/gullsaddle/controller/LossyStore.java
+++ b/daemon/src/test/java/org/gullsaddle/controller/LossyStore.java
@@ -12,7 +12,7 @@
 import org.gullsaddle.store.StoreException;
 
 /**
- * A store in memory that can lose the answer of its next write.
+ * An in-memory store that can lose its next write or the answer to it.
  */
 final class LossyStore implements Store {
 
@@ -26,11 +26,11 @@
 	};
 
 	/**
-	 * Loses the next write, and then lets something else happen.
+	 * Loses the next write or its answer, then runs an action.
 	 */
-	void loseNextWrite(Loss next, Runnable then) {
-		this.loss = next;
-		this.afterLoss = then;
+	void loseNextWrite(Loss loss, Runnable action) {
+		this.loss = loss;
+		this.afterLoss = action;
 	}
 
 	@Override
@@ -48,14 +48,14 @@
 	@Override
 	public Single<Optional<Long>> write(String guard, long expectedRevision, List<Put> puts) {
 		return Single.defer(() -> {
-			Loss now = this.loss;
+			Loss current = this.loss;
 			this.loss = Loss.NONE;
-			if (now == Loss.BEFORE_APPLY) {
+			if (current == Loss.BEFORE_APPLY) {
 				this.afterLoss.run();
 				return Single.error(new StoreException("lost", true, null));
 			}
 			Optional<Long> result = apply(guard, expectedRevision, puts);
-			if (now == Loss.AFTER_APPLY) {
+			if (current == Loss.AFTER_APPLY) {
 				this.afterLoss.run();
 				return Single.error(new StoreException("lost", true, null));
 			}
@@ -69,8 +69,8 @@
 	}
 
 	private Optional<Long> apply(String guard, long expectedRevision, List<Put> puts) {
-		StoredValue present = this.values.get(guard);
-		if (((present != null) ? present.revision() : 0) != expectedRevision) {
+		StoredValue stored = this.values.get(guard);
+		if (((stored != null) ? stored.revision() : 0) != expectedRevision) {
 			return Optional.empty();
 		}
 		this.revision++;
@@ -79,7 +79,7 @@
 	}
 
 	/**
-	 * What becomes of a write whose answer is lost.
+	 * Whether a write whose answer is lost fails before or after it is applied.
 	 */
 	enum Loss {
 
--- a/daemon/src/test/java/org/gullsaddle/controller/TemplateControllerTests.java
+++ b/daemon/src/test/java/org/gullsaddle/controller/TemplateControllerTests.java
@@ -58,8 +58,8 @@
 	}
 
 	/**
-	 * The store takes the change and its answer is lost. The operator is told that it was
-	 * taken, as it was.
+	 * The store applies the change but its answer is lost; the change is still reported
+	 * as accepted.
 	 */
 	@Test
 	void acceptedChangeIsFoundAfterLostAnswer() {
@@ -69,8 +69,8 @@
 	}
 
 	/**
-	 * The answer is lost, and before the first operator's entry looks again another
-	 * operator has changed the template further. The first change was taken all the same.
+	 * The answer is lost, and another operator changes the template before the first
+	 * entry checks. The first change was applied and is reported as accepted.
 	 */
 	@Test
 	void overwrittenChangeIsFoundAfterLostAnswer() {
@@ -81,8 +81,8 @@
 	}
 
 	/**
-	 * The change never reached the store, and another operator's takes its place. Ann is
-	 * told of the conflict, and not that hers is in force.
+	 * The change never reaches the store and another operator stores one with the same
+	 * revision. The first operator gets a conflict, not a success.
 	 */
 	@Test
 	void lostChangeReplacedByAnotherIsAConflict() {
