--- a/daemon/src/main/java/org/gullsaddle/backend/AgentNode.java
+++ b/daemon/src/main/java/org/gullsaddle/backend/AgentNode.java
@@ -174,7 +174,7 @@
 	}
 
 	@Override
-	public void up(PeerLink link) {
+	public void onLinkUp(PeerLink link) {
 		if (link.peerRole() != Role.ENTRY) {
 			link.close();
 			return;
@@ -190,7 +190,7 @@
 	}
 
 	@Override
-	public void down(PeerLink link) {
+	public void onLinkDown(PeerLink link) {
 		if (this.entries.remove(link.peer(), link)) {
 			this.announcer.forget(link.peer());
 			handle(new AdmissionEvent.EntryDown(link.peer()));
@@ -198,10 +198,10 @@
 	}
 
 	@Override
-	public void frame(PeerLink link, Frame frame) {
+	public void onFrame(PeerLink link, Frame frame) {
 		switch (frame) {
 			case Frame.Dispatched sent -> handle(new AdmissionEvent.Dispatched(link.peer(), sent.dispatch(),
-					link.toLocal(sent.dispatch().deadline())));
+					link.toLocalMillis(sent.dispatch().deadline())));
 			case Frame.Cancel cancel -> handle(new AdmissionEvent.CancelRequested(cancel.attempt()));
 			case Frame.Credit credit -> credit(credit);
 			case Frame.Suspect suspect -> handle(new AdmissionEvent.SuspectAnnounced(suspect.suspicion()));
--- a/daemon/src/main/java/org/gullsaddle/controller/MemberController.java
+++ b/daemon/src/main/java/org/gullsaddle/controller/MemberController.java
@@ -184,7 +184,7 @@
 		}
 
 		@Override
-		public void up(PeerLink link) {
+		public void onLinkUp(PeerLink link) {
 			if (!link.peer().equals(this.node)) {
 				LOG.atWarn()
 					.addKeyValue("listed", this.node)
@@ -197,29 +197,29 @@
 				MemberController.this.dialing.remove(this.node);
 				MemberController.this.links.put(link.peer(), link);
 			}
-			MemberController.this.listener.up(link);
+			MemberController.this.listener.onLinkUp(link);
 		}
 
 		@Override
-		public void frame(PeerLink link, Frame frame) {
-			MemberController.this.listener.frame(link, frame);
+		public void onFrame(PeerLink link, Frame frame) {
+			MemberController.this.listener.onFrame(link, frame);
 		}
 
 		@Override
-		public void down(PeerLink link) {
+		public void onLinkDown(PeerLink link) {
 			synchronized (MemberController.this) {
 				MemberController.this.links.remove(link.peer(), link);
 			}
 			if (link.peer().equals(this.node)) {
-				MemberController.this.listener.down(link);
+				MemberController.this.listener.onLinkDown(link);
 			}
 			else {
-				failed(link);
+				onLinkFailed(link);
 			}
 		}
 
 		@Override
-		public void failed(PeerLink link) {
+		public void onLinkFailed(PeerLink link) {
 			onDialEnd(this.node);
 		}
 
--- a/daemon/src/main/java/org/gullsaddle/entry/AcceptedPeers.java
+++ b/daemon/src/main/java/org/gullsaddle/entry/AcceptedPeers.java
@@ -18,7 +18,7 @@
 	}
 
 	@Override
-	public void up(PeerLink link) {
+	public void onLinkUp(PeerLink link) {
 		if (link.peerRole() == Role.ENTRY) {
 			this.node.tellSuspects(link);
 		}
@@ -28,15 +28,15 @@
 	}
 
 	@Override
-	public void frame(PeerLink link, Frame frame) {
+	public void onFrame(PeerLink link, Frame frame) {
 		if (frame instanceof Frame.Templates || frame instanceof Frame.Suspect || frame instanceof Frame.Halted
 				|| frame instanceof Frame.Copy || frame instanceof Frame.Recorded) {
-			this.node.frame(link, frame);
+			this.node.onFrame(link, frame);
 		}
 	}
 
 	@Override
-	public void down(PeerLink link) {
+	public void onLinkDown(PeerLink link) {
 		// This node dials the other one itself, and hears there whether it lives.
 	}
 
--- a/daemon/src/main/java/org/gullsaddle/entry/EntryNode.java
+++ b/daemon/src/main/java/org/gullsaddle/entry/EntryNode.java
@@ -239,7 +239,7 @@
 	}
 
 	@Override
-	public void up(PeerLink link) {
+	public void onLinkUp(PeerLink link) {
 		link.send(new Frame.Templates(List.copyOf(this.templates.allTemplates().values())));
 		if (link.peerRole() == Role.ENTRY) {
 			tellSuspects(link);
@@ -247,7 +247,7 @@
 	}
 
 	@Override
-	public void down(PeerLink link) {
+	public void onLinkDown(PeerLink link) {
 		this.inForce.remove(link.peer());
 		if (link.peerRole() == Role.AGENT) {
 			everywhere(new RouterEvent.AgentDown(link.peer()));
@@ -255,7 +255,7 @@
 	}
 
 	@Override
-	public void frame(PeerLink link, Frame frame) {
+	public void onFrame(PeerLink link, Frame frame) {
 		switch (frame) {
 			case Frame.Status status -> {
 				everywhere(new RouterEvent.AgentUp(status.agent()));
@@ -538,7 +538,7 @@
 		for (NodeId node : this.members.entries()) {
 			PeerLink link = links.get(node);
 			boolean reachable = link != null;
-			peers.add(new ConfigFreshness.Peer(reachable, reachable ? link.storeAge() : Long.MAX_VALUE));
+			peers.add(new ConfigFreshness.Peer(reachable, reachable ? link.storeAgeMillis() : Long.MAX_VALUE));
 		}
 		boolean now = ConfigFreshness.isCutOff(this.templates.storeAgeMillis(),
 				this.settings.entry().orElseThrow().cutOffMillis(), peers);
--- a/daemon/src/main/java/org/gullsaddle/wire/Handshake.java
+++ b/daemon/src/main/java/org/gullsaddle/wire/Handshake.java
@@ -9,7 +9,7 @@
 final class Handshake {
 
 	/** The version of the protocol that this program speaks. */
-	private static final int PROTOCOL = 1;
+	private static final int PROTOCOL_VERSION = 1;
 
 	private static final String DIALER = "dialer";
 
@@ -23,9 +23,9 @@
 
 	private final Proof proof;
 
-	private final String nonce = Proof.nonce();
+	private final String nonce = Proof.newNonce();
 
-	private long challengedAt;
+	private long challengeSentMillis;
 
 	private Frame.Challenge challenge;
 
@@ -38,64 +38,64 @@
 
 	void begin() {
 		if (this.accepted) {
-			this.challengedAt = this.link.now();
-			this.link.send(new Frame.Challenge(PROTOCOL, this.self.node(), this.self.role(), this.nonce));
+			this.challengeSentMillis = this.link.nowMillis();
+			this.link.send(new Frame.Challenge(PROTOCOL_VERSION, this.self.node(), this.self.role(), this.nonce));
 		}
 	}
 
-	void receive(Frame frame) throws FrameException {
+	void onFrame(Frame frame) throws FrameException {
 		if (this.accepted && frame instanceof Frame.Hello hello) {
-			hello(hello);
+			onHello(hello);
 		}
 		else if (!this.accepted && this.challenge == null && frame instanceof Frame.Challenge first) {
-			challenged(first);
+			onChallenge(first);
 		}
 		else if (!this.accepted && this.challenge != null && frame instanceof Frame.Welcome welcome) {
-			welcomed(welcome);
+			onWelcome(welcome);
 		}
 		else {
 			throw new FrameException("a " + frame.getClass().getSimpleName() + " before the handshake is over");
 		}
 	}
 
-	private void challenged(Frame.Challenge first) throws FrameException {
+	private void onChallenge(Frame.Challenge first) throws FrameException {
 		checkProtocol(first.protocol());
 		this.challenge = first;
-		String mine = this.proof.of(DIALER, first.nonce(), this.nonce, text(first.node()), text(this.self.node()),
-				this.self.role().toString());
-		this.link
-			.send(new Frame.Hello(PROTOCOL, this.self.node(), this.self.role(), this.nonce, mine, this.link.now()));
+		String mine = this.proof.compute(DIALER, first.nonce(), this.nonce, requireName(first.node()),
+				requireName(this.self.node()), this.self.role().toString());
+		this.link.send(new Frame.Hello(PROTOCOL_VERSION, this.self.node(), this.self.role(), this.nonce, mine,
+				this.link.nowMillis()));
 	}
 
-	private void hello(Frame.Hello hello) throws FrameException {
+	private void onHello(Frame.Hello hello) throws FrameException {
 		checkProtocol(hello.protocol());
-		if (!this.proof.matches(hello.proof(), DIALER, this.nonce, hello.nonce(), text(this.self.node()),
-				text(hello.node()), String.valueOf(hello.role()))) {
+		if (!this.proof.matches(hello.proof(), DIALER, this.nonce, hello.nonce(), requireName(this.self.node()),
+				requireName(hello.node()), String.valueOf(hello.role()))) {
 			throw new FrameException("the peer does not know the key");
 		}
-		this.link.learnClock(this.challengedAt, hello.clock());
-		this.link.send(new Frame.Welcome(this.proof.of(ACCEPTOR, hello.nonce(), this.nonce)));
-		established(hello.node(), hello.role());
+		this.link.updateClockOffset(this.challengeSentMillis, hello.clock());
+		this.link.send(new Frame.Welcome(this.proof.compute(ACCEPTOR, hello.nonce(), this.nonce)));
+		establish(hello.node(), hello.role());
 	}
 
-	private void welcomed(Frame.Welcome welcome) throws FrameException {
+	private void onWelcome(Frame.Welcome welcome) throws FrameException {
 		if (!this.proof.matches(welcome.proof(), ACCEPTOR, this.nonce, this.challenge.nonce())) {
 			throw new FrameException("the peer does not know the key");
 		}
-		established(this.challenge.node(), this.challenge.role());
+		establish(this.challenge.node(), this.challenge.role());
 	}
 
-	private void established(NodeId node, Role role) {
-		this.link.established(node, role);
+	private void establish(NodeId node, Role role) {
+		this.link.onEstablished(node, role);
 	}
 
 	private static void checkProtocol(int protocol) throws FrameException {
-		if (protocol != PROTOCOL) {
-			throw new FrameException("the peer speaks protocol " + protocol + ", not " + PROTOCOL);
+		if (protocol != PROTOCOL_VERSION) {
+			throw new FrameException("the peer speaks protocol " + protocol + ", not " + PROTOCOL_VERSION);
 		}
 	}
 
-	private static String text(NodeId node) throws FrameException {
+	private static String requireName(NodeId node) throws FrameException {
 		if (node == null) {
 			throw new FrameException("the peer does not say who it is");
 		}
--- a/daemon/src/main/java/org/gullsaddle/wire/PeerDialer.java
+++ b/daemon/src/main/java/org/gullsaddle/wire/PeerDialer.java
@@ -12,7 +12,7 @@
  */
 public final class PeerDialer {
 
-	private static final int CONNECT_MILLIS = 1000;
+	private static final int CONNECT_TIMEOUT_MILLIS = 1000;
 
 	private final Vertx vertx;
 
@@ -28,7 +28,7 @@
 	public PeerDialer(Vertx vertx, PeerIdentity self) {
 		this.vertx = vertx;
 		this.self = self;
-		this.client = vertx.createNetClient(new NetClientOptions().setConnectTimeout(CONNECT_MILLIS));
+		this.client = vertx.createNetClient(new NetClientOptions().setConnectTimeout(CONNECT_TIMEOUT_MILLIS));
 	}
 
 	/**
--- a/daemon/src/main/java/org/gullsaddle/wire/PeerIdentity.java
+++ b/daemon/src/main/java/org/gullsaddle/wire/PeerIdentity.java
@@ -13,8 +13,8 @@
  * @param role its role
  * @param key the secret that all nodes share
  * @param clock its clocks
- * @param storeAge tells how long ago it last heard of the store, in milliseconds; -1 if
- * it does not ask the store
+ * @param storeAgeMillis tells how long ago it last heard of the store, in milliseconds;
+ * -1 if it does not ask the store
  */
-public record PeerIdentity(NodeId node, Role role, byte[] key, NodeClock clock, LongSupplier storeAge) {
+public record PeerIdentity(NodeId node, Role role, byte[] key, NodeClock clock, LongSupplier storeAgeMillis) {
 }
--- a/daemon/src/main/java/org/gullsaddle/wire/PeerLink.java
+++ b/daemon/src/main/java/org/gullsaddle/wire/PeerLink.java
@@ -22,11 +22,11 @@
 
 	private static final int LENGTH_BYTES = 4;
 
-	private static final long HANDSHAKE_MILLIS = 3000;
+	private static final long HANDSHAKE_TIMEOUT_MILLIS = 3000;
 
-	private static final long PING_MILLIS = 500;
+	private static final long PING_INTERVAL_MILLIS = 500;
 
-	private static final long SILENCE_MILLIS = 3000;
+	private static final long MAX_SILENCE_MILLIS = 3000;
 
 	/** What may wait for a peer that reads too slowly, before its link is closed. */
 	private static final long MAX_UNSENT_BYTES = 16L << 20;
@@ -41,7 +41,7 @@
 
 	private final NodeClock clock;
 
-	private final AtomicLong unsent = new AtomicLong();
+	private final AtomicLong unsentBytes = new AtomicLong();
 
 	private final Handshake handshake;
 
@@ -49,12 +49,12 @@
 
 	private volatile Role peerRole;
 
-	private volatile long heardAt;
+	private volatile long lastFrameMillis;
 
-	private volatile long storeAge = -1;
+	private volatile long storeAgeMillis = -1;
 
 	/** The peer's clock minus the earliest that this node's clock can have been then. */
-	private volatile long clockLead;
+	private volatile long clockOffsetMillis;
 
 	private boolean up;
 
@@ -66,7 +66,7 @@
 		this.self = self;
 		this.listener = listener;
 		this.clock = self.clock();
-		this.heardAt = this.clock.millis();
+		this.lastFrameMillis = this.clock.millis();
 		this.handshake = new Handshake(self, this, accepted);
 	}
 
@@ -90,8 +90,8 @@
 	 * Returns how long ago the other node last heard of the store, as it last told.
 	 * @return milliseconds, or -1 if it does not ask the store
 	 */
-	public long storeAge() {
-		return this.storeAge;
+	public long storeAgeMillis() {
+		return this.storeAgeMillis;
 	}
 
 	/**
@@ -105,8 +105,8 @@
 	 * @param peerMillis milliseconds on the peer's monotonic clock
 	 * @return milliseconds on this node's monotonic clock
 	 */
-	public long toLocal(long peerMillis) {
-		return (peerMillis == Long.MAX_VALUE) ? Long.MAX_VALUE : peerMillis - this.clockLead;
+	public long toLocalMillis(long peerMillis) {
+		return (peerMillis == Long.MAX_VALUE) ? Long.MAX_VALUE : peerMillis - this.clockOffsetMillis;
 	}
 
 	/**
@@ -123,12 +123,12 @@
 			close(ex.getMessage());
 			return;
 		}
-		if (this.unsent.addAndGet(bytes.length) > MAX_UNSENT_BYTES) {
+		if (this.unsentBytes.addAndGet(bytes.length) > MAX_UNSENT_BYTES) {
 			close("the peer reads too slowly");
 			return;
 		}
 		Buffer buffer = Buffer.buffer(LENGTH_BYTES + bytes.length).appendInt(bytes.length).appendBytes(bytes);
-		this.socket.write(buffer).onComplete((written) -> this.unsent.addAndGet(-bytes.length));
+		this.socket.write(buffer).onComplete((written) -> this.unsentBytes.addAndGet(-bytes.length));
 	}
 
 	@Override
@@ -156,44 +156,44 @@
 		});
 		this.socket.handler(parser);
 		this.socket.exceptionHandler((failure) -> close(String.valueOf(failure.getMessage())));
-		this.socket.closeHandler((closed) -> closed());
-		this.timer = this.vertx.setPeriodic(PING_MILLIS, (tick) -> beat());
+		this.socket.closeHandler((closed) -> onClosed());
+		this.timer = this.vertx.setPeriodic(PING_INTERVAL_MILLIS, (tick) -> checkAndPing());
 		this.handshake.begin();
 	}
 
-	void established(NodeId node, Role role) {
+	void onEstablished(NodeId node, Role role) {
 		this.peer = node;
 		this.peerRole = role;
 		this.up = true;
 		LOG.atInfo().addKeyValue("peer", node).addKeyValue("role", role).log("link up");
-		this.listener.up(this);
+		this.listener.onLinkUp(this);
 	}
 
-	void learnClock(long askedAt, long peerClock) {
-		this.clockLead = peerClock - askedAt;
+	void updateClockOffset(long askedAt, long peerClock) {
+		this.clockOffsetMillis = peerClock - askedAt;
 	}
 
-	long now() {
+	long nowMillis() {
 		return this.clock.millis();
 	}
 
 	private void receive(byte[] bytes) {
 		try {
 			FrameCodec.Envelope envelope = FrameCodec.read(bytes);
-			this.heardAt = now();
+			this.lastFrameMillis = nowMillis();
 			this.clock.observe(envelope.stamp());
 			if (!this.up) {
-				this.handshake.receive(envelope.frame());
+				this.handshake.onFrame(envelope.frame());
 				return;
 			}
 			switch (envelope.frame()) {
 				case Frame.Ping ping -> {
-					this.storeAge = ping.storeAge();
-					send(new Frame.Pong(ping.clock(), now()));
+					this.storeAgeMillis = ping.storeAge();
+					send(new Frame.Pong(ping.clock(), nowMillis()));
 				}
-				case Frame.Pong pong -> learnClock(pong.echo(), pong.clock());
+				case Frame.Pong pong -> updateClockOffset(pong.echo(), pong.clock());
 				case Frame.Unknown unknown -> LOG.atDebug().addKeyValue("peer", this.peer).log("unknown frame skipped");
-				default -> this.listener.frame(this, envelope.frame());
+				default -> this.listener.onFrame(this, envelope.frame());
 			}
 		}
 		catch (FrameException | RuntimeException ex) {
@@ -201,14 +201,14 @@
 		}
 	}
 
-	private void beat() {
-		long silent = now() - this.heardAt;
-		if (silent > (this.up ? SILENCE_MILLIS : HANDSHAKE_MILLIS)) {
+	private void checkAndPing() {
+		long silent = nowMillis() - this.lastFrameMillis;
+		if (silent > (this.up ? MAX_SILENCE_MILLIS : HANDSHAKE_TIMEOUT_MILLIS)) {
 			close("nothing heard for " + silent + " ms");
 			return;
 		}
 		if (this.up) {
-			send(new Frame.Ping(now(), this.self.storeAge().getAsLong()));
+			send(new Frame.Ping(nowMillis(), this.self.storeAgeMillis().getAsLong()));
 		}
 	}
 
@@ -220,14 +220,14 @@
 		this.socket.close();
 	}
 
-	private void closed() {
+	private void onClosed() {
 		this.vertx.cancelTimer(this.timer);
 		if (this.up) {
 			this.up = false;
-			this.listener.down(this);
+			this.listener.onLinkDown(this);
 		}
 		else {
-			this.listener.failed(this);
+			this.listener.onLinkFailed(this);
 		}
 	}
 
--- a/daemon/src/main/java/org/gullsaddle/wire/PeerListener.java
+++ b/daemon/src/main/java/org/gullsaddle/wire/PeerListener.java
@@ -10,26 +10,26 @@
 	 * A link is up.
 	 * @param link the link
 	 */
-	void up(PeerLink link);
+	void onLinkUp(PeerLink link);
 
 	/**
 	 * A frame came.
 	 * @param link the link
 	 * @param frame the frame
 	 */
-	void frame(PeerLink link, Frame frame);
+	void onFrame(PeerLink link, Frame frame);
 
 	/**
 	 * A link that was up is gone; no frame of it comes after.
 	 * @param link the link
 	 */
-	void down(PeerLink link);
+	void onLinkDown(PeerLink link);
 
 	/**
 	 * A link closed before it was up, such as for a wrong key.
 	 * @param link the link
 	 */
-	default void failed(PeerLink link) {
+	default void onLinkFailed(PeerLink link) {
 	}
 
 }
--- a/daemon/src/main/java/org/gullsaddle/wire/Proof.java
+++ b/daemon/src/main/java/org/gullsaddle/wire/Proof.java
@@ -28,20 +28,20 @@
 		this.key = key.clone();
 	}
 
-	static String nonce() {
+	static String newNonce() {
 		byte[] bytes = new byte[NONCE_BYTES];
 		RANDOM.nextBytes(bytes);
 		return HexFormat.of().formatHex(bytes);
 	}
 
-	String of(String label, String... parts) {
+	String compute(String label, String... parts) {
 		List<String> texts = new ArrayList<>(List.of(label));
 		texts.addAll(List.of(parts));
 		return HexFormat.of().formatHex(Digests.hmac(this.key, texts.toArray(String[]::new)));
 	}
 
 	boolean matches(String given, String label, String... parts) {
-		byte[] expected = of(label, parts).getBytes(StandardCharsets.UTF_8);
+		byte[] expected = compute(label, parts).getBytes(StandardCharsets.UTF_8);
 		return MessageDigest.isEqual(expected, String.valueOf(given).getBytes(StandardCharsets.UTF_8));
 	}
 
--- a/daemon/src/test/java/org/gullsaddle/wire/FrameCodecTests.java
+++ b/daemon/src/test/java/org/gullsaddle/wire/FrameCodecTests.java
@@ -85,7 +85,7 @@
 
 	@ParameterizedTest
 	@MethodSource("frames")
-	void frameIsReadAsItWasWritten(Frame frame) throws FrameException {
+	void frameRoundTrips(Frame frame) throws FrameException {
 		FrameCodec.Envelope envelope = FrameCodec.read(FrameCodec.write(42, frame));
 		assertThat(envelope.frame()).isEqualTo(frame);
 		assertThat(envelope.stamp()).isEqualTo(42);
@@ -96,15 +96,15 @@
 	 */
 	@ParameterizedTest
 	@MethodSource("frames")
-	void frameHasTheBytesThatEarlierBuildsWrote(Frame frame) throws IOException {
+	void frameMatchesBytesOfEarlierBuilds(Frame frame) throws IOException {
 		String kind = PLAIN.readTree(FrameCodec.write(42, frame)).at("/frame/k").asText();
-		byte[] kept = kept().get(kind);
+		byte[] kept = storedFrames().get(kind);
 		assertThat(FrameCodec.write(42, frame)).isEqualTo(kept);
 		assertThat(FrameCodec.read(kept)).isEqualTo(new FrameCodec.Envelope(42, frame));
 	}
 
 	@Test
-	void everyKindOfFrameIsTried() throws YamlException {
+	void everyFrameKindHasAnExample() throws YamlException {
 		long kinds = Stream.of(Frame.class.getPermittedSubclasses())
 			.filter((kind) -> kind != Frame.Unknown.class)
 			.count();
@@ -127,7 +127,7 @@
 	@ParameterizedTest
 	@ValueSource(strings = { "{}", "7", "{\"stamp\":1,\"frame\":{\"k\":\"cancel\",\"attempt\":\"no-number\"}}",
 			"{\"stamp\":1,\"frame\":{\"k\":\"dispatch\",\"dispatch\":{\"weight\":1}}}" })
-	void malformedFrameIsRefusedWithItsReason(String json) throws Exception {
+	void malformedFrameIsRejected(String json) throws Exception {
 		byte[] bytes = bytes(json);
 		assertThatExceptionOfType(FrameException.class).isThrownBy(() -> FrameCodec.read(bytes));
 	}
@@ -143,7 +143,7 @@
 	 * Reads one frame a line: its kind and its bytes in hexadecimal, written by an
 	 * earlier build.
 	 */
-	private static Map<String, byte[]> kept() throws IOException {
+	private static Map<String, byte[]> storedFrames() throws IOException {
 		Map<String, byte[]> kept = new HashMap<>();
 		try (InputStream in = FrameCodecTests.class.getResourceAsStream("/frames.txt")) {
 			for (String line : new String(in.readAllBytes(), StandardCharsets.US_ASCII).split("\n")) {
--- a/daemon/src/test/java/org/gullsaddle/wire/PeerLinkTests.java
+++ b/daemon/src/test/java/org/gullsaddle/wire/PeerLinkTests.java
@@ -54,35 +54,35 @@
 	}
 
 	@Test
-	void peersThatShareTheKeyLinkAndExchangeFramesInOrder() throws Exception {
-		PeerLink link = dial(KEY).next("up").link();
+	void peersWithTheSameKeyExchangeFramesInOrder() throws Exception {
+		PeerLink link = dial(KEY).awaitEvent("up").link();
 		assertThat(link.peer()).isEqualTo(new NodeId("agent-1"));
 		assertThat(link.peerRole()).isEqualTo(Role.AGENT);
-		PeerLink back = this.agent.next("up").link();
+		PeerLink back = this.agent.awaitEvent("up").link();
 		assertThat(back.peer()).isEqualTo(new NodeId("entry-1"));
 		for (int i = 0; i < 100; i++) {
 			link.send(new Frame.Ping(i, 0));
 			link.send(new Frame.Welcome("frame " + i));
 		}
 		for (int i = 0; i < 100; i++) {
-			assertThat(this.agent.next("frame").frame()).isEqualTo(new Frame.Welcome("frame " + i));
+			assertThat(this.agent.awaitEvent("frame").frame()).isEqualTo(new Frame.Welcome("frame " + i));
 		}
 	}
 
 	@Test
 	void peerWithAnotherKeyIsNotLinked() throws Exception {
-		assertThat(dial("a key that only one knows").next("failed")).isNotNull();
-		assertThat(this.agent.next("failed")).isNotNull();
+		assertThat(dial("a key that only one knows").awaitEvent("failed")).isNotNull();
+		assertThat(this.agent.awaitEvent("failed")).isNotNull();
 	}
 
 	@Test
-	void deadlineIsNeverReadLaterThanItWasMeant() throws Exception {
-		dial(KEY).next("up");
-		PeerLink link = this.agent.next("up").link();
+	void deadlineIsNeverConvertedToALaterTime() throws Exception {
+		dial(KEY).awaitEvent("up");
+		PeerLink link = this.agent.awaitEvent("up").link();
 		long meant = new NodeClock().millis() + 1000;
 		// Both ends share a clock here, so that the reading can be compared.
-		assertThat(link.toLocal(meant)).isLessThanOrEqualTo(meant);
-		assertThat(link.toLocal(Long.MAX_VALUE)).isEqualTo(Long.MAX_VALUE);
+		assertThat(link.toLocalMillis(meant)).isLessThanOrEqualTo(meant);
+		assertThat(link.toLocalMillis(Long.MAX_VALUE)).isEqualTo(Long.MAX_VALUE);
 	}
 
 	/**
@@ -90,18 +90,18 @@
 	 * beside it goes on.
 	 */
 	@Test
-	void garbageClosesItsOwnConnectionOnly() throws Exception {
-		PeerLink link = dial(KEY).next("up").link();
-		this.agent.next("up");
+	void malformedBytesCloseOnlyTheirOwnConnection() throws Exception {
+		PeerLink link = dial(KEY).awaitEvent("up").link();
+		this.agent.awaitEvent("up");
 		assertThat(closedAfter(new byte[] { 0, 0, 0, 5, 1, 2, 3, 4, 5 })).isTrue();
 		assertThat(closedAfter(new byte[] { 127, 0, 0, 0 })).isTrue();
 		assertThat(closedAfter(new byte[] { 0, 0, 0, 0 })).isTrue();
 		link.send(new Frame.Welcome("still here"));
-		assertThat(this.agent.next("frame").frame()).isEqualTo(new Frame.Welcome("still here"));
+		assertThat(this.agent.awaitEvent("frame").frame()).isEqualTo(new Frame.Welcome("still here"));
 	}
 
 	@Test
-	void framesBeforeTheProofAreRefused() throws Exception {
+	void framesBeforeTheHandshakeAreRejected() throws Exception {
 		byte[] frame = FrameCodec.write(1, new Frame.Leaving());
 		byte[] bytes = new byte[4 + frame.length];
 		bytes[3] = (byte) frame.length;
@@ -119,36 +119,36 @@
 		}
 	}
 
-	private record Heard(String what, PeerLink link, Frame frame) {
+	private record Event(String what, PeerLink link, Frame frame) {
 	}
 
 	private static final class Recorder implements PeerListener {
 
-		private final BlockingQueue<Heard> heard = new LinkedBlockingQueue<>();
+		private final BlockingQueue<Event> events = new LinkedBlockingQueue<>();
 
 		@Override
-		public void up(PeerLink link) {
-			this.heard.add(new Heard("up", link, null));
+		public void onLinkUp(PeerLink link) {
+			this.events.add(new Event("up", link, null));
 		}
 
 		@Override
-		public void frame(PeerLink link, Frame frame) {
-			this.heard.add(new Heard("frame", link, frame));
+		public void onFrame(PeerLink link, Frame frame) {
+			this.events.add(new Event("frame", link, frame));
 		}
 
 		@Override
-		public void down(PeerLink link) {
-			this.heard.add(new Heard("down", link, null));
+		public void onLinkDown(PeerLink link) {
+			this.events.add(new Event("down", link, null));
 		}
 
 		@Override
-		public void failed(PeerLink link) {
-			this.heard.add(new Heard("failed", link, null));
+		public void onLinkFailed(PeerLink link) {
+			this.events.add(new Event("failed", link, null));
 		}
 
-		Heard next(String what) throws InterruptedException {
+		Event awaitEvent(String what) throws InterruptedException {
 			while (true) {
-				Heard next = this.heard.poll(20, TimeUnit.SECONDS);
+				Event next = this.events.poll(20, TimeUnit.SECONDS);
 				assertThat(next).as("heard " + what).isNotNull();
 				if (next.what().equals(what)) {
 					return next;
