--- a/daemon/src/main/java/org/gullsaddle/wire/Frame.java
+++ b/daemon/src/main/java/org/gullsaddle/wire/Frame.java
@@ -24,8 +24,8 @@
 import org.gullsaddle.template.TemplateRevision;
 
 /**
- * A message between two nodes. A kind that a node does not know is read as
- * {@link Unknown} and skipped, so that versions of the program can differ.
+ * A message between two nodes. A frame of an unknown kind is read as {@link Unknown} and
+ * skipped, so that nodes can run different releases.
  */
 @JsonTypeInfo(use = JsonTypeInfo.Id.NAME, property = "k", defaultImpl = Frame.Unknown.class)
 @JsonSubTypes({ @JsonSubTypes.Type(value = Frame.Challenge.class, name = "challenge"),
@@ -56,10 +56,10 @@
 	/**
 	 * The accepting side's first frame.
 	 *
-	 * @param protocol the version it speaks
+	 * @param protocol its protocol version
 	 * @param node its name
 	 * @param role its role
-	 * @param nonce random text that the answer must prove itself over
+	 * @param nonce random text that the peer's proof must cover
 	 */
 	record Challenge(int protocol, NodeId node, Role role, String nonce) implements Frame {
 	}
@@ -67,30 +67,30 @@
 	/**
 	 * The dialing side's answer.
 	 *
-	 * @param protocol the version it speaks
+	 * @param protocol its protocol version
 	 * @param node its name
 	 * @param role its role
-	 * @param nonce random text that the other side must prove itself over
-	 * @param proof shows that it knows the key
+	 * @param nonce random text that the other side's proof must cover
+	 * @param proof proves that it knows the key
 	 * @param clock its monotonic time in milliseconds
 	 */
 	record Hello(int protocol, NodeId node, Role role, String nonce, String proof, long clock) implements Frame {
 	}
 
 	/**
-	 * The accepting side's proof; the link is up.
+	 * The accepting side's proof, which establishes the link.
 	 *
-	 * @param proof shows that it knows the key
+	 * @param proof proves that it knows the key
 	 */
 	record Welcome(String proof) implements Frame {
 	}
 
 	/**
-	 * Asks whether the other side lives.
+	 * Checks that the other side is alive.
 	 *
 	 * @param clock the sender's monotonic time in milliseconds
-	 * @param storeAge how long ago the sender last heard of the store, in milliseconds;
-	 * -1 if it does not ask the store
+	 * @param storeAge the time since the store last answered the sender, in milliseconds;
+	 * -1 if the sender does not use the store
 	 */
 	record Ping(long clock, long storeAge) implements Frame {
 	}
@@ -105,7 +105,7 @@
 	}
 
 	/**
-	 * What an agent serves.
+	 * The model versions and load of an agent.
 	 *
 	 * @param agent the agent
 	 * @param leaving whether it takes no new work
@@ -136,7 +136,7 @@
 	}
 
 	/**
-	 * Stop an attempt.
+	 * Cancels an attempt.
 	 *
 	 * @param attempt the attempt
 	 */
@@ -144,10 +144,10 @@
 	}
 
 	/**
-	 * More of an answer may be sent.
+	 * Allows more of an answer to be sent.
 	 *
 	 * @param attempt the attempt
-	 * @param characters how many characters were taken by the caller
+	 * @param characters the number of characters that the caller has consumed
 	 */
 	record Credit(AttemptId attempt, int characters) implements Frame {
 	}
@@ -156,7 +156,7 @@
 	 * An attempt is queued or running.
 	 *
 	 * @param attempt the attempt
-	 * @param ahead how many go before it
+	 * @param ahead the number of attempts queued before it
 	 */
 	record Accepted(AttemptId attempt, int ahead) implements Frame {
 	}
@@ -165,7 +165,7 @@
 	 * An attempt was not and will not be run.
 	 *
 	 * @param attempt the attempt
-	 * @param refusal why
+	 * @param refusal the reason
 	 */
 	record Refused(AttemptId attempt, Refusal refusal) implements Frame {
 	}
@@ -184,27 +184,28 @@
 	 * An answer's end.
 	 *
 	 * @param attempt the attempt
-	 * @param completion how it closed
+	 * @param completion how it completed
 	 * @param length how many characters the whole answer has
 	 */
 	record Done(AttemptId attempt, Completion completion, long length) implements Frame {
 	}
 
 	/**
-	 * An attempt broke off.
+	 * An attempt failed before its end.
 	 *
 	 * @param attempt the attempt
 	 * @param verdict whether it may have run
-	 * @param crashed whether the backend server died
+	 * @param crashed whether the backend server crashed
 	 * @param usage the tokens used as far as known
 	 */
 	record Failed(AttemptId attempt, Verdict verdict, boolean crashed, Usage usage) implements Frame {
 	}
 
 	/**
-	 * Hold a copy of an attempt's line, in case its entry and its agent are both lost.
+	 * Asks the receiver to hold a copy of an attempt's record, in case its entry and its
+	 * agent are both lost.
 	 *
-	 * @param line the line
+	 * @param line the record
 	 */
 	record Copy(AgentRecord line) implements Frame {
 	}
@@ -218,7 +219,8 @@
 	}
 
 	/**
-	 * The records of these requests are in the store; what was held for them may go.
+	 * The records of these requests are in the store; copies held for them may be
+	 * deleted.
 	 *
 	 * @param requests the requests
 	 */
@@ -226,7 +228,7 @@
 	}
 
 	/**
-	 * Revisions of templates, for whoever has older ones.
+	 * Template revisions, for receivers that have older ones.
 	 *
 	 * @param revisions the revisions
 	 */
@@ -244,13 +246,13 @@
 	/**
 	 * A request was running when a backend server crashed.
 	 *
-	 * @param suspicion what is known against its content
+	 * @param suspicion the crash evidence against its content
 	 */
 	record Suspect(SuspectContent suspicion) implements Frame {
 	}
 
 	/**
-	 * A version gets no new work.
+	 * A version is halted and gets no new work.
 	 *
 	 * @param halt the halt
 	 */
--- a/daemon/src/main/java/org/gullsaddle/wire/FrameCodec.java
+++ b/daemon/src/main/java/org/gullsaddle/wire/FrameCodec.java
@@ -9,11 +9,11 @@
 import org.msgpack.jackson.dataformat.MessagePackFactory;
 
 /**
- * Turns frames into MessagePack and back.
+ * Encodes frames as MessagePack and decodes them.
  */
 final class FrameCodec {
 
-	/** A frame larger than this closes its link; both sides bound memory by it. */
+	/** A larger frame closes its link; this bounds the memory used on both sides. */
 	static final int MAX_FRAME_BYTES = 4 << 20;
 
 	private static final int MAX_DEPTH = 32;
--- a/daemon/src/main/java/org/gullsaddle/wire/FrameException.java
+++ b/daemon/src/main/java/org/gullsaddle/wire/FrameException.java
@@ -3,12 +3,13 @@
 import java.io.IOException;
 
 /**
- * A frame that cannot be read, or that the protocol does not allow where it came.
+ * Thrown for a frame that cannot be encoded or decoded, or that the protocol does not
+ * allow at this point.
  */
 public class FrameException extends IOException {
 
 	/**
-	 * Makes an exception.
+	 * Creates an exception.
 	 * @param message what is wrong
 	 */
 	public FrameException(String message) {
@@ -16,7 +17,7 @@
 	}
 
 	/**
-	 * Makes an exception with its cause.
+	 * Creates an exception with its cause.
 	 * @param message what is wrong
 	 * @param cause the cause
 	 */
--- a/daemon/src/main/java/org/gullsaddle/wire/Handshake.java
+++ b/daemon/src/main/java/org/gullsaddle/wire/Handshake.java
@@ -4,11 +4,11 @@
 import org.gullsaddle.settings.Role;
 
 /**
- * The start of a link: each side proves to the other that it knows the shared key.
+ * The handshake of a link, in which each side proves that it knows the shared key.
  */
 final class Handshake {
 
-	/** The version of the protocol that this program speaks. */
+	/** The protocol version of this release. */
 	private static final int PROTOCOL_VERSION = 1;
 
 	private static final String DIALER = "dialer";
@@ -61,9 +61,9 @@
 	private void onChallenge(Frame.Challenge first) throws FrameException {
 		checkProtocol(first.protocol());
 		this.challenge = first;
-		String mine = this.proof.compute(DIALER, first.nonce(), this.nonce, requireName(first.node()),
+		String proofText = this.proof.compute(DIALER, first.nonce(), this.nonce, requireName(first.node()),
 				requireName(this.self.node()), this.self.role().toString());
-		this.link.send(new Frame.Hello(PROTOCOL_VERSION, this.self.node(), this.self.role(), this.nonce, mine,
+		this.link.send(new Frame.Hello(PROTOCOL_VERSION, this.self.node(), this.self.role(), this.nonce, proofText,
 				this.link.nowMillis()));
 	}
 
@@ -97,7 +97,7 @@
 
 	private static String requireName(NodeId node) throws FrameException {
 		if (node == null) {
-			throw new FrameException("the peer does not say who it is");
+			throw new FrameException("the peer gives no name");
 		}
 		return node.value();
 	}
--- a/daemon/src/main/java/org/gullsaddle/wire/PeerDialer.java
+++ b/daemon/src/main/java/org/gullsaddle/wire/PeerDialer.java
@@ -8,7 +8,7 @@
 import org.gullsaddle.base.Address;
 
 /**
- * Dials other nodes.
+ * Opens links to other nodes.
  */
 public final class PeerDialer {
 
@@ -21,9 +21,9 @@
 	private final PeerIdentity self;
 
 	/**
-	 * Makes a dialer.
-	 * @param vertx where to run
-	 * @param self who this node is
+	 * Creates a dialer.
+	 * @param vertx the Vert.x instance
+	 * @param self this node's identity
 	 */
 	public PeerDialer(Vertx vertx, PeerIdentity self) {
 		this.vertx = vertx;
@@ -33,9 +33,10 @@
 
 	/**
 	 * Dials a node once.
-	 * @param address where it listens
-	 * @param listener hears of the link
-	 * @return done once connected; the listener hears when the link is up
+	 * @param address the node's address
+	 * @param listener receives the link's events
+	 * @return completes once connected; the listener is called when the link is
+	 * established
 	 */
 	public Future<PeerLink> dial(Address address, PeerListener listener) {
 		return this.client.connect(address.port(), address.host()).map((socket) -> {
--- a/daemon/src/main/java/org/gullsaddle/wire/PeerIdentity.java
+++ b/daemon/src/main/java/org/gullsaddle/wire/PeerIdentity.java
@@ -7,7 +7,7 @@
 import org.gullsaddle.telemetry.NodeClock;
 
 /**
- * Who this node is to its peers.
+ * This node's identity and clocks, as used on links to its peers.
  *
  * @param node its name
  * @param role its role
--- a/daemon/src/main/java/org/gullsaddle/wire/PeerLink.java
+++ b/daemon/src/main/java/org/gullsaddle/wire/PeerLink.java
@@ -28,7 +28,9 @@
 
 	private static final long MAX_SILENCE_MILLIS = 3000;
 
-	/** What may wait for a peer that reads too slowly, before its link is closed. */
+	/**
+	 * A peer that reads too slowly has its link closed at this number of unsent bytes.
+	 */
 	private static final long MAX_UNSENT_BYTES = 16L << 20;
 
 	private final PeerIdentity self;
@@ -53,7 +55,7 @@
 
 	private volatile long storeAgeMillis = -1;
 
-	/** The peer's clock minus the earliest that this node's clock can have been then. */
+	/** The peer's clock minus the earliest possible reading of this node's clock then. */
 	private volatile long clockOffsetMillis;
 
 	private boolean up;
@@ -71,15 +73,15 @@
 	}
 
 	/**
-	 * Returns the other node.
-	 * @return its name, proved at the handshake
+	 * Returns the peer's name.
+	 * @return the name, proved at the handshake
 	 */
 	public NodeId peer() {
 		return this.peer;
 	}
 
 	/**
-	 * Returns the other node's role.
+	 * Returns the peer's role.
 	 * @return the role it gave at the handshake
 	 */
 	public Role peerRole() {
@@ -87,21 +89,22 @@
 	}
 
 	/**
-	 * Returns how long ago the other node last heard of the store, as it last told.
-	 * @return milliseconds, or -1 if it does not ask the store
+	 * Returns the time since the store last answered the peer, as last reported by the
+	 * peer.
+	 * @return milliseconds, or -1 if the peer does not use the store
 	 */
 	public long storeAgeMillis() {
 		return this.storeAgeMillis;
 	}
 
 	/**
-	 * Turns a time on the other node's clock into the earliest that this node's clock can
-	 * show then.
+	 * Converts a time on the peer's clock to the earliest possible time on this node's
+	 * clock.
 	 * <p>
-	 * Two monotonic clocks have nothing in common, and a frame may be held up anywhere.
-	 * The last answer of the peer was made after this node asked for it, so that reading
-	 * its clock as of the asking can only bring a deadline forward; a dispatch that was
-	 * held up is never run after its deadline.
+	 * Monotonic clocks of two nodes are unrelated, and a frame may be delayed anywhere.
+	 * The peer read its clock after this node sent the ping; taking the reading as of the
+	 * ping can only move a deadline earlier, so a delayed dispatch never runs after its
+	 * deadline.
 	 * @param peerMillis milliseconds on the peer's monotonic clock
 	 * @return milliseconds on this node's monotonic clock
 	 */
@@ -169,8 +172,8 @@
 		this.listener.onLinkUp(this);
 	}
 
-	void updateClockOffset(long askedAt, long peerClock) {
-		this.clockOffsetMillis = peerClock - askedAt;
+	void updateClockOffset(long sentMillis, long peerClock) {
+		this.clockOffsetMillis = peerClock - sentMillis;
 	}
 
 	long nowMillis() {
@@ -202,9 +205,9 @@
 	}
 
 	private void checkAndPing() {
-		long silent = nowMillis() - this.lastFrameMillis;
-		if (silent > (this.up ? MAX_SILENCE_MILLIS : HANDSHAKE_TIMEOUT_MILLIS)) {
-			close("nothing heard for " + silent + " ms");
+		long silentMillis = nowMillis() - this.lastFrameMillis;
+		if (silentMillis > (this.up ? MAX_SILENCE_MILLIS : HANDSHAKE_TIMEOUT_MILLIS)) {
+			close("no frame received for " + silentMillis + " ms");
 			return;
 		}
 		if (this.up) {
--- a/daemon/src/main/java/org/gullsaddle/wire/PeerListener.java
+++ b/daemon/src/main/java/org/gullsaddle/wire/PeerListener.java
@@ -1,32 +1,32 @@
 package org.gullsaddle.wire;
 
 /**
- * Hears of links to other nodes. Calls for one link come one after another; calls for
- * different links may come at once.
+ * Receives the events of links to other nodes. Calls for one link are sequential; calls
+ * for different links may be concurrent.
  */
 public interface PeerListener {
 
 	/**
-	 * A link is up.
+	 * Handles a link that has been established.
 	 * @param link the link
 	 */
 	void onLinkUp(PeerLink link);
 
 	/**
-	 * A frame came.
+	 * Handles a received frame.
 	 * @param link the link
 	 * @param frame the frame
 	 */
 	void onFrame(PeerLink link, Frame frame);
 
 	/**
-	 * A link that was up is gone; no frame of it comes after.
+	 * Handles the end of an established link; no frame of it follows.
 	 * @param link the link
 	 */
 	void onLinkDown(PeerLink link);
 
 	/**
-	 * A link closed before it was up, such as for a wrong key.
+	 * Handles a link that closed before it was established, for example for a wrong key.
 	 * @param link the link
 	 */
 	default void onLinkFailed(PeerLink link) {
--- a/daemon/src/main/java/org/gullsaddle/wire/PeerServer.java
+++ b/daemon/src/main/java/org/gullsaddle/wire/PeerServer.java
@@ -14,10 +14,10 @@
 	private final NetServer server;
 
 	/**
-	 * Makes a server that does not listen yet.
-	 * @param vertx where to run
-	 * @param self who this node is
-	 * @param listener hears of the links
+	 * Creates a server that does not listen yet.
+	 * @param vertx the Vert.x instance
+	 * @param self this node's identity
+	 * @param listener receives the events of all links
 	 */
 	public PeerServer(Vertx vertx, PeerIdentity self, PeerListener listener) {
 		this.server = vertx.createNetServer()
@@ -25,9 +25,9 @@
 	}
 
 	/**
-	 * Listens.
-	 * @param address where
-	 * @return the port once it listens
+	 * Starts listening.
+	 * @param address the address to bind
+	 * @return the actual port
 	 */
 	public Future<Integer> listen(Address address) {
 		return this.server.listen(address.port(), address.host()).map(NetServer::actualPort);
@@ -35,7 +35,7 @@
 
 	/**
 	 * Stops listening and closes the links.
-	 * @return done once it has
+	 * @return completes once closed
 	 */
 	public Future<Void> close() {
 		return this.server.close();
--- a/daemon/src/main/java/org/gullsaddle/wire/Proof.java
+++ b/daemon/src/main/java/org/gullsaddle/wire/Proof.java
@@ -10,11 +10,11 @@
 import org.gullsaddle.base.Digests;
 
 /**
- * Proves knowledge of the shared key over both sides' nonces and names.
+ * Computes and checks proofs of the shared key over both sides' nonces and names.
  * <p>
- * Whoever can reach a node's port could otherwise dispatch work in any team's name. A
- * proof over the other side's fresh nonce cannot be replayed, and its label keeps one
- * side's proof from being handed back as the other's.
+ * Without it, anyone who can reach a node's port could dispatch work in any team's name.
+ * A proof over the other side's fresh nonce cannot be replayed, and the label keeps one
+ * side's proof from being returned as the other's.
  */
 final class Proof {
 
--- a/daemon/src/test/java/org/gullsaddle/wire/FrameCodecTests.java
+++ b/daemon/src/test/java/org/gullsaddle/wire/FrameCodecTests.java
@@ -92,15 +92,15 @@
 	}
 
 	/**
-	 * Guards against a renamed component, which a node of another build would skip.
+	 * Guards against a renamed component, which a node of another release would ignore.
 	 */
 	@ParameterizedTest
 	@MethodSource("frames")
 	void frameMatchesBytesOfEarlierBuilds(Frame frame) throws IOException {
 		String kind = PLAIN.readTree(FrameCodec.write(42, frame)).at("/frame/k").asText();
-		byte[] kept = storedFrames().get(kind);
-		assertThat(FrameCodec.write(42, frame)).isEqualTo(kept);
-		assertThat(FrameCodec.read(kept)).isEqualTo(new FrameCodec.Envelope(42, frame));
+		byte[] stored = storedFrames().get(kind);
+		assertThat(FrameCodec.write(42, frame)).isEqualTo(stored);
+		assertThat(FrameCodec.read(stored)).isEqualTo(new FrameCodec.Envelope(42, frame));
 	}
 
 	@Test
@@ -144,14 +144,14 @@
 	 * earlier build.
 	 */
 	private static Map<String, byte[]> storedFrames() throws IOException {
-		Map<String, byte[]> kept = new HashMap<>();
+		Map<String, byte[]> stored = new HashMap<>();
 		try (InputStream in = FrameCodecTests.class.getResourceAsStream("/frames.txt")) {
 			for (String line : new String(in.readAllBytes(), StandardCharsets.US_ASCII).split("\n")) {
 				String[] parts = line.split(" ");
-				kept.put(parts[0], HexFormat.of().parseHex(parts[1]));
+				stored.put(parts[0], HexFormat.of().parseHex(parts[1]));
 			}
 		}
-		return kept;
+		return stored;
 	}
 
 	private static byte[] bytes(String json) throws Exception {
--- a/daemon/src/test/java/org/gullsaddle/wire/PeerLinkTests.java
+++ b/daemon/src/test/java/org/gullsaddle/wire/PeerLinkTests.java
@@ -79,15 +79,15 @@
 	void deadlineIsNeverConvertedToALaterTime() throws Exception {
 		dial(KEY).awaitEvent("up");
 		PeerLink link = this.agent.awaitEvent("up").link();
-		long meant = new NodeClock().millis() + 1000;
-		// Both ends share a clock here, so that the reading can be compared.
-		assertThat(link.toLocalMillis(meant)).isLessThanOrEqualTo(meant);
+		long deadline = new NodeClock().millis() + 1000;
+		// Both ends share a clock here, so the times can be compared.
+		assertThat(link.toLocalMillis(deadline)).isLessThanOrEqualTo(deadline);
 		assertThat(link.toLocalMillis(Long.MAX_VALUE)).isEqualTo(Long.MAX_VALUE);
 	}
 
 	/**
-	 * Someone who is no peer sends what is no frame. That connection is closed; the link
-	 * beside it goes on.
+	 * A client that is not a peer sends malformed bytes. Its connection is closed; an
+	 * established link is not affected.
 	 */
 	@Test
 	void malformedBytesCloseOnlyTheirOwnConnection() throws Exception {
@@ -149,7 +149,7 @@
 		Event awaitEvent(String what) throws InterruptedException {
 			while (true) {
 				Event next = this.events.poll(20, TimeUnit.SECONDS);
-				assertThat(next).as("heard " + what).isNotNull();
+				assertThat(next).as("event " + what).isNotNull();
 				if (next.what().equals(what)) {
 					return next;
 				}
