--- a/daemon/src/main/java/org/gullsaddle/wire/PeerIdentity.java
+++ b/daemon/src/main/java/org/gullsaddle/wire/PeerIdentity.java
@@ -13,8 +13,8 @@
  * @param role its role
  * @param key the secret that all nodes share
  * @param clock its clocks
- * @param storeAgeMillis tells how long ago it last heard of the store, in milliseconds;
- * -1 if it does not ask the store
+ * @param storeAgeMillis returns the time since the store last answered, in milliseconds;
+ * -1 if the node does not use the store
  */
 public record PeerIdentity(NodeId node, Role role, byte[] key, NodeClock clock, LongSupplier storeAgeMillis) {
 }
