--- a/daemon/src/main/java/org/gullsaddle/backend/AgentNode.java
+++ b/daemon/src/main/java/org/gullsaddle/backend/AgentNode.java
@@ -125,7 +125,7 @@
 		this.backend = (agent.kind() == TemplateKind.CHAT) ? new EngineBackend(http)
 				: new ServiceBackend(http, agent.versions());
 		this.admission = new Admission(AdmissionSettings.of(settings.node()).withMaxQueued(agent.maxQueued()));
-		templates.listen(this::onTemplateChanged);
+		templates.addListener(this::onTemplateChanged);
 	}
 
 	/**
@@ -177,7 +177,7 @@
 	}
 
 	@Override
-	public void up(PeerLink link) {
+	public void onLinkUp(PeerLink link) {
 		if (link.peerRole() != Role.ENTRY) {
 			link.close();
 			return;
@@ -193,7 +193,7 @@
 	}
 
 	@Override
-	public void down(PeerLink link) {
+	public void onLinkDown(PeerLink link) {
 		if (this.entries.remove(link.peer(), link)) {
 			this.announcer.onEntryDown(link.peer());
 			handle(new AdmissionEvent.EntryDown(link.peer()));
@@ -201,10 +201,10 @@
 	}
 
 	@Override
-	public void frame(PeerLink link, Frame frame) {
+	public void onFrame(PeerLink link, Frame frame) {
 		switch (frame) {
 			case Frame.Dispatched sent -> handle(new AdmissionEvent.Dispatched(link.peer(), sent.dispatch(),
-					link.toLocal(sent.dispatch().deadline())));
+					link.toLocalMillis(sent.dispatch().deadline())));
 			case Frame.Cancel cancel -> handle(new AdmissionEvent.CancelRequested(cancel.attempt()));
 			case Frame.Credit credit -> onCredit(credit);
 			case Frame.Suspect suspect -> handle(new AdmissionEvent.SuspectAnnounced(suspect.suspicion()));
@@ -415,7 +415,7 @@
 	}
 
 	private Frame.InForce inForceFrame() {
-		return new Frame.InForce(this.templates.revisions());
+		return new Frame.InForce(this.templates.revisionNumbers());
 	}
 
 }
--- a/daemon/src/main/java/org/gullsaddle/controller/GrantController.java
+++ b/daemon/src/main/java/org/gullsaddle/controller/GrantController.java
@@ -17,13 +17,13 @@
 import org.gullsaddle.telemetry.NodeClock;
 
 /**
- * Keeps this entry's parts of the allowances in step with the store.
+ * Synchronizes this entry's shares of the team allowances with the store.
  */
 public final class GrantController {
 
 	private static final Logger LOG = LoggerFactory.getLogger(GrantController.class);
 
-	private static final int CONFLICTS = 5;
+	private static final int MAX_CONFLICT_RETRIES = 5;
 
 	private final Store store;
 
@@ -31,63 +31,63 @@
 
 	private final NodeClock clock;
 
-	private final GrantCoordinator keeper;
+	private final GrantCoordinator coordinator;
 
 	/**
-	 * Makes a controller.
+	 * Creates a controller.
 	 * @param store the store
-	 * @param prefix the start of the system's keys
+	 * @param prefix the prefix of the system's keys
 	 * @param clock the node's clocks
-	 * @param keeper decides the shares
+	 * @param coordinator decides the shares
 	 */
-	public GrantController(Store store, String prefix, NodeClock clock, GrantCoordinator keeper) {
+	public GrantController(Store store, String prefix, NodeClock clock, GrantCoordinator coordinator) {
 		this.store = store;
 		this.key = prefix + "grants";
 		this.clock = clock;
-		this.keeper = keeper;
+		this.coordinator = coordinator;
 	}
 
 	/**
-	 * Renews and adjusts the shares, again and again, until cancelled.
-	 * @param every what starts each round
-	 * @return never done
+	 * Renews and adjusts the shares on each tick until cancelled.
+	 * @param ticks emits an item to start each round
+	 * @return a completable that never completes
 	 */
-	public Completable run(Flowable<?> every) {
-		return every.onBackpressureDrop().concatMapCompletable((tick) -> round(CONFLICTS).onErrorComplete());
+	public Completable run(Flowable<?> ticks) {
+		return ticks.onBackpressureDrop().concatMapCompletable((tick) -> renew(MAX_CONFLICT_RETRIES).onErrorComplete());
 	}
 
 	/**
-	 * Gives all shares back.
-	 * @return done when the store has taken it
+	 * Releases all shares of this entry.
+	 * @return completes once the store has accepted the release
 	 */
-	public Completable giveUpAll() {
+	public Completable releaseAll() {
 		return this.store.get(this.key).flatMapCompletable((found) -> {
 			if (found.isEmpty()) {
 				return Completable.complete();
 			}
-			GrantDocument document = this.keeper.releaseGrants(read(found), this.clock.millis());
+			GrantDocument document = this.coordinator.releaseGrants(decode(found), this.clock.millis());
 			return write(found, document).ignoreElement();
 		});
 	}
 
-	private Completable round(int triesLeft) {
-		long askedAt = this.clock.millis();
+	private Completable renew(int retriesLeft) {
+		long readStartMillis = this.clock.millis();
 		return this.store.get(this.key).flatMapCompletable((found) -> {
-			GrantDocument next = this.keeper.propose(read(found), askedAt, this.clock.millis(),
+			GrantDocument next = this.coordinator.propose(decode(found), readStartMillis, this.clock.millis(),
 					this.clock.wallMillis());
 			if (next == null) {
 				return Completable.complete();
 			}
 			return write(found, next).flatMapCompletable((revision) -> {
 				if (revision.isPresent()) {
-					this.keeper.onAccepted(this.clock.millis());
+					this.coordinator.onAccepted(this.clock.millis());
 					return Completable.complete();
 				}
-				this.keeper.onNotAccepted();
-				return (triesLeft > 0) ? round(triesLeft - 1) : Completable.complete();
+				this.coordinator.onNotAccepted();
+				return (retriesLeft > 0) ? renew(retriesLeft - 1) : Completable.complete();
 			});
 		}).doOnError((failure) -> {
-			this.keeper.onNotAccepted();
+			this.coordinator.onNotAccepted();
 			LOG.atWarn().addKeyValue("reason", failure.getMessage()).log("allowances not renewed");
 		});
 	}
@@ -97,7 +97,7 @@
 				List.of(new Store.Put(this.key, Json.write(document))));
 	}
 
-	private static GrantDocument read(Optional<Store.StoredValue> found) throws IOException {
+	private static GrantDocument decode(Optional<Store.StoredValue> found) throws IOException {
 		return found.isPresent() ? Json.read(found.get().value(), GrantDocument.class) : GrantDocument.EMPTY;
 	}
 
--- a/daemon/src/main/java/org/gullsaddle/controller/RegisterController.java
+++ b/daemon/src/main/java/org/gullsaddle/controller/RegisterController.java
@@ -24,12 +24,12 @@
 import org.gullsaddle.telemetry.NodeClock;
 
 /**
- * A register spread over several values in the store. Thread-safe; each shard has its own
- * lock.
+ * A register of entries by key, sharded over several values in the store. Thread-safe;
+ * each shard has its own lock.
  */
 public final class RegisterController {
 
-	private static final int MAX_ENTRIES = 4000;
+	private static final int MAX_ENTRIES_PER_SHARD = 4000;
 
 	private final Store store;
 
@@ -37,14 +37,14 @@
 
 	private final List<Shard> shards = new ArrayList<>();
 
-	private final AtomicLong ids = new AtomicLong();
+	private final AtomicLong lastId = new AtomicLong();
 
 	/**
-	 * Makes a register.
+	 * Creates a register.
 	 * @param store the store
-	 * @param prefix the start of the keys of the register's values
+	 * @param prefix the prefix of the keys of the register's values
 	 * @param clock the node's clocks
-	 * @param shards over how many values to spread it; the same on every node
+	 * @param shards the number of shards; must be the same on every node
 	 * @param retentionMillis how long an entry is kept after its last change, in
 	 * milliseconds
 	 */
@@ -52,21 +52,21 @@
 		this.store = store;
 		this.clock = clock;
 		for (int i = 0; i < shards; i++) {
-			this.shards.add(new Shard(prefix + i, new RegisterShard(MAX_ENTRIES, retentionMillis)));
+			this.shards.add(new Shard(prefix + i, new RegisterShard(MAX_ENTRIES_PER_SHARD, retentionMillis)));
 		}
 	}
 
 	/**
-	 * Carries out an operation.
+	 * Submits an operation.
 	 * @param operation the operation
-	 * @param withinMillis how long its answer may take, in milliseconds;
-	 * {@link Long#MAX_VALUE} to try until it is done
-	 * @return the entry that its key has then, or empty; an
-	 * {@link RegisterUnavailableException} if it could not be settled in time
+	 * @param timeoutMillis how long its answer may take, in milliseconds;
+	 * {@link Long#MAX_VALUE} to retry without limit
+	 * @return the entry of its key after the operation, or empty; an
+	 * {@link RegisterUnavailableException} if it did not complete in time
 	 */
-	public Single<Optional<Entry>> submit(Operation operation, long withinMillis) {
-		long id = this.ids.incrementAndGet();
-		long deadline = (withinMillis == Long.MAX_VALUE) ? Long.MAX_VALUE : this.clock.millis() + withinMillis;
+	public Single<Optional<Entry>> submit(Operation operation, long timeoutMillis) {
+		long id = this.lastId.incrementAndGet();
+		long deadline = (timeoutMillis == Long.MAX_VALUE) ? Long.MAX_VALUE : this.clock.millis() + timeoutMillis;
 		Shard shard = shard(operation.key());
 		SingleSubject<Optional<Entry>> answer = SingleSubject.create();
 		shard.handle(new RegisterEvent.Submitted(id, operation, deadline), id, answer);
@@ -74,7 +74,7 @@
 	}
 
 	/**
-	 * Lets time pass: ends what waited too long and tries again what failed.
+	 * Fails operations past their deadline and retries failed store calls.
 	 */
 	public void tick() {
 		this.shards.forEach((shard) -> shard.handle(new RegisterEvent.Tick()));
@@ -86,28 +86,28 @@
 	}
 
 	/**
-	 * One value of the register.
+	 * One shard of the register, stored as a single value.
 	 */
 	private final class Shard {
 
 		private final String key;
 
-		private final RegisterShard core;
+		private final RegisterShard state;
 
-		private final Map<Long, SingleSubject<Optional<Entry>>> waiting = new HashMap<>();
+		private final Map<Long, SingleSubject<Optional<Entry>>> pendingAnswers = new HashMap<>();
 
 		private final Queue<RegisterEvent> events = new ArrayDeque<>();
 
 		private boolean handling;
 
-		Shard(String key, RegisterShard core) {
+		Shard(String key, RegisterShard state) {
 			this.key = key;
-			this.core = core;
+			this.state = state;
 		}
 
 		void handle(RegisterEvent event, long id, SingleSubject<Optional<Entry>> answer) {
 			synchronized (this) {
-				this.waiting.put(id, answer);
+				this.pendingAnswers.put(id, answer);
 			}
 			handle(event);
 		}
@@ -121,28 +121,28 @@
 				}
 				this.handling = true;
 				while (!this.events.isEmpty()) {
-					long now = RegisterController.this.clock.millis();
-					long wall = RegisterController.this.clock.wallMillis();
-					for (RegisterAction action : this.core.handle(now, wall, this.events.poll())) {
-						carryOut(action, answers);
+					long nowMillis = RegisterController.this.clock.millis();
+					long wallMillis = RegisterController.this.clock.wallMillis();
+					for (RegisterAction action : this.state.handle(nowMillis, wallMillis, this.events.poll())) {
+						execute(action, answers);
 					}
 				}
 				this.handling = false;
 			}
-			// Whoever is answered may submit again; no lock is held then.
+			// Callbacks may submit again, so they run without the lock.
 			answers.forEach(Runnable::run);
 		}
 
-		private void carryOut(RegisterAction action, List<Runnable> answers) {
+		private void execute(RegisterAction action, List<Runnable> answers) {
 			switch (action) {
 				case RegisterAction.Read read -> read();
 				case RegisterAction.Write write -> write(write);
 				case RegisterAction.Answer answer -> {
-					SingleSubject<Optional<Entry>> subject = this.waiting.remove(answer.id());
+					SingleSubject<Optional<Entry>> subject = this.pendingAnswers.remove(answer.id());
 					answers.add(() -> subject.onSuccess(Optional.ofNullable(answer.entry())));
 				}
 				case RegisterAction.Unavailable unavailable -> {
-					SingleSubject<Optional<Entry>> subject = this.waiting.remove(unavailable.id());
+					SingleSubject<Optional<Entry>> subject = this.pendingAnswers.remove(unavailable.id());
 					answers.add(() -> subject.onError(new RegisterUnavailableException()));
 				}
 			}
--- a/daemon/src/main/java/org/gullsaddle/entry/EntryNode.java
+++ b/daemon/src/main/java/org/gullsaddle/entry/EntryNode.java
@@ -174,7 +174,7 @@
 		for (int i = 0; i < entry.shards(); i++) {
 			this.shards.add(new RouterShard(new Router(routing, new Random()), this, clock));
 		}
-		templates.listen(this::onTemplateChanged);
+		templates.addListener(this::onTemplateChanged);
 	}
 
 	/**
@@ -195,7 +195,7 @@
 		this.subscriptions
 			.add(Flowable.interval(1, TimeUnit.SECONDS).onBackpressureDrop().subscribe((tick) -> updateFreshness()));
 		this.telemetry.gauge("requests.open", this::openRequestCount);
-		this.telemetry.gauge("ledger.waiting", this.ledger::waiting);
+		this.telemetry.gauge("ledger.waiting", this.ledger::pendingCount);
 		this.telemetry.gauge("links", () -> this.members.links().size());
 	}
 
@@ -213,7 +213,7 @@
 				.ignoreElements())
 			.andThen(Completable.fromAction(this.heldCopies::writeAll))
 			.andThen(Completable.defer(this.ledger::flushUntilWritten))
-			.andThen(Completable.defer(() -> this.grants.giveUpAll().onErrorComplete()));
+			.andThen(Completable.defer(() -> this.grants.releaseAll().onErrorComplete()));
 	}
 
 	/**
@@ -237,20 +237,20 @@
 	 * stopping
 	 */
 	public boolean isReady() {
-		return !this.leaving && !this.templates.all().isEmpty()
+		return !this.leaving && !this.templates.allTemplates().isEmpty()
 				&& this.members.links().values().stream().anyMatch((link) -> link.peerRole() == Role.AGENT);
 	}
 
 	@Override
-	public void up(PeerLink link) {
-		link.send(new Frame.Templates(List.copyOf(this.templates.all().values())));
+	public void onLinkUp(PeerLink link) {
+		link.send(new Frame.Templates(List.copyOf(this.templates.allTemplates().values())));
 		if (link.peerRole() == Role.ENTRY) {
 			sendSuspects(link);
 		}
 	}
 
 	@Override
-	public void down(PeerLink link) {
+	public void onLinkDown(PeerLink link) {
 		this.revisionsInForce.remove(link.peer());
 		if (link.peerRole() == Role.AGENT) {
 			handleInAllShards(new RouterEvent.AgentDown(link.peer()));
@@ -258,7 +258,7 @@
 	}
 
 	@Override
-	public void frame(PeerLink link, Frame frame) {
+	public void onFrame(PeerLink link, Frame frame) {
 		switch (frame) {
 			case Frame.Status status -> {
 				handleInAllShards(new RouterEvent.AgentUp(status.agent()));
@@ -285,7 +285,7 @@
 			case Frame.Recorded recorded -> this.heldCopies.onRecorded(recorded.requests());
 			case Frame.Templates pushed -> {
 				pushed.revisions().forEach(this.templates::apply);
-				link.send(new Frame.InForce(this.templates.revisions()));
+				link.send(new Frame.InForce(this.templates.revisionNumbers()));
 			}
 			case Frame.InForce revisions -> this.revisionsInForce.put(link.peer(), Map.copyOf(revisions.revisions()));
 			case Frame.Halted halted -> {
@@ -398,7 +398,7 @@
 			return;
 		}
 		this.telemetry.outcome(exchange.template(), exchange.team(), refusal.reason().toString());
-		if (this.ledger.hasRoom()) {
+		if (this.ledger.hasCapacity()) {
 			String session = (exchange.session() != null) ? exchange.session().value() : null;
 			this.ledger.append(new LedgerEntry.RequestEntry(new RequestRecord(exchange.id(), exchange.team(),
 					exchange.template(), session, exchange.arrival().stamp(), "none", List.of(), Verdict.NOT_RUN,
@@ -411,11 +411,11 @@
 	}
 
 	Optional<TemplateRevision> findTemplate(TemplateName name) {
-		return this.templates.get(name);
+		return this.templates.find(name);
 	}
 
 	boolean hasLedgerCapacity() {
-		return this.ledger.hasRoom();
+		return this.ledger.hasCapacity();
 	}
 
 	boolean isStopping() {
@@ -475,7 +475,7 @@
 				missing.add(node);
 			}
 		}
-		boolean inForceHere = this.templates.get(name).map((current) -> current.revision() >= revision).orElse(false);
+		boolean inForceHere = this.templates.find(name).map((current) -> current.revision() >= revision).orElse(false);
 		int self = inForceHere ? 1 : 0;
 		return new InForceCount(expected.size() - missing.size() + self, expected.size() + 1, missing);
 	}
@@ -499,7 +499,7 @@
 	List<Halt> activeHalts() {
 		return this.halts.values()
 			.stream()
-			.filter((halt) -> this.templates.get(halt.template())
+			.filter((halt) -> this.templates.find(halt.template())
 				.map((current) -> current.revision() <= halt.revision())
 				.orElse(true))
 			.toList();
@@ -541,9 +541,9 @@
 		for (NodeId node : this.members.entries()) {
 			PeerLink link = links.get(node);
 			boolean reachable = link != null;
-			peers.add(new ConfigFreshness.Peer(reachable, reachable ? link.storeAge() : Long.MAX_VALUE));
+			peers.add(new ConfigFreshness.Peer(reachable, reachable ? link.storeAgeMillis() : Long.MAX_VALUE));
 		}
-		boolean isCutOff = ConfigFreshness.isCutOff(this.templates.storeAge(),
+		boolean isCutOff = ConfigFreshness.isCutOff(this.templates.storeAgeMillis(),
 				this.settings.entry().orElseThrow().cutOffMillis(), peers);
 		if (isCutOff != this.cutOff) {
 			this.cutOff = isCutOff;
--- a/daemon/src/main/java/org/gullsaddle/wire/PeerDialer.java
+++ b/daemon/src/main/java/org/gullsaddle/wire/PeerDialer.java
@@ -8,11 +8,11 @@
 import org.gullsaddle.base.Address;
 
 /**
- * Dials other nodes.
+ * Opens links to other nodes.
  */
 public final class PeerDialer {
 
-	private static final int CONNECT_MILLIS = 1000;
+	private static final int CONNECT_TIMEOUT_MILLIS = 1000;
 
 	private final Vertx vertx;
 
@@ -21,21 +21,22 @@
 	private final PeerIdentity self;
 
 	/**
-	 * Makes a dialer.
-	 * @param vertx where to run
-	 * @param self who this node is
+	 * Creates a dialer.
+	 * @param vertx the Vert.x instance
+	 * @param self this node's identity
 	 */
 	public PeerDialer(Vertx vertx, PeerIdentity self) {
 		this.vertx = vertx;
 		this.self = self;
-		this.client = vertx.createNetClient(new NetClientOptions().setConnectTimeout(CONNECT_MILLIS));
+		this.client = vertx.createNetClient(new NetClientOptions().setConnectTimeout(CONNECT_TIMEOUT_MILLIS));
 	}
 
 	/**
 	 * Dials a node once.
-	 * @param address where it listens
-	 * @param listener hears of the link
-	 * @return done once connected; the listener hears when the link is up
+	 * @param address the node's address
+	 * @param listener receives the link's events
+	 * @return completes once connected; the listener is called when the link is
+	 * established
 	 */
 	public Future<PeerLink> dial(Address address, PeerListener listener) {
 		return this.client.connect(address.port(), address.host()).map((socket) -> {
--- a/daemon/src/main/java/org/gullsaddle/wire/PeerIdentity.java
+++ b/daemon/src/main/java/org/gullsaddle/wire/PeerIdentity.java
@@ -7,14 +7,14 @@
 import org.gullsaddle.telemetry.NodeClock;
 
 /**
- * Who this node is to its peers.
+ * This node's identity and clocks, as used on links to its peers.
  *
  * @param node its name
  * @param role its role
  * @param key the secret that all nodes share
  * @param clock its clocks
- * @param storeAge tells how long ago it last heard of the store, in milliseconds; -1 if
- * it does not ask the store
+ * @param storeAgeMillis returns the time since the store last answered, in milliseconds;
+ * -1 if the node does not use the store
  */
-public record PeerIdentity(NodeId node, Role role, byte[] key, NodeClock clock, LongSupplier storeAge) {
+public record PeerIdentity(NodeId node, Role role, byte[] key, NodeClock clock, LongSupplier storeAgeMillis) {
 }
--- a/daemon/src/main/java/org/gullsaddle/wire/PeerLink.java
+++ b/daemon/src/main/java/org/gullsaddle/wire/PeerLink.java
@@ -22,13 +22,15 @@
 
 	private static final int LENGTH_BYTES = 4;
 
-	private static final long HANDSHAKE_MILLIS = 3000;
+	private static final long HANDSHAKE_TIMEOUT_MILLIS = 3000;
 
-	private static final long PING_MILLIS = 500;
+	private static final long PING_INTERVAL_MILLIS = 500;
 
-	private static final long SILENCE_MILLIS = 3000;
+	private static final long MAX_SILENCE_MILLIS = 3000;
 
-	/** What may wait for a peer that reads too slowly, before its link is closed. */
+	/**
+	 * A peer that reads too slowly has its link closed at this number of unsent bytes.
+	 */
 	private static final long MAX_UNSENT_BYTES = 16L << 20;
 
 	private final PeerIdentity self;
@@ -41,7 +43,7 @@
 
 	private final NodeClock clock;
 
-	private final AtomicLong unsent = new AtomicLong();
+	private final AtomicLong unsentBytes = new AtomicLong();
 
 	private final Handshake handshake;
 
@@ -49,12 +51,12 @@
 
 	private volatile Role peerRole;
 
-	private volatile long heardAt;
+	private volatile long lastFrameMillis;
 
-	private volatile long storeAge = -1;
+	private volatile long storeAgeMillis = -1;
 
-	/** The peer's clock minus the earliest that this node's clock can have been then. */
-	private volatile long clockLead;
+	/** The peer's clock minus the earliest possible reading of this node's clock then. */
+	private volatile long clockOffsetMillis;
 
 	private boolean up;
 
@@ -66,20 +68,20 @@
 		this.self = self;
 		this.listener = listener;
 		this.clock = self.clock();
-		this.heardAt = this.clock.millis();
+		this.lastFrameMillis = this.clock.millis();
 		this.handshake = new Handshake(self, this, accepted);
 	}
 
 	/**
-	 * Returns the other node.
-	 * @return its name, proved at the handshake
+	 * Returns the peer's name.
+	 * @return the name, proved at the handshake
 	 */
 	public NodeId peer() {
 		return this.peer;
 	}
 
 	/**
-	 * Returns the other node's role.
+	 * Returns the peer's role.
 	 * @return the role it gave at the handshake
 	 */
 	public Role peerRole() {
@@ -87,26 +89,27 @@
 	}
 
 	/**
-	 * Returns how long ago the other node last heard of the store, as it last told.
-	 * @return milliseconds, or -1 if it does not ask the store
+	 * Returns the time since the store last answered the peer, as last reported by the
+	 * peer.
+	 * @return milliseconds, or -1 if the peer does not use the store
 	 */
-	public long storeAge() {
-		return this.storeAge;
+	public long storeAgeMillis() {
+		return this.storeAgeMillis;
 	}
 
 	/**
-	 * Turns a time on the other node's clock into the earliest that this node's clock can
-	 * show then.
+	 * Converts a time on the peer's clock to the earliest possible time on this node's
+	 * clock.
 	 * <p>
-	 * Two monotonic clocks have nothing in common, and a frame may be held up anywhere.
-	 * The last answer of the peer was made after this node asked for it, so that reading
-	 * its clock as of the asking can only bring a deadline forward; a dispatch that was
-	 * held up is never run after its deadline.
+	 * Monotonic clocks of two nodes are unrelated, and a frame may be delayed anywhere.
+	 * The peer read its clock after this node sent the ping; taking the reading as of the
+	 * ping can only move a deadline earlier, so a delayed dispatch never runs after its
+	 * deadline.
 	 * @param peerMillis milliseconds on the peer's monotonic clock
 	 * @return milliseconds on this node's monotonic clock
 	 */
-	public long toLocal(long peerMillis) {
-		return (peerMillis == Long.MAX_VALUE) ? Long.MAX_VALUE : peerMillis - this.clockLead;
+	public long toLocalMillis(long peerMillis) {
+		return (peerMillis == Long.MAX_VALUE) ? Long.MAX_VALUE : peerMillis - this.clockOffsetMillis;
 	}
 
 	/**
@@ -123,12 +126,12 @@
 			close(ex.getMessage());
 			return;
 		}
-		if (this.unsent.addAndGet(bytes.length) > MAX_UNSENT_BYTES) {
+		if (this.unsentBytes.addAndGet(bytes.length) > MAX_UNSENT_BYTES) {
 			close("the peer reads too slowly");
 			return;
 		}
 		Buffer buffer = Buffer.buffer(LENGTH_BYTES + bytes.length).appendInt(bytes.length).appendBytes(bytes);
-		this.socket.write(buffer).onComplete((written) -> this.unsent.addAndGet(-bytes.length));
+		this.socket.write(buffer).onComplete((written) -> this.unsentBytes.addAndGet(-bytes.length));
 	}
 
 	@Override
@@ -156,44 +159,44 @@
 		});
 		this.socket.handler(parser);
 		this.socket.exceptionHandler((failure) -> close(String.valueOf(failure.getMessage())));
-		this.socket.closeHandler((closed) -> closed());
-		this.timer = this.vertx.setPeriodic(PING_MILLIS, (tick) -> beat());
+		this.socket.closeHandler((closed) -> onClosed());
+		this.timer = this.vertx.setPeriodic(PING_INTERVAL_MILLIS, (tick) -> checkAndPing());
 		this.handshake.begin();
 	}
 
-	void established(NodeId node, Role role) {
+	void onEstablished(NodeId node, Role role) {
 		this.peer = node;
 		this.peerRole = role;
 		this.up = true;
 		LOG.atInfo().addKeyValue("peer", node).addKeyValue("role", role).log("link up");
-		this.listener.up(this);
+		this.listener.onLinkUp(this);
 	}
 
-	void learnClock(long askedAt, long peerClock) {
-		this.clockLead = peerClock - askedAt;
+	void updateClockOffset(long sentMillis, long peerClock) {
+		this.clockOffsetMillis = peerClock - sentMillis;
 	}
 
-	long now() {
+	long nowMillis() {
 		return this.clock.millis();
 	}
 
 	private void receive(byte[] bytes) {
 		try {
 			FrameCodec.Envelope envelope = FrameCodec.read(bytes);
-			this.heardAt = now();
+			this.lastFrameMillis = nowMillis();
 			this.clock.observe(envelope.stamp());
 			if (!this.up) {
-				this.handshake.receive(envelope.frame());
+				this.handshake.onFrame(envelope.frame());
 				return;
 			}
 			switch (envelope.frame()) {
 				case Frame.Ping ping -> {
-					this.storeAge = ping.storeAge();
-					send(new Frame.Pong(ping.clock(), now()));
+					this.storeAgeMillis = ping.storeAge();
+					send(new Frame.Pong(ping.clock(), nowMillis()));
 				}
-				case Frame.Pong pong -> learnClock(pong.echo(), pong.clock());
+				case Frame.Pong pong -> updateClockOffset(pong.echo(), pong.clock());
 				case Frame.Unknown unknown -> LOG.atDebug().addKeyValue("peer", this.peer).log("unknown frame skipped");
-				default -> this.listener.frame(this, envelope.frame());
+				default -> this.listener.onFrame(this, envelope.frame());
 			}
 		}
 		catch (FrameException | RuntimeException ex) {
@@ -201,14 +204,14 @@
 		}
 	}
 
-	private void beat() {
-		long silent = now() - this.heardAt;
-		if (silent > (this.up ? SILENCE_MILLIS : HANDSHAKE_MILLIS)) {
-			close("nothing heard for " + silent + " ms");
+	private void checkAndPing() {
+		long silentMillis = nowMillis() - this.lastFrameMillis;
+		if (silentMillis > (this.up ? MAX_SILENCE_MILLIS : HANDSHAKE_TIMEOUT_MILLIS)) {
+			close("no frame received for " + silentMillis + " ms");
 			return;
 		}
 		if (this.up) {
-			send(new Frame.Ping(now(), this.self.storeAge().getAsLong()));
+			send(new Frame.Ping(nowMillis(), this.self.storeAgeMillis().getAsLong()));
 		}
 	}
 
@@ -220,14 +223,14 @@
 		this.socket.close();
 	}
 
-	private void closed() {
+	private void onClosed() {
 		this.vertx.cancelTimer(this.timer);
 		if (this.up) {
 			this.up = false;
-			this.listener.down(this);
+			this.listener.onLinkDown(this);
 		}
 		else {
-			this.listener.failed(this);
+			this.listener.onLinkFailed(this);
 		}
 	}
 
--- a/daemon/src/main/java/org/gullsaddle/wire/Proof.java
+++ b/daemon/src/main/java/org/gullsaddle/wire/Proof.java
@@ -10,11 +10,11 @@
 import org.gullsaddle.base.Digests;
 
 /**
- * Proves knowledge of the shared key over both sides' nonces and names.
+ * Computes and checks proofs of the shared key over both sides' nonces and names.
  * <p>
- * Whoever can reach a node's port could otherwise dispatch work in any team's name. A
- * proof over the other side's fresh nonce cannot be replayed, and its label keeps one
- * side's proof from being handed back as the other's.
+ * Without it, anyone who can reach a node's port could dispatch work in any team's name.
+ * A proof over the other side's fresh nonce cannot be replayed, and the label keeps one
+ * side's proof from being returned as the other's.
  */
 final class Proof {
 
@@ -28,20 +28,20 @@
 		this.key = key.clone();
 	}
 
-	static String nonce() {
+	static String newNonce() {
 		byte[] bytes = new byte[NONCE_BYTES];
 		RANDOM.nextBytes(bytes);
 		return HexFormat.of().formatHex(bytes);
 	}
 
-	String of(String label, String... parts) {
+	String compute(String label, String... parts) {
 		List<String> texts = new ArrayList<>(List.of(label));
 		texts.addAll(List.of(parts));
 		return HexFormat.of().formatHex(Digests.hmac(this.key, texts.toArray(String[]::new)));
 	}
 
 	boolean matches(String given, String label, String... parts) {
-		byte[] expected = of(label, parts).getBytes(StandardCharsets.UTF_8);
+		byte[] expected = compute(label, parts).getBytes(StandardCharsets.UTF_8);
 		return MessageDigest.isEqual(expected, String.valueOf(given).getBytes(StandardCharsets.UTF_8));
 	}
 
--- a/daemon/src/test/java/org/gullsaddle/controller/TemplateControllerTests.java
+++ b/daemon/src/test/java/org/gullsaddle/controller/TemplateControllerTests.java
@@ -20,9 +20,9 @@
 
 	private final LossyStore store = new LossyStore();
 
-	private final TemplateController ann = controller();
+	private final TemplateController first = controller();
 
-	private final TemplateController bo = controller();
+	private final TemplateController second = controller();
 
 	private TemplateController controller() {
 		return new TemplateController(this.store, "p/", new NodeClock());
@@ -46,56 +46,56 @@
 	}
 
 	@Test
-	void changeIsInForceHereAtOnce() {
-		assertThat(change(this.ann, 0, "ann")).isEqualTo("revision 1 by ann");
-		assertThat(this.ann.get(template().name())).map(TemplateRevision::revision).contains(1L);
+	void changeIsInForceImmediately() {
+		assertThat(change(this.first, 0, "ann")).isEqualTo("revision 1 by ann");
+		assertThat(this.first.find(template().name())).map(TemplateRevision::revision).contains(1L);
 	}
 
 	@Test
 	void secondOfTwoOperatorsGetsAConflict() {
-		change(this.ann, 0, "ann");
-		assertThat(change(this.bo, 0, "bo")).isEqualTo("ConflictException");
+		change(this.first, 0, "ann");
+		assertThat(change(this.second, 0, "bo")).isEqualTo("ConflictException");
 	}
 
 	/**
-	 * The store takes the change and its answer is lost. The operator is told that it was
-	 * taken, as it was.
+	 * The store applies the change but its answer is lost; the change is still reported
+	 * as accepted.
 	 */
 	@Test
-	void lostAnswerOfAChangeThatWasTakenIsFoundOut() {
-		this.store.lose(LossyStore.Loss.AFTER, () -> {
+	void acceptedChangeIsFoundAfterLostAnswer() {
+		this.store.loseNextWrite(LossyStore.Loss.AFTER_APPLY, () -> {
 		});
-		assertThat(change(this.ann, 0, "ann")).isEqualTo("revision 1 by ann");
+		assertThat(change(this.first, 0, "ann")).isEqualTo("revision 1 by ann");
 	}
 
 	/**
-	 * The answer is lost, and before the first operator's entry looks again another
-	 * operator has changed the template further. The first change was taken all the same.
+	 * The answer is lost, and another operator changes the template before the first
+	 * entry checks. The first change was applied and is reported as accepted.
 	 */
 	@Test
-	void lostAnswerOfAChangeThatWasOverwrittenIsFoundOut() {
-		this.store.lose(LossyStore.Loss.AFTER, () -> change(this.bo, 1, "bo"));
-		assertThat(change(this.ann, 0, "ann")).isEqualTo("revision 1 by ann");
-		assertThat(this.bo.history(template().name(), 10).blockingGet()).extracting(TemplateRevision::author)
+	void overwrittenChangeIsFoundAfterLostAnswer() {
+		this.store.loseNextWrite(LossyStore.Loss.AFTER_APPLY, () -> change(this.second, 1, "bo"));
+		assertThat(change(this.first, 0, "ann")).isEqualTo("revision 1 by ann");
+		assertThat(this.second.history(template().name(), 10).blockingGet()).extracting(TemplateRevision::author)
 			.containsExactly("ann", "bo");
 	}
 
 	/**
-	 * The change never reached the store, and another operator's takes its place. Ann is
-	 * told of the conflict, and not that hers is in force.
+	 * The change never reaches the store and another operator stores one with the same
+	 * revision. The first operator gets a conflict, not a success.
 	 */
 	@Test
-	void lostChangeThatAnotherTookThePlaceOfIsAConflict() {
-		this.store.lose(LossyStore.Loss.BEFORE, () -> change(this.bo, 0, "bo"));
-		assertThat(change(this.ann, 0, "ann")).isEqualTo("ConflictException");
+	void lostChangeReplacedByAnotherIsAConflict() {
+		this.store.loseNextWrite(LossyStore.Loss.BEFORE_APPLY, () -> change(this.second, 0, "bo"));
+		assertThat(change(this.first, 0, "ann")).isEqualTo("ConflictException");
 	}
 
 	@Test
-	void lostChangeThatNobodyTookIsToldAsUnknown() {
-		this.store.lose(LossyStore.Loss.BEFORE, () -> {
+	void lostChangeIsReportedAsUnknown() {
+		this.store.loseNextWrite(LossyStore.Loss.BEFORE_APPLY, () -> {
 		});
-		assertThat(change(this.ann, 0, "ann")).isEqualTo("StoreException unknown true");
-		assertThat(this.ann.get(template().name())).isEmpty();
+		assertThat(change(this.first, 0, "ann")).isEqualTo("StoreException unknown true");
+		assertThat(this.first.find(template().name())).isEmpty();
 	}
 
 }
