--- a/daemon/src/main/java/org/gullsaddle/controller/RegisterUnavailableException.java
+++ b/daemon/src/main/java/org/gullsaddle/controller/RegisterUnavailableException.java
@@ -6,7 +6,7 @@
 public class RegisterUnavailableException extends Exception {
 
 	RegisterUnavailableException() {
-		super("the register operation did not complete in time");
+		super("the register could not be settled in time");
 	}
 
 }
--- a/daemon/src/main/java/org/gullsaddle/controller/TemplateController.java
+++ b/daemon/src/main/java/org/gullsaddle/controller/TemplateController.java
@@ -219,18 +219,18 @@
 		String key = this.prefix + "history/" + next.template().name() + "/" + String.format("%010d", next.revision());
 		return this.store.get(key).flatMap((found) -> {
 			if (found.isEmpty()) {
-				return Single.<TemplateRevision>error(new StoreException("the change was not stored", false, null));
+				return Single.<TemplateRevision>error(new StoreException("the change was not taken", false, null));
 			}
 			TemplateRevision stored = Json.read(found.get().value(), TemplateRevision.class);
 			return stored.changeId().equals(next.changeId()) ? Single.just(stored)
 					: Single.error(new ConflictException(Optional.of(stored)));
 		})
-			.retryWhen(
-					(failures) -> failures.zipWith(Flowable.range(1, MAX_VERIFY_ATTEMPTS), (failure, count) -> failure)
-						.concatMap((failure) -> (failure instanceof StoreException)
-								? Flowable.timer(RETRY_DELAY_MILLIS, TimeUnit.MILLISECONDS) : Flowable.error(failure))
-						.concatWith(Flowable
-							.error(new StoreException("cannot determine whether the change was stored", true, null))));
+			.retryWhen((failures) -> failures
+				.zipWith(Flowable.range(1, MAX_VERIFY_ATTEMPTS), (failure, count) -> failure)
+				.concatMap((failure) -> (failure instanceof StoreException)
+						? Flowable.timer(RETRY_DELAY_MILLIS, TimeUnit.MILLISECONDS) : Flowable.error(failure))
+				.concatWith(Flowable
+					.error(new StoreException("the store does not say whether the change was taken", true, null))));
 	}
 
 	private Single<Optional<StoredTemplate>> readStored(TemplateName name) {
