--- a/daemon/src/main/java/org/gullsaddle/wire/Handshake.java
+++ b/daemon/src/main/java/org/gullsaddle/wire/Handshake.java
@@ -97,7 +97,7 @@
 
 	private static String requireName(NodeId node) throws FrameException {
 		if (node == null) {
-			throw new FrameException("the peer gives no name");
+			throw new FrameException("the peer does not say who it is");
 		}
 		return node.value();
 	}
--- a/daemon/src/main/java/org/gullsaddle/wire/PeerLink.java
+++ b/daemon/src/main/java/org/gullsaddle/wire/PeerLink.java
@@ -207,7 +207,7 @@
 	private void checkAndPing() {
 		long silentMillis = nowMillis() - this.lastFrameMillis;
 		if (silentMillis > (this.up ? MAX_SILENCE_MILLIS : HANDSHAKE_TIMEOUT_MILLIS)) {
-			close("no frame received for " + silentMillis + " ms");
+			close("nothing heard for " + silentMillis + " ms");
 			return;
 		}
 		if (this.up) {
