--- a/core/src/test/java/org/gullsaddle/fuzz/FaultyStore.java
+++ b/core/src/test/java/org/gullsaddle/fuzz/FaultyStore.java
@@ -7,8 +7,8 @@
 import java.util.function.Consumer;
 
 /**
- * A store whose calls wait until a step says what becomes of them: answered, refused,
- * applied with the answer lost, or applied only after the caller gave up.
+ * A store whose calls wait until a step decides their outcome: answered, failed, applied
+ * with the answer lost, or applied only after the caller was told of a failure.
  */
 final class FaultyStore {
 
@@ -33,15 +33,15 @@
 	}
 
 	/**
-	 * Ends one waiting call; even {@code fate} numbers answer it, so that most calls
-	 * succeed.
+	 * Ends one waiting call. Outcomes 1, 3 and 5 fail it (not applied, applied, applied
+	 * later); all others answer it, so that most calls succeed.
 	 */
-	void endCall(int pick, int fate) {
+	void endCall(int pick, int outcome) {
 		if (this.calls.isEmpty()) {
 			return;
 		}
 		Call call = this.calls.remove(pick % this.calls.size());
-		switch (fate) {
+		switch (outcome) {
 			case 1 -> call.callback().accept(new Result.Failed());
 			case 3 -> {
 				apply(call);
@@ -56,7 +56,7 @@
 	}
 
 	/**
-	 * Lets a write take effect whose caller was told long ago that it failed.
+	 * Applies a write whose caller was told earlier that it failed.
 	 */
 	void applyLateWrite(int pick) {
 		if (!this.lateWrites.isEmpty()) {
@@ -65,7 +65,7 @@
 	}
 
 	/**
-	 * Forgets what a node that died would have been told.
+	 * Answers all waiting calls without a fault, also those of nodes that died.
 	 */
 	void answerAll() {
 		while (!this.calls.isEmpty()) {
@@ -103,7 +103,7 @@
 	}
 
 	/**
-	 * What a call came to.
+	 * The outcome of a call.
 	 */
 	sealed interface Result {
 
@@ -114,19 +114,19 @@
 		}
 
 		/**
-		 * The write was taken.
+		 * The write was applied.
 		 */
 		record Written(long revision) implements Result {
 		}
 
 		/**
-		 * The write was refused.
+		 * The write was rejected, as the stored revision is not the expected one.
 		 */
 		record Conflict() implements Result {
 		}
 
 		/**
-		 * Nothing is known.
+		 * The outcome is unknown.
 		 */
 		record Failed() implements Result {
 		}
--- a/core/src/test/java/org/gullsaddle/fuzz/FoundByFuzzingTests.java
+++ b/core/src/test/java/org/gullsaddle/fuzz/FoundByFuzzingTests.java
@@ -5,7 +5,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Scenarios that once broke a guarantee, shrunk by the fuzzing that found them.
+ * Regression tests: shrunk scenarios in which fuzzing found a broken guarantee.
  */
 class FoundByFuzzingTests {
 
@@ -14,8 +14,8 @@
 	}
 
 	/**
-	 * A caller is served; then its entry and its agent are both killed before the store
-	 * has the record. It was served and never billed, as only those two held the record.
+	 * Guards against a served request without a bill: its entry and its agent, the only
+	 * holders of its record, are both killed before the store has the record.
 	 */
 	@Test
 	void recordSurvivesTheLossOfItsEntryAndItsAgent() {
@@ -28,9 +28,9 @@
 	}
 
 	/**
-	 * A session's first request comes while the store does not answer one entry; a change
-	 * reaches the other entry, which serves the session's second request. Each entry took
-	 * a version of its own choice, so that the session had two.
+	 * Guards against a session with two versions. Its first request arrives while the
+	 * store does not answer one entry; a template change reaches the other entry, which
+	 * serves the second request. Each entry chose a version by itself.
 	 */
 	@Test
 	void sessionKeepsItsVersionWhileTheStoreDoesNotAnswerOneEntry() {
@@ -40,9 +40,9 @@
 	}
 
 	/**
-	 * A request crashes its backend server, is tried again alone, and its caller leaves;
-	 * the same content is sent again at once. Both copies ran, each alone, and killed two
-	 * more.
+	 * Guards against concurrent runs of suspect content. A request crashes its backend
+	 * server and is retried alone; its caller disconnects and the same content is sent
+	 * again at once. Both copies ran, each alone, and crashed two more backend servers.
 	 */
 	@Test
 	void suspectContentRunsOnceAtATime() {
@@ -52,8 +52,9 @@
 	}
 
 	/**
-	 * The entry that heard of a crash first is killed and starts anew, and the agent that
-	 * saw it is killed too. The new entry asked nobody and ran the content again.
+	 * Guards against lost crash evidence. The entry that first received it is killed and
+	 * restarted, and the agent that saw the crash is killed too. The new entry did not
+	 * ask its peers and ran the content again.
 	 */
 	@Test
 	void crashEvidenceSurvivesTheNodesThatReceivedItFirst() {
@@ -64,8 +65,9 @@
 	}
 
 	/**
-	 * A request waits for its session's version while its content kills two backend
-	 * servers. It was looked at only when it arrived, and killed a third.
+	 * Guards against running blocked content. A request waits for its session's version
+	 * while its content crashes two backend servers. The content was checked only on
+	 * arrival, and crashed a third.
 	 */
 	@Test
 	void contentBlockedWhileARequestWaitsIsNotRun() {
@@ -77,10 +79,10 @@
 	}
 
 	/**
-	 * A call that may not be repeated is sent again after it has run, and its caller gets
-	 * the first answer once more. No agent takes part in that, so that the record of the
-	 * second request is on its entry alone; the entry is killed before the store has it.
-	 * The caller was served, and no trace of the second request is left.
+	 * Guards against a lost record of a repeated answer. An at-most-once call is sent
+	 * again after it has run, and gets the first answer. No agent takes part, so that
+	 * only the entry holds the second request's record; the entry is killed before the
+	 * store has it. The caller was served, and no record of the second request was left.
 	 */
 	@Test
 	void recordOfARepeatedAnswerSurvivesTheLossOfItsEntry() {
--- a/core/src/test/java/org/gullsaddle/fuzz/FuzzAgent.java
+++ b/core/src/test/java/org/gullsaddle/fuzz/FuzzAgent.java
@@ -32,7 +32,7 @@
 import org.gullsaddle.template.VersionState;
 
 /**
- * An agent's core and its backend server, which goes on by one part at each step.
+ * An agent's core and its backend server, which emits one chunk at each step.
  */
 final class FuzzAgent implements Oracle.AgentView {
 
@@ -183,7 +183,7 @@
 	}
 
 	/**
-	 * Writes all that is held, as on a graceful stop.
+	 * Writes all held records, as on a graceful stop.
 	 */
 	void writeHeldRecords() {
 		this.heldLines.takeAll().forEach((line) -> this.ledger.append(new LedgerEntry.AttemptEntry(line)));
@@ -206,7 +206,8 @@
 	}
 
 	/**
-	 * Lets the backend server go on with one of its jobs.
+	 * Advances one job of the backend server by a chunk, or crashes the server if its
+	 * content is poison.
 	 */
 	void progress(int pick) {
 		if (this.jobs.isEmpty()) {
@@ -231,7 +232,7 @@
 	}
 
 	/**
-	 * Breaks one job off, as a backend server that answers with an error does.
+	 * Fails one job, as a backend server does that answers with an error.
 	 */
 	void failJob(int pick) {
 		if (!this.jobs.isEmpty()) {
--- a/core/src/test/java/org/gullsaddle/fuzz/FuzzEntry.java
+++ b/core/src/test/java/org/gullsaddle/fuzz/FuzzEntry.java
@@ -43,7 +43,8 @@
 import org.gullsaddle.suspect.SuspectContent;
 
 /**
- * An entry's core with the thinnest wiring: actions go to the world's queues.
+ * An entry's core with minimal wiring: its actions go to the queues of the simulated
+ * cluster.
  */
 final class FuzzEntry {
 
@@ -113,7 +114,7 @@
 	}
 
 	/**
-	 * Says whether word of a crash of this content has reached this entry.
+	 * Returns whether a report of a crash by this content has reached this entry.
 	 */
 	boolean isCrashKnown(String content) {
 		return this.crashingContents.contains(content);
@@ -243,7 +244,8 @@
 	}
 
 	/**
-	 * A planted entry says that the store has the record, and writes none.
+	 * Writes the record before its answer. With the planted fault it reports the record
+	 * as stored without writing it.
 	 */
 	private void writeRecordBeforeAnswer(RequestRecord record) {
 		if (this.world.plantedFault == PlantedFault.RECORDS_LOST) {
@@ -353,7 +355,7 @@
 	}
 
 	/**
-	 * The value of a claim: its content and, once settled, its answer.
+	 * The stored value of a claim: its content and, once completed, its answer.
 	 */
 	private static final class ClaimValue {
 
--- a/core/src/test/java/org/gullsaddle/fuzz/FuzzRun.java
+++ b/core/src/test/java/org/gullsaddle/fuzz/FuzzRun.java
@@ -6,8 +6,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Fuzzes for a given time; the longer run beside the fixed scenarios of the tests. Prints
- * the seed and the shrunk steps of a scenario that breaks a guarantee.
+ * Fuzzes for a given time, to complement the fixed scenarios of the tests. Prints the
+ * seed and the shrunk steps of a scenario that breaks a guarantee.
  */
 public final class FuzzRun {
 
@@ -19,7 +19,7 @@
 	}
 
 	/**
-	 * Runs until the time is over or a guarantee is broken.
+	 * Runs scenarios until the time is over or a guarantee is broken.
 	 * @param args the seconds and the first seed
 	 */
 	public static void main(String[] args) {
@@ -43,7 +43,8 @@
 	}
 
 	/**
-	 * Returns the first violation of a guarantee in so many scenarios, or an empty text.
+	 * Returns the first violation of a guarantee in the given number of scenarios, or an
+	 * empty text.
 	 */
 	static String firstViolation(PlantedFault plant, int scenarios, String guarantee) {
 		for (int seed = 1; seed <= scenarios; seed++) {
@@ -64,7 +65,7 @@
 	}
 
 	/**
-	 * Leaves out what is not needed to break the same guarantee.
+	 * Removes the steps that are not needed to break the same guarantee.
 	 */
 	private static List<PickedStep> shrink(List<PickedStep> moves) {
 		String broken = firstBrokenGuarantee(run(moves));
--- a/core/src/test/java/org/gullsaddle/fuzz/GuaranteesFuzzTests.java
+++ b/core/src/test/java/org/gullsaddle/fuzz/GuaranteesFuzzTests.java
@@ -17,8 +17,8 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Every guarantee under any order of kills, cuts, pauses, lost answers, late writes,
- * races and repeats that the steps come up with.
+ * Checks every guarantee under random orders of killed nodes, cut links, pauses, lost
+ * store answers, late writes, races and repeated calls.
  */
 class GuaranteesFuzzTests {
 
--- a/core/src/test/java/org/gullsaddle/fuzz/Message.java
+++ b/core/src/test/java/org/gullsaddle/fuzz/Message.java
@@ -6,42 +6,42 @@
 import org.gullsaddle.template.TemplateRevision;
 
 /**
- * What nodes send each other beside the actions of an agent.
+ * A message between nodes that is not an action of an agent.
  */
 sealed interface Message {
 
 	/**
-	 * An attempt.
+	 * Dispatches an attempt to an agent.
 	 */
 	record Dispatched(Dispatch dispatch) implements Message {
 	}
 
 	/**
-	 * Stop an attempt.
+	 * Cancels an attempt.
 	 */
 	record Cancel(AttemptId attempt) implements Message {
 	}
 
 	/**
-	 * A revision of the template.
+	 * Carries a revision of the template.
 	 */
 	record Revision(TemplateRevision revision) implements Message {
 	}
 
 	/**
-	 * A copy of an attempt's line is held.
+	 * Confirms that the entry holds a copy of an attempt's record.
 	 */
 	record CopyHeld(AttemptId attempt) implements Message {
 	}
 
 	/**
-	 * A request's record is in the store.
+	 * Reports that a request's record is in the store.
 	 */
 	record Recorded(RequestId request) implements Message {
 	}
 
 	/**
-	 * An agent tells that a copy need not be held any more.
+	 * Reports that the copy of an attempt's record is no longer needed.
 	 */
 	record Release(RequestId request) implements Message {
 	}
--- a/core/src/test/java/org/gullsaddle/fuzz/Oracle.java
+++ b/core/src/test/java/org/gullsaddle/fuzz/Oracle.java
@@ -8,8 +8,9 @@
 import java.util.Set;
 
 /**
- * Judges what was seen from outside: what callers were told, what backend servers were
- * given, which configuration was where. Knows nothing of how the system decides.
+ * Checks the guarantees by what is visible from outside: answers to callers, requests run
+ * by backend servers, the configuration of each node. It does not know how the system
+ * decides.
  */
 final class Oracle {
 
@@ -32,12 +33,13 @@
 	private final Map<String, Integer> copiesAtCrash = new HashMap<>();
 
 	/**
-	 * A caller sends a request.
-	 * @param heard whether word of a crash of this content, if any, has reached its entry
+	 * Records that a caller sends a request.
+	 * @param crashKnown whether a report of a crash by this content, if any, has reached
+	 * its entry
 	 */
-	void onRequestSent(String request, String team, String session, String key, String body, boolean heard) {
-		if (!heard) {
-			// Sent before its entry could know of a crash: each may cost a backend
+	void onRequestSent(String request, String team, String session, String key, String body, boolean crashKnown) {
+		if (!crashKnown) {
+			// Sent before its entry could know of a crash, so each may crash a backend
 			// server.
 			this.crashes.computeIfPresent(team + "/" + body, (content, count) -> count - 1);
 		}
@@ -45,7 +47,7 @@
 	}
 
 	/**
-	 * A backend server is handed a request.
+	 * Checks a run that a backend server starts.
 	 */
 	void onRunStarted(String request, String agent, String version, String resume, AgentView view) {
 		ObservedRequest seen = this.requests.get(request);
@@ -130,7 +132,7 @@
 	}
 
 	/**
-	 * A node was started anew and knows nothing.
+	 * Forgets the revision of a node that restarted without state.
 	 */
 	void onNodeRestarted(String node) {
 		this.revisions.remove(node);
@@ -143,7 +145,8 @@
 	}
 
 	/**
-	 * A backend server died of a team's content; other copies of it may be under way.
+	 * Checks the number of backend servers that a team's content crashed. Copies of it
+	 * that were already under way may crash more than the two that are allowed.
 	 */
 	void onBackendCrashed(String team, String body, int otherRuns) {
 		String content = team + "/" + body;
@@ -160,22 +163,22 @@
 	}
 
 	/**
-	 * The only node that knew of a crash died before it could tell.
+	 * Discounts a crash: the only node that knew of it died before it could report it.
 	 */
 	void onCrashReportLost(String content) {
 		this.crashes.merge(content, -1, Integer::sum);
 	}
 
 	/**
-	 * An answer ended while no third node could hold its record, for a cut or a slow
-	 * link; it is lost if both nodes that have it die.
+	 * Records that an answer ended while no third node could hold its record, because of
+	 * a cut or slow link. The record is lost if both holders die.
 	 */
 	void onRecordOnTwoNodesOnly(String request) {
 		this.requests.get(request).recordOnTwoNodesOnly = true;
 	}
 
 	/**
-	 * A node holds what a request's bill is made from.
+	 * Records that a node holds the data for a request's bill.
 	 */
 	void onRecordHeld(String request, String run) {
 		this.requests.get(request).holders.add(run);
@@ -186,7 +189,7 @@
 	}
 
 	/**
-	 * The bills at the end, when every node has written what it had.
+	 * Checks the bills at the end, after every node has written its records.
 	 */
 	void checkBills(Map<String, List<Long>> bills) {
 		this.requests.forEach((request, seen) -> {
@@ -208,7 +211,7 @@
 	}
 
 	/**
-	 * Every caller whose entry lived was answered.
+	 * Checks that every caller whose entry lived was answered.
 	 */
 	void checkAllAnswered() {
 		this.requests.forEach((request, seen) -> {
@@ -234,7 +237,7 @@
 	}
 
 	/**
-	 * What the oracle may know of an agent: the configuration that reached it.
+	 * The part of an agent that the oracle may see: the configuration that reached it.
 	 */
 	interface AgentView {
 
@@ -280,8 +283,8 @@
 		}
 
 		/**
-		 * Says whether the loss of its bill is within what is promised: three nodes died,
-		 * or two while no third could be reached.
+		 * Returns whether the guarantee permits the loss of the bill: three holders died,
+		 * or two while no third node could be reached.
 		 */
 		boolean isLossPermitted(Set<String> deadRuns) {
 			return deadRuns.containsAll(this.holders) && this.holders.size() >= (this.recordOnTwoNodesOnly ? 2 : 3);
--- a/core/src/test/java/org/gullsaddle/fuzz/OracleTests.java
+++ b/core/src/test/java/org/gullsaddle/fuzz/OracleTests.java
@@ -6,8 +6,8 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * The oracle can fail: each fault planted around the core is caught as the guarantee that
- * it breaks.
+ * Checks the oracle itself: it reports each planted fault as a violation of the guarantee
+ * that the fault breaks.
  */
 class OracleTests {
 
--- a/core/src/test/java/org/gullsaddle/fuzz/PlantedFault.java
+++ b/core/src/test/java/org/gullsaddle/fuzz/PlantedFault.java
@@ -1,7 +1,7 @@
 package org.gullsaddle.fuzz;
 
 /**
- * A fault planted in the wiring around the core, to see that the oracle can fail.
+ * A fault planted in the wiring around the core, to check that the oracle detects it.
  */
 enum PlantedFault {
 
@@ -38,7 +38,7 @@
 	}
 
 	/**
-	 * Returns the guarantee that it breaks.
+	 * Returns the guarantee that this fault breaks, as the oracle names it.
 	 */
 	String guarantee() {
 		return this.guarantee;
--- a/core/src/test/java/org/gullsaddle/fuzz/SimulatedCluster.java
+++ b/core/src/test/java/org/gullsaddle/fuzz/SimulatedCluster.java
@@ -38,8 +38,9 @@
 import org.gullsaddle.yaml.YamlException;
 
 /**
- * Two entries, three agents and a store, with a queue for each link. Nothing moves unless
- * a step moves it, so that every delay, order and loss is a choice of the steps.
+ * Simulates two entries, three agents and a store, with a queue for each link. Messages
+ * and time advance only by steps, so that the steps determine every delay, order and
+ * loss.
  */
 class SimulatedCluster {
 
@@ -109,7 +110,7 @@
 	}
 
 	/**
-	 * Makes the admission under test; a test that plants a fault makes another.
+	 * Creates the admission under test; a test that plants a fault may override it.
 	 */
 	Admission createAdmission(AdmissionSettings settings) {
 		return new Admission(settings);
@@ -136,7 +137,7 @@
 		return this.faultCount;
 	}
 
-	// What the steps may do.
+	// Operations of the steps.
 
 	void send(int pick) {
 		String team = (pick % 3 == 0) ? "basic" : "gold";
@@ -149,8 +150,8 @@
 	}
 
 	/**
-	 * Sends a call that may not be repeated, under one of few keys, so that many are sent
-	 * again.
+	 * Sends an at-most-once call under one of four idempotency keys, so that many calls
+	 * are repeated.
 	 */
 	void sendAtMostOnce(int pick) {
 		this.sentRequests++;
@@ -219,7 +220,7 @@
 	}
 
 	/**
-	 * Lets time pass for everyone but one node, which is paused and hears nothing of it.
+	 * Advances the time for all nodes but one agent, which is paused and gets no tick.
 	 */
 	void advanceExceptOneAgent(int pick, int millis) {
 		this.faultCount++;
@@ -261,7 +262,7 @@
 	}
 
 	/**
-	 * Tells the oracle of crashes that only the dying agent knew of.
+	 * Reports to the oracle the crashes that only the dying agent knew of.
 	 */
 	private void recordLostCrashReports(FuzzAgent agent) {
 		for (SuspectContent suspicion : agent.admission().suspects()) {
@@ -280,8 +281,8 @@
 	}
 
 	/**
-	 * An operator changes a version's state; nodes hear of it in any order, each when its
-	 * step comes.
+	 * Changes a version's state as an operator does. Nodes receive the revision in any
+	 * order, each by a step of its own.
 	 */
 	void changeVersionState(int pick) {
 		TemplateRevision newest = this.revisions.get(this.revisions.size() - 1);
@@ -296,7 +297,8 @@
 	}
 
 	/**
-	 * A node hears of some revision, perhaps of an old one.
+	 * Delivers one of the three newest revisions to a node, so that old ones may arrive
+	 * late.
 	 */
 	void deliverRevision(int pick) {
 		TemplateRevision revision = this.revisions.get(Math.max(0, this.revisions.size() - 1 - pick / 5 % 3));
@@ -310,12 +312,12 @@
 	}
 
 	private void deliverRevision(FuzzEntry entry, TemplateRevision revision) {
-		// The agents are sent the revision ahead of any dispatch under it.
+		// Agents get the revision before any dispatch that uses it.
 		this.agents.keySet().forEach((agent) -> sendToAgent(entry.id, agent, new Message.Revision(revision)));
 		entry.handle(new RouterEvent.TemplateChanged(revision));
 	}
 
-	// What the nodes do.
+	// Operations of the nodes.
 
 	boolean sendToAgent(NodeId entry, NodeId agent, Message message) {
 		Link link = this.links.get(entry + ">" + agent);
@@ -382,7 +384,8 @@
 	}
 
 	/**
-	 * Ends all faults, lets everything run to its end, and judges what is left.
+	 * Stops all faults, runs until all requests have ended and all records are written,
+	 * and returns the violations.
 	 */
 	List<String> settleAndCheck() {
 		for (int i = 0; i < MAX_SETTLING_ROUNDS && i >= 0; i++) {
@@ -452,8 +455,8 @@
 	}
 
 	/**
-	 * A link: what is sent arrives in order, or is lost with the link. Each side hears of
-	 * the loss when its step comes.
+	 * A link between an entry and an agent. Messages arrive in order or are lost with the
+	 * link; each side is notified of the loss by a step of its own.
 	 */
 	private final class Link {
 
--- a/core/src/test/java/org/gullsaddle/fuzz/Step.java
+++ b/core/src/test/java/org/gullsaddle/fuzz/Step.java
@@ -3,7 +3,7 @@
 import java.util.function.ObjIntConsumer;
 
 /**
- * What a scenario is made of; each step takes a number that picks among what can happen.
+ * A step of a scenario. Its number selects among the possible targets and outcomes.
  */
 enum Step {
 
@@ -63,7 +63,8 @@
 	}
 
 	/**
-	 * Runs a scenario as a failing run prints it, such as {@code "SEND 1", "DELIVER 7"}.
+	 * Replays a scenario in the format that a failing run prints, such as
+	 * {@code "SEND 1", "DELIVER 7"}.
 	 */
 	static SimulatedCluster replay(SimulatedCluster world, String scenario) {
 		for (String each : scenario.replace("\"", "").split(",")) {
--- a/core/src/test/java/org/gullsaddle/fuzz/StoredBills.java
+++ b/core/src/test/java/org/gullsaddle/fuzz/StoredBills.java
@@ -11,7 +11,7 @@
 import org.gullsaddle.ledger.Segment;
 
 /**
- * The bills that can be made from what is in the store.
+ * Computes bills from the ledger segments in the store.
  */
 final class StoredBills {
 
