--- a/core/src/main/java/org/gullsaddle/template/package-info.java
+++ b/core/src/main/java/org/gullsaddle/template/package-info.java
@@ -1,6 +1,6 @@
 /**
  * Templates: what an operator allows each team, their parsing from YAML, and the
- * {@link org.gullsaddle.template.TemplateBook} of those in force, which never goes back
+ * {@link org.gullsaddle.template.TemplateTable} of those in force, which never goes back
  * to an older revision.
  */
 package org.gullsaddle.template;
