--- a/daemon/src/main/java/org/gullsaddle/gateway/Attempt.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/Attempt.java
@@ -26,7 +26,7 @@
 
 	private final ReplicaChoice choice;
 
-	private final SendPermission admission;
+	private final SendPermission sendPermission;
 
 	private final long coldMillis;
 
@@ -76,7 +76,7 @@
 	Attempt(ReplicaChoice choice, SendPermission admission, long coldMillis, String attemptId, ChannelPool pool,
 			HeaderCodec codec, Listener listener) {
 		this.choice = choice;
-		this.admission = admission;
+		this.sendPermission = admission;
 		this.coldMillis = coldMillis;
 		this.attemptId = attemptId;
 		this.pool = pool;
@@ -323,8 +323,8 @@
 	/**
 	 * Returns the admission that was given when the replica was chosen.
 	 */
-	SendPermission admission() {
-		return this.admission;
+	SendPermission sendPermission() {
+		return this.sendPermission;
 	}
 
 	/**
--- a/daemon/src/main/java/org/gullsaddle/gateway/BackpressureController.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/BackpressureController.java
@@ -41,9 +41,9 @@
 
 	private final FleetState fleet;
 
-	private final BackpressureTable table;
+	private final BackpressureTable backpressureTable;
 
-	private final LimitNoteExchange limitNews;
+	private final LimitNoteExchange limitNoteExchange;
 
 	private final DecisionLog log;
 
@@ -59,16 +59,16 @@
 		this.vertx = vertx;
 		this.store = store;
 		this.fleet = fleet;
-		this.table = table;
-		this.limitNews = new LimitNoteExchange(table, RandomGenerator.getDefault());
+		this.backpressureTable = table;
+		this.limitNoteExchange = new LimitNoteExchange(table, RandomGenerator.getDefault());
 		this.log = log;
 		this.telemetry = telemetry;
-		telemetry.gauge("replicas.limited", this.table::countLimited);
-		telemetry.gauge("replicas.resting", () -> this.table.countBackingOff(MonotonicClock.millis()));
+		telemetry.gauge("replicas.limited", this.backpressureTable::countLimited);
+		telemetry.gauge("replicas.resting", () -> this.backpressureTable.countBackingOff(MonotonicClock.millis()));
 	}
 
-	BackpressureTable table() {
-		return this.table;
+	BackpressureTable backpressureTable() {
+		return this.backpressureTable;
 	}
 
 	/**
@@ -86,7 +86,7 @@
 				this.telemetry.count("replica.rests.asked");
 			}
 			applyAndLog(replica, "answer",
-					() -> this.limitNews.onAnswer(MonotonicClock.millis(), replica, answer.backpressure())
+					() -> this.limitNoteExchange.onAnswer(MonotonicClock.millis(), replica, answer.backpressure())
 						.ifPresent((millis) -> scheduleNote(millis, replica.id())));
 		}
 	}
@@ -104,7 +104,7 @@
 	}
 
 	private void onListed(Replica replica) {
-		applyAndLog(replica, "note", () -> this.limitNews.onReplicaListed(MonotonicClock.millis(), replica));
+		applyAndLog(replica, "note", () -> this.limitNoteExchange.onReplicaListed(MonotonicClock.millis(), replica));
 	}
 
 	private void onPeerNote(FleetChange.NoteWritten noted) {
@@ -112,7 +112,7 @@
 		Optional<Replica> listed = this.fleet.directory().find(id);
 		try {
 			LimitNote note = Json.read(noted.value(), LimitNote.class);
-			Runnable update = () -> this.limitNews.onNote(MonotonicClock.millis(), id, note, listed)
+			Runnable update = () -> this.limitNoteExchange.onNote(MonotonicClock.millis(), id, note, listed)
 				.ifPresent((millis) -> this.vertx.setTimer(millis,
 						(timer) -> this.fleet.directory().find(id).ifPresent(this::onListed)));
 			listed.ifPresentOrElse((replica) -> applyAndLog(replica, "note", update), update);
@@ -126,9 +126,9 @@
 	 * Runs an action that may change a replica's rate limit, and logs the change.
 	 */
 	private void applyAndLog(Replica replica, String source, Runnable change) {
-		OptionalDouble before = this.table.limit(replica);
+		OptionalDouble before = this.backpressureTable.limit(replica);
 		change.run();
-		OptionalDouble now = this.table.limit(replica);
+		OptionalDouble now = this.backpressureTable.limit(replica);
 		if (!now.equals(before)) {
 			this.log.rateLimitChanged(replica.id(), now, source);
 			this.telemetry.count(now.isPresent() ? "replica.limits.named" : "replica.limits.ended");
@@ -149,8 +149,8 @@
 			scheduleNote(RETRY_DELAY_MILLIS, id);
 			return;
 		}
-		this.limitNews.findNoteToWrite(id).ifPresent((limitNote) -> note.write(Json.write(limitNote), () -> {
-			this.limitNews.onWriteFailed(id);
+		this.limitNoteExchange.findNoteToWrite(id).ifPresent((limitNote) -> note.write(Json.write(limitNote), () -> {
+			this.limitNoteExchange.onWriteFailed(id);
 			scheduleNote(RETRY_DELAY_MILLIS, id);
 		}));
 	}
@@ -159,15 +159,16 @@
 	 * Returns whether a replica may be probed for its load.
 	 */
 	boolean canProbe(Replica replica) {
-		return this.table.canAskForLoad(MonotonicClock.millis(), replica) && !this.fleet.directory().isLeaving(replica);
+		return this.backpressureTable.canAskForLoad(MonotonicClock.millis(), replica)
+				&& !this.fleet.directory().isLeaving(replica);
 	}
 
 	/**
 	 * Removes the state of replicas that are no longer listed.
 	 */
 	void retain(Set<ReplicaId> known) {
-		this.table.retain(known);
-		this.limitNews.retain(known);
+		this.backpressureTable.retain(known);
+		this.limitNoteExchange.retain(known);
 		this.notes.keySet().retainAll(known);
 	}
 
--- a/daemon/src/main/java/org/gullsaddle/gateway/Cascade.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/Cascade.java
@@ -27,7 +27,7 @@
 
 	private final Route route;
 
-	private final RetryPolicy rule;
+	private final RetryPolicy retryPolicy;
 
 	private final RequestPriority priority;
 
@@ -48,7 +48,7 @@
 		this.telemetry = gateway.telemetry();
 		this.request = request;
 		this.route = request.route();
-		this.rule = rule;
+		this.retryPolicy = rule;
 		this.priority = turn;
 		this.model = this.route.models().isEmpty() ? request.caller().model()
 				: this.routingState.models().firstModel(this.route);
@@ -71,7 +71,7 @@
 		if (this.doubtedConfidence >= 0) {
 			models.recordComparison(this.doubtedModel, this.doubtedConfidence, this.model, confidence.orElse(-1));
 		}
-		return models.findLargerModel(this.route, this.model, confidence, this.rule.isNextAttemptLast());
+		return models.findLargerModel(this.route, this.model, confidence, this.retryPolicy.isNextAttemptLast());
 	}
 
 	/**
@@ -106,7 +106,7 @@
 	 * Returns why an answer of low confidence is kept, empty if it is dropped.
 	 */
 	private String reasonToKeep(int confidence, Optional<ReplicaChoice> choice, long remainingMillis) {
-		if (!this.rule.canDropAnswer(remainingMillis)) {
+		if (!this.retryPolicy.canDropAnswer(remainingMillis)) {
 			return "no attempt or time left";
 		}
 		if (choice.isEmpty()) {
--- a/daemon/src/main/java/org/gullsaddle/gateway/CrashController.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/CrashController.java
@@ -86,9 +86,9 @@
 
 	private final CrashTrials trials;
 
-	private final CrashDetector crashWatch = new CrashDetector();
+	private final CrashDetector crashDetector = new CrashDetector();
 
-	private final CrashTracker crashTable = new CrashTracker();
+	private final CrashTracker crashTracker = new CrashTracker();
 
 	/** Processes whose liveness is being checked. */
 	private final Set<String> livenessChecks = new HashSet<>();
@@ -111,19 +111,19 @@
 		this.telemetry = telemetry;
 		this.key = NOTE_PREFIX + node;
 		this.note = new NodeNoteWriter(store, this.key);
-		this.trials = new CrashTrials(store, node, this.crashTable, log, telemetry);
-		telemetry.gauge("traits.refused", this.crashTable::blockedCount);
+		this.trials = new CrashTrials(store, node, this.crashTracker, log, telemetry);
+		telemetry.gauge("traits.refused", this.crashTracker::blockedCount);
 	}
 
-	CrashTracker crashTable() {
-		return this.crashTable;
+	CrashTracker crashTracker() {
+		return this.crashTracker;
 	}
 
 	/**
 	 * Returns whether crash notes of peers are awaited.
 	 */
 	boolean awaitsCrashNotes() {
-		return this.crashTable.isAwaitingNotes(MonotonicClock.millis());
+		return this.crashTracker.isAwaitingNotes(MonotonicClock.millis());
 	}
 
 	/**
@@ -132,12 +132,12 @@
 	 * @param model the model that is to run it first
 	 */
 	void admit(ServedRequest request, String model, Runnable then) {
-		List<Trait> traits = (this.crashTable.blockedCount() > 0) ? request.traits(model) : List.of();
-		if (!this.crashTable.isBlocked(traits)) {
+		List<Trait> traits = (this.crashTracker.blockedCount() > 0) ? request.traits(model) : List.of();
+		if (!this.crashTracker.isBlocked(traits)) {
 			then.run();
 			return;
 		}
-		if (this.crashTable.onRequest(MonotonicClock.millis(), traits)) {
+		if (this.crashTracker.onRequest(MonotonicClock.millis(), traits)) {
 			scheduleNote(COLLECT_MILLIS);
 		}
 		this.trials.requestTrial(request, traits, then);
@@ -148,8 +148,8 @@
 	 */
 	void onHead(Attempt attempt) {
 		Replica replica = attempt.choice().replica();
-		this.crashTable.onAlive(Crash.processName(replica), attempt.startedAt());
-		onConfirmedWhole(this.crashWatch.onAnswer(replica, attempt.startedAt()));
+		this.crashTracker.onAlive(Crash.processName(replica), attempt.startedAt());
+		onConfirmedWhole(this.crashDetector.onAnswer(replica, attempt.startedAt()));
 	}
 
 	/**
@@ -183,8 +183,8 @@
 		}
 		if (attempt.hasEndedWithConnection()) {
 			onEnded(request, model, attempt, CrashDetector.EndKind.CLOSE_DELIMITED);
-			boolean again = this.crashWatch.recordCloseDelimited(Trait.content(request.contentHash()));
-			if (again || !this.crashTable.hasSuccessWithEach(request.partTraits(model))) {
+			boolean again = this.crashDetector.recordCloseDelimited(Trait.content(request.contentHash()));
+			if (again || !this.crashTracker.hasSuccessWithEach(request.partTraits(model))) {
 				checkLiveness(attempt.choice().replica());
 			}
 		}
@@ -195,7 +195,7 @@
 
 	private void onEnded(ServedRequest request, String model, Attempt attempt, CrashDetector.EndKind manner) {
 		Replica replica = attempt.choice().replica();
-		this.crashWatch
+		this.crashDetector
 			.onAttemptEnd(MonotonicClock.millis(), replica, attempt.startedAt(), manner, request.traits(model))
 			.ifPresent((crash) -> onCrash(crash, "more that ran there"));
 		if (manner == CrashDetector.EndKind.BROKEN) {
@@ -223,10 +223,10 @@
 			return;
 		}
 		connectAfter(LIVENESS_CHECK_DELAY_MILLIS, replica, (askedAt) -> {
-			if (this.crashWatch.hasUnconfirmedAnswers(replica)) {
+			if (this.crashDetector.hasUnconfirmedAnswers(replica)) {
 				connectAfter(SECOND_CHECK_DELAY_MILLIS, replica, (again) -> {
 					this.livenessChecks.remove(process);
-					onConfirmedWhole(this.crashWatch.onConnectionAccepted(replica, askedAt));
+					onConfirmedWhole(this.crashDetector.onConnectionAccepted(replica, askedAt));
 				});
 			}
 			else {
@@ -250,7 +250,7 @@
 				}
 				this.livenessChecks.remove(Crash.processName(replica));
 				if (ChannelPool.isConnectionRefused(failure)) {
-					this.routingState.picker().onUnreachable(MonotonicClock.millis(), replica);
+					this.routingState.replicaSelector().onUnreachable(MonotonicClock.millis(), replica);
 					onProcessGone(replica.id(), "refuses connections");
 				}
 			});
@@ -270,13 +270,13 @@
 	 * Decides on suspects and schedules notes; called several times a second.
 	 */
 	void check(long now) {
-		logBlocked(this.crashTable.reevaluate(now), "this node");
-		if (this.crashTable.hasUnreportedBlocks() && !this.spreadScheduled) {
+		logBlocked(this.crashTracker.reevaluate(now), "this node");
+		if (this.crashTracker.hasUnreportedBlocks() && !this.spreadScheduled) {
 			// Peers find out the same at the same time; one of them writes the note.
 			this.spreadScheduled = true;
 			this.vertx.setTimer(spreadMillis(), (timer) -> {
 				this.spreadScheduled = false;
-				if (this.crashTable.hasUnreportedBlocks()) {
+				if (this.crashTracker.hasUnreportedBlocks()) {
 					scheduleNote(1);
 				}
 			});
@@ -294,9 +294,9 @@
 		switch (change) {
 			case FleetChange.Unlisted unlisted -> {
 				onProcessGone(unlisted.id(), "is not listed any more");
-				this.crashWatch.onLeaving(MonotonicClock.millis(), unlisted.id());
+				this.crashDetector.onLeaving(MonotonicClock.millis(), unlisted.id());
 			}
-			case FleetChange.Listed listed -> this.crashWatch.onListed(MonotonicClock.millis(), listed.replica())
+			case FleetChange.Listed listed -> this.crashDetector.onListed(MonotonicClock.millis(), listed.replica())
 				.ifPresent((crash) -> onCrash(crash, "another process has its id"));
 			case FleetChange.NoteWritten noted -> {
 				// A note that an earlier process of this node wrote is new to this one.
@@ -311,25 +311,25 @@
 	}
 
 	private void onProcessGone(ReplicaId replica, String how) {
-		this.crashWatch.onDead(MonotonicClock.millis(), replica).ifPresent((crash) -> onCrash(crash, how));
+		this.crashDetector.onDead(MonotonicClock.millis(), replica).ifPresent((crash) -> onCrash(crash, how));
 	}
 
 	private void onCrash(Crash crash, String how) {
 		long now = MonotonicClock.millis();
 		this.log.replicaEnded(crash, now, how);
 		this.telemetry.count("replicas.ended.under.work");
-		logBlocked(this.crashTable.onCrash(now, crash), "this node");
+		logBlocked(this.crashTracker.onCrash(now, crash), "this node");
 		scheduleNote(COLLECT_MILLIS);
 	}
 
 	private void recordSound(List<Trait> traits) {
 		long now = MonotonicClock.millis();
-		List<Trait> cleared = this.crashTable.onSuccess(now, traits);
+		List<Trait> cleared = this.crashTracker.onSuccess(now, traits);
 		cleared.forEach((trait) -> this.log.traitUnblocked(trait, "this node"));
 		if (!cleared.isEmpty()) {
 			scheduleNote(COLLECT_MILLIS);
 		}
-		else if (this.crashTable.shouldReportSuccess(traits)) {
+		else if (this.crashTracker.shouldReportSuccess(traits)) {
 			scheduleNote(COLLECT_MILLIS + spreadMillis());
 		}
 	}
@@ -338,7 +338,7 @@
 	 * Returns the request's traits; skips hashing the content while no crash is known.
 	 */
 	private List<Trait> traits(ServedRequest request, String model) {
-		return this.crashTable.hasCrashEvidence() ? request.traits(model) : request.partTraits(model);
+		return this.crashTracker.hasCrashEvidence() ? request.traits(model) : request.partTraits(model);
 	}
 
 	private void onPeerNote(FleetChange.NoteWritten noted, boolean own) {
@@ -346,11 +346,11 @@
 			CrashNote crashNote = Json.read(noted.value(), CrashNote.class);
 			long now = MonotonicClock.millis();
 			long timeOfDay = System.currentTimeMillis();
-			CrashTracker.NoteEffect learned = own ? this.crashTable.onOwnNote(now, timeOfDay, crashNote)
-					: this.crashTable.onNote(now, timeOfDay, crashNote);
+			CrashTracker.NoteEffect learned = own ? this.crashTracker.onOwnNote(now, timeOfDay, crashNote)
+					: this.crashTracker.onNote(now, timeOfDay, crashNote);
 			logBlocked(learned.blocked(), noted.key());
 			learned.unblocked().forEach((trait) -> this.log.traitUnblocked(trait, noted.key()));
-			if (this.crashTable.hasReportedAnyBlocked(learned.unblocked())) {
+			if (this.crashTracker.hasReportedAnyBlocked(learned.unblocked())) {
 				scheduleNote(COLLECT_MILLIS + spreadMillis());
 			}
 		}
@@ -360,7 +360,7 @@
 	}
 
 	private void logBlocked(List<Trait> traits, String source) {
-		traits.forEach((trait) -> this.log.traitBlocked(trait, this.crashTable, source));
+		traits.forEach((trait) -> this.log.traitBlocked(trait, this.crashTracker, source));
 	}
 
 	private void scheduleNote(long millis) {
@@ -376,7 +376,8 @@
 			scheduleNote(COLLECT_MILLIS);
 			return;
 		}
-		Optional<CrashNote> crashNote = this.crashTable.buildNote(MonotonicClock.millis(), System.currentTimeMillis());
+		Optional<CrashNote> crashNote = this.crashTracker.buildNote(MonotonicClock.millis(),
+				System.currentTimeMillis());
 		if (crashNote.isPresent()) {
 			this.hasWritten = true;
 			this.note.write(Json.write(crashNote.get()), () -> scheduleNote(RETRY_DELAY_MILLIS));
--- a/daemon/src/main/java/org/gullsaddle/gateway/CrashTrials.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/CrashTrials.java
@@ -34,7 +34,7 @@
 
 	private final String node;
 
-	private final CrashTracker crashTable;
+	private final CrashTracker crashTracker;
 
 	private final DecisionLog log;
 
@@ -45,7 +45,7 @@
 	CrashTrials(Store store, String node, CrashTracker crashTable, DecisionLog log, Telemetry telemetry) {
 		this.store = store;
 		this.node = node;
-		this.crashTable = crashTable;
+		this.crashTracker = crashTable;
 		this.log = log;
 		this.telemetry = telemetry;
 	}
@@ -56,7 +56,7 @@
 	 * @param then continues the request
 	 */
 	void requestTrial(ServedRequest request, List<Trait> traits, Runnable then) {
-		Optional<CrashTracker.Trial> trial = this.crashTable.findTrial(MonotonicClock.millis(), traits);
+		Optional<CrashTracker.Trial> trial = this.crashTracker.findTrial(MonotonicClock.millis(), traits);
 		if (trial.isEmpty() || !this.pending.add(trial.get().trait())) {
 			then.run();
 			return;
@@ -100,7 +100,7 @@
 
 	private void onDecided(CrashTracker.Trial trial, boolean admitted, ServedRequest request, Runnable then) {
 		this.pending.remove(trial.trait());
-		this.crashTable.onTrialDecided(MonotonicClock.millis(), trial);
+		this.crashTracker.onTrialDecided(MonotonicClock.millis(), trial);
 		if (admitted) {
 			this.telemetry.count("crash.trials");
 			this.log.trialAdmitted(trial, request.id());
--- a/daemon/src/main/java/org/gullsaddle/gateway/FlowControlledSink.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/FlowControlledSink.java
@@ -30,7 +30,7 @@
 
 	private final Runnable onAbort;
 
-	private final BufferAccount holder;
+	private final BufferAccount bufferAccount;
 
 	private final Deque<Buffer> queued = new ArrayDeque<>();
 
@@ -58,7 +58,7 @@
 		this.onAbort = abortHandler;
 		long maxPauseMillis = Math.max(MAX_PAUSE_MILLIS,
 				Math.max(request.route().gapMillis(), request.route().targetMillis()));
-		this.holder = buffers.open(request.id(), maxPauseMillis, this);
+		this.bufferAccount = buffers.open(request.id(), maxPauseMillis, this);
 		this.response.setWriteQueueMaxSize(CONNECTION_QUEUE_BYTES);
 		this.response.drainHandler((nothing) -> pump());
 	}
@@ -107,7 +107,7 @@
 			this.response.write(next);
 		}
 		this.queuedBytes -= sent;
-		this.holder.recordTransferred(sent, MonotonicClock.millis());
+		this.bufferAccount.recordTransferred(sent, MonotonicClock.millis());
 		updateHolder();
 		if (!this.queued.isEmpty()) {
 			return;
@@ -139,7 +139,7 @@
 		this.incompleteBytes = newIncompleteBytes;
 		updateHolder();
 		boolean full = !this.queued.isEmpty() && !this.readingAhead;
-		if ((full || !this.holder.canRead()) && !this.paused) {
+		if ((full || !this.bufferAccount.canRead()) && !this.paused) {
 			this.paused = true;
 			this.pausedAt = MonotonicClock.millis();
 			this.source.pause(Attempt.PauseReason.SLOW_CALLER);
@@ -154,7 +154,7 @@
 	}
 
 	private void updateHolder() {
-		this.holder.recordBuffered(this.queuedBytes + this.incompleteBytes, !this.queued.isEmpty(),
+		this.bufferAccount.recordBuffered(this.queuedBytes + this.incompleteBytes, !this.queued.isEmpty(),
 				MonotonicClock.millis());
 	}
 
@@ -162,9 +162,9 @@
 	public void check(long now) {
 		if (this.response.ended() || this.response.closed()) {
 			discard();
-			this.buffers.close(this.holder);
+			this.buffers.close(this.bufferAccount);
 		}
-		else if (this.paused && this.holder.canRead()) {
+		else if (this.paused && this.bufferAccount.canRead()) {
 			resumeIfDue(now);
 		}
 	}
@@ -179,7 +179,7 @@
 		}
 		else if (now - this.pausedAt >= MAX_PAUSE_MILLIS) {
 			if (!this.readingAhead) {
-				this.buffers.recordReadAhead(this.holder, now - this.pausedAt);
+				this.buffers.recordReadAhead(this.bufferAccount, now - this.pausedAt);
 			}
 			this.readingAhead = true;
 			resume();
--- a/daemon/src/main/java/org/gullsaddle/gateway/Gateway.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/Gateway.java
@@ -72,7 +72,7 @@
 
 	private final RetryAfterAdvisor retryAfterAdvisor;
 
-	private final ColdReplicaLimiter coldPace;
+	private final ColdReplicaLimiter coldReplicaLimiter;
 
 	private final ChannelPool pool;
 
@@ -84,7 +84,7 @@
 
 	private final NodeRegistry nodeRegistry;
 
-	private final ReplicaEligibility rules;
+	private final ReplicaEligibility replicaEligibility;
 
 	private final RolloutController rollouts;
 
@@ -113,7 +113,7 @@
 		this.routingState = new SharedRoutingState(this.settings.place(), this.settings.retryBudgetRatio(),
 				this.settings.load().pressure());
 		this.retryAfterAdvisor = new RetryAfterAdvisor(this.settings.load().pressure(), this.telemetry);
-		this.coldPace = new ColdReplicaLimiter(this.settings.node());
+		this.coldReplicaLimiter = new ColdReplicaLimiter(this.settings.node());
 		this.pool = new ChannelPool(vertx);
 		this.nodeRegistry = new NodeRegistry(vertx, builder.store, this.settings,
 				() -> this.fleet.directory().storeUnreachable());
@@ -121,12 +121,12 @@
 				this.settings.place(), this.nodeRegistry::peers, RandomGenerator.getDefault());
 		this.backpressure = new BackpressureController(vertx, builder.store, this.fleet, backpressureTable, this.log,
 				this.telemetry);
-		this.loadProbe = new LoadProbe(vertx, this.pool, this.codec, this.routingState.picker(), this.backpressure,
-				this.log);
+		this.loadProbe = new LoadProbe(vertx, this.pool, this.codec, this.routingState.replicaSelector(),
+				this.backpressure, this.log);
 		this.crashes = new CrashController(vertx, builder.store, this.settings.node(), this.pool, this.routingState,
 				this.nodeRegistry, this.log, this.telemetry);
-		this.rules = new ReplicaEligibility(this.fleet.directory(), this.settings.place(), this.coldPace,
-				backpressureTable, this.crashes.crashTable());
+		this.replicaEligibility = new ReplicaEligibility(this.fleet.directory(), this.settings.place(),
+				this.coldReplicaLimiter, backpressureTable, this.crashes.crashTracker());
 		this.rollouts = new RolloutController(vertx, builder.stateWriter, builder.store, this.settings.node(),
 				this.fleet, this.log);
 		this.dispatcher = new RequestDispatcher(vertx, this);
@@ -150,7 +150,7 @@
 		this.telemetry.gauge("held.requests", this.dispatcher::heldCount);
 		this.telemetry.gauge("replicas.known", () -> this.fleet.directory().knownIds().size());
 		this.telemetry.gauge("replicas.cold", () -> this.fleet.directory().coldCount(MonotonicClock.millis()));
-		this.telemetry.gauge("replicas.telling.pace", this.routingState.picker()::countReportedSlowdowns);
+		this.telemetry.gauge("replicas.telling.pace", this.routingState.replicaSelector()::countReportedSlowdowns);
 		this.telemetry.gauge("data.centers.evacuated", () -> this.fleet.directory().evacuatedDataCenters().size());
 		this.telemetry.gauge("nodes.known", () -> this.nodeRegistry.knownCount().orElse(0));
 		this.telemetry.gauge("config.unreadable", () -> this.fleet.hasUnreadableConfig() ? 1 : 0);
@@ -289,13 +289,13 @@
 
 	void onAttemptEnded(RequestExecution serving, Attempt attempt, AttemptEnd end, long now) {
 		long millis = now - attempt.startedAt();
-		this.routingState.picker().onAttemptEnded(now, attempt.choice(), end);
+		this.routingState.replicaSelector().onAttemptEnded(now, attempt.choice(), end);
 		this.crashes.onEnded(serving.request(), serving.model(), attempt, end);
 		this.log.attempt(serving.request(), attempt, serving.model(), end.toString(), millis, serving.timing(),
 				!(end instanceof AttemptEnd.Answered answered) || answered.hasFailed());
 		this.telemetry.attempt(serving.service().value(), end.metricLabel());
 		if (serving.timing().hasBegun() && serving.route().kind() == RouteKind.STREAM) {
-			this.routingState.hopeless().recordAnswerStarted(now, serving.service());
+			this.routingState.deadlineCheck().recordAnswerStarted(now, serving.service());
 			long first = serving.timing().firstEventMillis(now);
 			this.telemetry.firstEvent(serving.route().name(), serving.model(), first);
 			this.telemetry.delayError(serving.service().value(), serving.model(),
@@ -342,9 +342,9 @@
 
 	private void cleanUp() {
 		this.pool.closeExpired(this.fleet.directory().knownIds());
-		this.routingState.picker().retain(this.fleet.directory().knownIds());
-		this.routingState.patience().retain(this.fleet.directory().knownIds());
-		this.coldPace.retain(this.fleet.directory().knownIds());
+		this.routingState.replicaSelector().retain(this.fleet.directory().knownIds());
+		this.routingState.silentReplicaPolicy().retain(this.fleet.directory().knownIds());
+		this.coldReplicaLimiter.retain(this.fleet.directory().knownIds());
 		this.backpressure.retain(this.fleet.directory().knownIds());
 	}
 
@@ -376,8 +376,8 @@
 		return this.nodeRegistry;
 	}
 
-	ReplicaEligibility rules() {
-		return this.rules;
+	ReplicaEligibility replicaEligibility() {
+		return this.replicaEligibility;
 	}
 
 	StallDetector stallDetector() {
--- a/daemon/src/main/java/org/gullsaddle/gateway/LoadProbe.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/LoadProbe.java
@@ -36,7 +36,7 @@
 
 	private final HeaderCodec codec;
 
-	private final ReplicaSelector picker;
+	private final ReplicaSelector replicaSelector;
 
 	private final BackpressureController backpressure;
 
@@ -52,7 +52,7 @@
 		this.log = log;
 		this.pool = pool;
 		this.codec = codec;
-		this.picker = picker;
+		this.replicaSelector = picker;
 		this.backpressure = backpressure;
 	}
 
@@ -103,7 +103,7 @@
 		answer.future().onComplete((done) -> this.vertx.cancelTimer(timer));
 		this.pool.acquire(replica, false).onComplete((channel, unreachable) -> {
 			if (unreachable != null) {
-				this.picker.onUnreachable(MonotonicClock.millis(), replica);
+				this.replicaSelector.onUnreachable(MonotonicClock.millis(), replica);
 				answer.tryFail("unreachable");
 				return;
 			}
@@ -121,7 +121,7 @@
 	}
 
 	private Optional<EngineReport> onReport(Replica replica, EngineReport report) {
-		this.picker.onLoadReport(MonotonicClock.millis(), replica, report);
+		this.replicaSelector.onLoadReport(MonotonicClock.millis(), replica, report);
 		return Optional.of(report);
 	}
 
@@ -137,7 +137,8 @@
 			ReplicaAnswer answer = this.codec.read(response);
 			this.backpressure.onAnswer(replica, answer);
 			answer.slowdownPercent()
-				.ifPresent((percent) -> this.picker.onSlowdownReport(MonotonicClock.millis(), replica, percent));
+				.ifPresent(
+						(percent) -> this.replicaSelector.onSlowdownReport(MonotonicClock.millis(), replica, percent));
 			return response.body().compose((body) -> parseReport(channel, answer, body));
 		});
 	}
--- a/daemon/src/main/java/org/gullsaddle/gateway/ReplicaChooser.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/ReplicaChooser.java
@@ -78,7 +78,7 @@
 	 * Takes an admission for the request at a replica.
 	 */
 	SendPermission admit(Replica replica) {
-		return this.gateway.backpressure().table().admit(MonotonicClock.millis(), replica);
+		return this.gateway.backpressure().backpressureTable().admit(MonotonicClock.millis(), replica);
 	}
 
 	/**
@@ -86,7 +86,9 @@
 	 */
 	boolean canStillSend(Replica chosen, SendPermission admission, String model) {
 		return !isBlocked(model) && this.gateway.fleet().directory().canStillUse(MonotonicClock.millis(), chosen)
-				&& this.gateway.backpressure().table().canStillSend(MonotonicClock.millis(), chosen, admission);
+				&& this.gateway.backpressure()
+					.backpressureTable()
+					.canStillSend(MonotonicClock.millis(), chosen, admission);
 	}
 
 	/**
@@ -112,7 +114,7 @@
 	}
 
 	private ReplicaEligibility.Requirements requirements(String model) {
-		CrashTracker crashes = this.gateway.crashes().crashTable();
+		CrashTracker crashes = this.gateway.crashes().crashTracker();
 		List<Trait> traits = (crashes.blockedCount() == 0 || this.request.isTrial()) ? List.of()
 				: this.request.traits(model);
 		return new ReplicaEligibility.Requirements(this.request.service(), this.request.regionLimit(),
@@ -135,15 +137,15 @@
 		}
 		List<Replica> probed = replicasToProbe(usable, task, excluded);
 		if (probed.isEmpty()) {
-			then.accept(picker().chooseReplica(MonotonicClock.millis(), usable, excluded, task));
+			then.accept(replicaSelector().chooseReplica(MonotonicClock.millis(), usable, excluded, task));
 			return;
 		}
 		this.gateway.loadProbe().probe(probed, (reported) -> {
 			Set<ReplicaId> excludedNow = excluded(tried, task.model());
 			List<Replica> stillUsable = usable(excludedNow, task.model());
 			List<Replica> candidates = withoutUnanswered(stillUsable, probed, reported);
-			then.accept(picker().chooseReplica(MonotonicClock.millis(), candidates, excludedNow, task)
-				.or(() -> picker().chooseReplica(MonotonicClock.millis(), stillUsable, excludedNow, task)));
+			then.accept(replicaSelector().chooseReplica(MonotonicClock.millis(), candidates, excludedNow, task)
+				.or(() -> replicaSelector().chooseReplica(MonotonicClock.millis(), stillUsable, excludedNow, task)));
 		});
 	}
 
@@ -151,7 +153,7 @@
 	 * Chooses the replica with the fewest requests, since they are lost if it crashes.
 	 */
 	private Optional<ReplicaChoice> chooseLeastLoaded(ReplicaTask task, List<Replica> usable, Set<ReplicaId> excluded) {
-		return picker().bestChoices(MonotonicClock.millis(), usable, excluded, task, usable.size())
+		return replicaSelector().bestChoices(MonotonicClock.millis(), usable, excluded, task, usable.size())
 			.stream()
 			.min(Comparator.comparingDouble((choice) -> choice.load().requests()));
 	}
@@ -165,9 +167,9 @@
 		Set<ReplicaId> excluded = new HashSet<>(excluded(tried, task.model()));
 		List<Replica> usable = usable(excluded, task.model());
 		usable.stream()
-			.filter((replica) -> !picker().hasRecentReport(now, replica))
+			.filter((replica) -> !replicaSelector().hasRecentReport(now, replica))
 			.forEach((replica) -> excluded.add(replica.id()));
-		return picker().chooseReplica(now, usable, excluded, task);
+		return replicaSelector().chooseReplica(now, usable, excluded, task);
 	}
 
 	/**
@@ -176,7 +178,7 @@
 	 * including tried ones.
 	 */
 	DelayEstimate expectedDelay(Replica replica, ReplicaTask task) {
-		return picker().estimateDelay(MonotonicClock.millis(), usable(Set.of(), task.model()), replica, task);
+		return replicaSelector().estimateDelay(MonotonicClock.millis(), usable(Set.of(), task.model()), replica, task);
 	}
 
 	/**
@@ -191,9 +193,9 @@
 		long now = MonotonicClock.millis();
 		// Rate-limited replicas are included: they may still accept the request.
 		List<Replica> usable = usable(Set.of(), task.model());
-		List<ReplicaChoice> all = picker().bestChoices(now, usable, Set.of(), task, usable.size());
+		List<ReplicaChoice> all = replicaSelector().bestChoices(now, usable, Set.of(), task, usable.size());
 		boolean refused = !rules().hasColdReplica(now, requirements(task.model())) && this.gateway.routingState()
-			.hopeless()
+			.deadlineCheck()
 			.shouldRefuse(now, this.request.service(), all, remainingMillis);
 		if (refused) {
 			this.gateway.telemetry().count("would.not.begin");
@@ -207,7 +209,7 @@
 	 * probed.
 	 */
 	private List<Replica> replicasToProbe(List<Replica> usable, ReplicaTask task, Set<ReplicaId> excluded) {
-		return picker().replicasToQuery(MonotonicClock.millis(), usable, excluded, task)
+		return replicaSelector().replicasToQuery(MonotonicClock.millis(), usable, excluded, task)
 			.stream()
 			.filter(this::canProbe)
 			.toList();
@@ -228,11 +230,11 @@
 	}
 
 	private ReplicaEligibility rules() {
-		return this.gateway.rules();
+		return this.gateway.replicaEligibility();
 	}
 
-	private ReplicaSelector picker() {
-		return this.gateway.routingState().picker();
+	private ReplicaSelector replicaSelector() {
+		return this.gateway.routingState().replicaSelector();
 	}
 
 }
--- a/daemon/src/main/java/org/gullsaddle/gateway/RequestBodyReader.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/RequestBodyReader.java
@@ -26,7 +26,7 @@
 
 	private Buffer body = Buffer.buffer();
 
-	private Optional<BufferAccount> holder = Optional.empty();
+	private Optional<BufferAccount> bufferAccount = Optional.empty();
 
 	private boolean paused;
 
@@ -55,7 +55,7 @@
 		this.request.endHandler((nothing) -> {
 			if (!this.done) {
 				this.done = true;
-				this.holder
+				this.bufferAccount
 					.ifPresent((each) -> each.recordBuffered(this.body.length(), false, MonotonicClock.millis()));
 				this.gateway.dispatcher().dispatch(this.request, caller, this.body, this.startedAt);
 			}
@@ -77,10 +77,10 @@
 	}
 
 	private void updateHolder(int bytes, String id) {
-		if (this.holder.isEmpty()) {
-			this.holder = Optional.of(this.gateway.buffers().open(id, RATE_WINDOW_MILLIS, this));
+		if (this.bufferAccount.isEmpty()) {
+			this.bufferAccount = Optional.of(this.gateway.buffers().open(id, RATE_WINDOW_MILLIS, this));
 		}
-		BufferAccount bodyHolder = this.holder.get();
+		BufferAccount bodyHolder = this.bufferAccount.get();
 		bodyHolder.recordBuffered(this.body.length(), true, MonotonicClock.millis());
 		bodyHolder.recordTransferred(bytes, MonotonicClock.millis());
 		if (this.gateway.buffers().isExhausted() && !bodyHolder.canRead()) {
@@ -92,7 +92,7 @@
 	@Override
 	public void check(long now) {
 		if (this.request.response().ended() || this.request.response().closed()) {
-			this.holder.ifPresent(this.gateway.buffers()::close);
+			this.bufferAccount.ifPresent(this.gateway.buffers()::close);
 		}
 		if (this.paused && !this.gateway.buffers().isExhausted()) {
 			resume();
--- a/daemon/src/main/java/org/gullsaddle/gateway/RequestExecution.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/RequestExecution.java
@@ -34,7 +34,7 @@
 
 	private final ServedRequest request;
 
-	private final RetryPolicy rule;
+	private final RetryPolicy retryPolicy;
 
 	private final ReplicaChooser replicas;
 
@@ -67,12 +67,13 @@
 	RequestExecution(Gateway gateway, ServedRequest request) {
 		this.gateway = gateway;
 		this.request = request;
-		this.rule = new RetryPolicy(request.route());
+		this.retryPolicy = new RetryPolicy(request.route());
 		this.replicas = new ReplicaChooser(gateway, request);
 		this.priority = new RequestPriority(gateway.routingState(), request);
-		this.cascade = new Cascade(gateway, request, this.rule, this.priority);
+		this.cascade = new Cascade(gateway, request, this.retryPolicy, this.priority);
 		this.relay = new AnswerRelay(request, gateway, this::onBufferAbort);
-		this.silentReplicaHandler = new SilentReplicaHandler(gateway, this, this.rule, this.replicas, this.relay);
+		this.silentReplicaHandler = new SilentReplicaHandler(gateway, this, this.retryPolicy, this.replicas,
+				this.relay);
 	}
 
 	void start() {
@@ -146,7 +147,7 @@
 		this.tried.add(choice.replica().id());
 		this.promptReadRecorded = false;
 		this.timing.begin(MonotonicClock.millis());
-		this.gateway.routingState().picker().onSent(MonotonicClock.millis(), choice, this.task);
+		this.gateway.routingState().replicaSelector().onSent(MonotonicClock.millis(), choice, this.task);
 		this.replicas.recordSent(choice.replica());
 		this.gateway.rollouts().recordSent(choice.replica());
 		SendPermission admission = this.replicas.admit(choice.replica());
@@ -162,7 +163,7 @@
 
 	@Override
 	public boolean canStillSend(Attempt from) {
-		return this.replicas.canStillSend(from.choice().replica(), from.admission(), model());
+		return this.replicas.canStillSend(from.choice().replica(), from.sendPermission(), model());
 	}
 
 	@Override
@@ -178,7 +179,7 @@
 		this.gateway.rollouts().onAnswer(new AnswerKind(route().name(), model()), from, answer);
 		if (answer.isSuccess()) {
 			this.gateway.routingState()
-				.picker()
+				.replicaSelector()
 				.recordFirstEventDelay(from.choice(), this.task, from.headAt() - from.startedAt(), true);
 		}
 		this.relay.onHead(this.gateway.codec().callerHeaders(headers));
@@ -222,7 +223,7 @@
 		if (this.done) {
 			return;
 		}
-		this.gateway.routingState().picker().onBytes(MonotonicClock.millis(), from.choice().replica());
+		this.gateway.routingState().replicaSelector().onBytes(MonotonicClock.millis(), from.choice().replica());
 		this.gateway.crashes().onData(this.request, model(), from);
 		if (!isStreamed(from)) {
 			this.relay.buffer(from, bytes);
@@ -242,7 +243,7 @@
 		recordPromptRead(from);
 		if (from.answer() == null && !(counted instanceof AttemptEnd.NotRun)) {
 			this.gateway.routingState()
-				.picker()
+				.replicaSelector()
 				.recordFirstEventDelay(from.choice(), this.task, now - from.startedAt(), false);
 		}
 		if (this.request.isStream() && !(counted instanceof AttemptEnd.Dropped)
@@ -250,7 +251,7 @@
 			this.gateway.routingState().recordStream(route(), model(), this.timing);
 		}
 		this.priority.onEnded(now, from.choice(), this.task, counted);
-		this.rule.onAttemptEnded(counted);
+		this.retryPolicy.onAttemptEnded(counted);
 		this.gateway.onAttemptEnded(this, from, counted, now);
 		this.request.endTrial();
 		if (this.done) {
@@ -280,7 +281,7 @@
 			startNextAttempt();
 			return true;
 		}
-		if (!this.rule.canRetry(this.request.remainingMillis(now))
+		if (!this.retryPolicy.canRetry(this.request.remainingMillis(now))
 				|| !this.silentReplicaHandler.canContinueElsewhere()) {
 			return false;
 		}
@@ -336,7 +337,7 @@
 			close("failed", 0, reason);
 			return;
 		}
-		boolean notRun = this.rule.verdict() == Verdict.NOT_RUN;
+		boolean notRun = this.retryPolicy.verdict() == Verdict.NOT_RUN;
 		int status = notRun ? HttpStatuses.SERVICE_UNAVAILABLE : HttpStatuses.BAD_GATEWAY;
 		Optional<Long> retryAfter = notRun
 				? Optional.of(this.gateway.retryAfterAdvisor().retryAfterMillis(this.request, retryAfterMillis))
@@ -369,7 +370,7 @@
 			return;
 		}
 		withdrawAttempt("deadline");
-		if (!this.relay.hasBegun() && this.rule.verdict() != Verdict.NOT_RUN) {
+		if (!this.relay.hasBegun() && this.retryPolicy.verdict() != Verdict.NOT_RUN) {
 			this.relay.sendError(HttpStatuses.GATEWAY_TIMEOUT, Optional.empty(), "deadline");
 			close("failed", HttpStatuses.GATEWAY_TIMEOUT, "deadline");
 			return;
@@ -425,7 +426,7 @@
 	private void recordPromptRead(Attempt from) {
 		if (!this.promptReadRecorded) {
 			this.promptReadRecorded = true;
-			this.gateway.routingState().picker().onPromptRead(from.choice(), this.task);
+			this.gateway.routingState().replicaSelector().onPromptRead(from.choice(), this.task);
 		}
 	}
 
@@ -466,7 +467,7 @@
 
 	DecisionLog.RequestLine requestLine(String outcome, int status, String reason, long now, long age) {
 		return new DecisionLog.RequestLine(id(), route().name(), this.request.team().map(TeamId::value).orElse(""),
-				this.request.contentHash().toString(), outcome, status, reason, this.rule.verdict().toString(),
+				this.request.contentHash().toString(), outcome, status, reason, this.retryPolicy.verdict().toString(),
 				this.attempts, this.priority.isOverShare(), this.relay.retryAfterMillis(), route().targetMillis(),
 				this.request.config().version(), age, now - this.request.startedAt());
 	}
--- a/daemon/src/main/java/org/gullsaddle/gateway/RolloutController.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/RolloutController.java
@@ -72,7 +72,7 @@
 
 	private final Set<ServiceName> writing = new HashSet<>();
 
-	private final RolloutWriteSchedule turns;
+	private final RolloutWriteSchedule writeSchedule;
 
 	private final Map<String, ReportedNote> reportedNotes = new HashMap<>();
 
@@ -85,7 +85,7 @@
 		this.stateWriter = stateWriter;
 		this.store = store;
 		this.node = node;
-		this.turns = new RolloutWriteSchedule(node);
+		this.writeSchedule = new RolloutWriteSchedule(node);
 		this.fleet = fleet;
 		this.log = log;
 	}
@@ -163,7 +163,7 @@
 		rollout.update(now, this.fleet.ageMillis(now));
 		logShareIfChanged(rollout, rollout.progress(now));
 		rollout.findDueState(now)
-			.filter((state) -> this.turns.isWriteDue(now, rollout, state))
+			.filter((state) -> this.writeSchedule.isWriteDue(now, rollout, state))
 			.ifPresent((state) -> write(rollout, state));
 		if (rollout.writtenState().equals(Optional.of(RolloutState.RUNNING))) {
 			writeNoteIfDue(rollout, now);
@@ -177,7 +177,7 @@
 		}
 		this.stateWriter.write(rollout.order(), state, rollout.stateRevision()).subscribe((written) -> {
 			this.writing.remove(service);
-			this.turns.onWriteAnswered(MonotonicClock.millis(), rollout, state);
+			this.writeSchedule.onWriteAnswered(MonotonicClock.millis(), rollout, state);
 			logStateWrite(rollout, state, written ? "written" : "another node was first");
 		}, (failure) -> {
 			this.writing.remove(service);
--- a/daemon/src/main/java/org/gullsaddle/gateway/SharedRoutingState.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/SharedRoutingState.java
@@ -56,7 +56,7 @@
 
 	private static final int URGENCIES_PER_RANK = 2;
 
-	private final ReplicaSelector picker;
+	private final ReplicaSelector replicaSelector;
 
 	private final RetryBudget retryBudget;
 
@@ -66,26 +66,26 @@
 
 	private QueueBounds bounds;
 
-	private final TeamBurstDetector requestShares = new TeamBurstDetector();
+	private final TeamBurstDetector teamBurstDetector = new TeamBurstDetector();
 
-	private final SilentReplicaPolicy patience = new SilentReplicaPolicy();
+	private final SilentReplicaPolicy silentReplicaPolicy = new SilentReplicaPolicy();
 
 	/**
 	 * Teams' shares by engine work, used under pressure instead of shares by requests.
 	 */
 	private final Optional<WorkShares> workShares;
 
-	private final DeadlineCheck hopeless = new DeadlineCheck();
+	private final DeadlineCheck deadlineCheck = new DeadlineCheck();
 
 	private final RandomGenerator random = RandomGenerator.getDefault();
 
 	SharedRoutingState(NodeLocation here, double retryBudgetRatio, boolean pressure) {
 		this.workShares = pressure ? Optional.of(new WorkShares()) : Optional.empty();
-		this.picker = new ReplicaSelector(here);
+		this.replicaSelector = new ReplicaSelector(here);
 		this.retryBudget = new RetryBudget(retryBudgetRatio);
 		this.models = pressure ? ModelSelector.withQueueBounds() : new ModelSelector();
 		if (pressure) {
-			this.picker.separateModelSizes();
+			this.replicaSelector.separateModelSizes();
 		}
 	}
 
@@ -100,21 +100,21 @@
 		return this.bounds;
 	}
 
-	ReplicaSelector picker() {
-		return this.picker;
+	ReplicaSelector replicaSelector() {
+		return this.replicaSelector;
 	}
 
 	/**
 	 * Records what the head of a replica's answer reports.
 	 */
 	void onAnswerHead(long now, Replica replica, ReplicaAnswer answer) {
-		answer.load().ifPresent((load) -> this.picker.onLoadReport(now, replica, load));
-		answer.slowdownPercent().ifPresent((percent) -> this.picker.onSlowdownReport(now, replica, percent));
-		this.picker.onBytes(now, replica);
+		answer.load().ifPresent((load) -> this.replicaSelector.onLoadReport(now, replica, load));
+		answer.slowdownPercent().ifPresent((percent) -> this.replicaSelector.onSlowdownReport(now, replica, percent));
+		this.replicaSelector.onBytes(now, replica);
 	}
 
-	SilentReplicaPolicy patience() {
-		return this.patience;
+	SilentReplicaPolicy silentReplicaPolicy() {
+		return this.silentReplicaPolicy;
 	}
 
 	void earnRetry() {
@@ -159,8 +159,8 @@
 	 * @return whether the team sent more than its share
 	 */
 	boolean recordRequest(TeamId team, long now) {
-		this.requestShares.recordRequest(team, now);
-		return this.requestShares.isBursting(team, now);
+		this.teamBurstDetector.recordRequest(team, now);
+		return this.teamBurstDetector.isBursting(team, now);
 	}
 
 	/**
@@ -170,8 +170,8 @@
 		return this.workShares;
 	}
 
-	DeadlineCheck hopeless() {
-		return this.hopeless;
+	DeadlineCheck deadlineCheck() {
+		return this.deadlineCheck;
 	}
 
 	/**
--- a/daemon/src/main/java/org/gullsaddle/gateway/SilentReplicaHandler.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/SilentReplicaHandler.java
@@ -41,7 +41,7 @@
 
 	private final RequestExecution execution;
 
-	private final RetryPolicy rule;
+	private final RetryPolicy retryPolicy;
 
 	private final ReplicaChooser replicas;
 
@@ -59,7 +59,7 @@
 			AnswerRelay relay) {
 		this.gateway = gateway;
 		this.execution = execution;
-		this.rule = rule;
+		this.retryPolicy = rule;
 		this.replicas = replicas;
 		this.relay = relay;
 	}
@@ -72,7 +72,7 @@
 	 */
 	void check(long now, Attempt attempt, Set<ReplicaId> tried, ReplicaTask task) {
 		if (now < this.nextCheckAt || attempt.hasEnded()
-				|| !this.rule.canMoveAttempt(this.execution.request().remainingMillis(now))) {
+				|| !this.retryPolicy.canMoveAttempt(this.execution.request().remainingMillis(now))) {
 			return;
 		}
 		switch (advice(now, attempt)) {
@@ -95,14 +95,16 @@
 		if (!asks) {
 			return isSilent(now, attempt) ? SilentReplicaPolicy.Action.LEAVE : SilentReplicaPolicy.Action.WAIT;
 		}
-		long patience = picker().maxSilenceMillis(attempt.choice(), attempt.answer() == null, patienceMillis());
+		long patience = replicaSelector().maxSilenceMillis(attempt.choice(), attempt.answer() == null,
+				patienceMillis());
 		return this.gateway.routingState()
-			.patience()
-			.decideAction(now, replica.id(), picker().silentSince(attempt.choice(), silentSince(attempt)), patience);
+			.silentReplicaPolicy()
+			.decideAction(now, replica.id(), replicaSelector().silentSince(attempt.choice(), silentSince(attempt)),
+					patience);
 	}
 
 	private void probe(Replica replica) {
-		SilentReplicaPolicy patience = this.gateway.routingState().patience();
+		SilentReplicaPolicy patience = this.gateway.routingState().silentReplicaPolicy();
 		patience.onLoadQuery(replica.id());
 		this.gateway.telemetry().count("silent.replicas.asked");
 		this.gateway.loadProbe()
@@ -172,7 +174,7 @@
 		if (this.keptAttempt != attempt) {
 			this.keptAttempt = attempt;
 			if (end instanceof AttemptEnd.Broken) {
-				picker().onSilent(MonotonicClock.millis(), attempt.choice().replica());
+				replicaSelector().onSilent(MonotonicClock.millis(), attempt.choice().replica());
 			}
 			recordOutcome(attempt, "kept", reason);
 		}
@@ -208,7 +210,7 @@
 		if (this.execution.route().kind() == RouteKind.IDEMPOTENT) {
 			return now - silentSince(attempt) > patienceMillis();
 		}
-		return picker().isUnresponsive(now, attempt.choice(), silentSince(attempt), attempt.answer() == null,
+		return replicaSelector().isUnresponsive(now, attempt.choice(), silentSince(attempt), attempt.answer() == null,
 				patienceMillis());
 	}
 
@@ -220,8 +222,8 @@
 		return this.gateway.stallDetector().silentSince(attempt.lastByteAt());
 	}
 
-	private ReplicaSelector picker() {
-		return this.gateway.routingState().picker();
+	private ReplicaSelector replicaSelector() {
+		return this.gateway.routingState().replicaSelector();
 	}
 
 }
