--- a/daemon/src/main/java/org/gullsaddle/gateway/Attempt.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/Attempt.java
@@ -73,10 +73,10 @@
 
 	private long headAt = this.startedAt;
 
-	Attempt(ReplicaChoice choice, SendPermission admission, long coldMillis, String attemptId, ChannelPool pool,
+	Attempt(ReplicaChoice choice, SendPermission sendPermission, long coldMillis, String attemptId, ChannelPool pool,
 			HeaderCodec codec, Listener listener) {
 		this.choice = choice;
-		this.sendPermission = admission;
+		this.sendPermission = sendPermission;
 		this.coldMillis = coldMillis;
 		this.attemptId = attemptId;
 		this.pool = pool;
@@ -321,7 +321,7 @@
 	}
 
 	/**
-	 * Returns the admission that was given when the replica was chosen.
+	 * Returns the permission that was given when the replica was chosen.
 	 */
 	SendPermission sendPermission() {
 		return this.sendPermission;
--- a/daemon/src/main/java/org/gullsaddle/gateway/BufferManager.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/BufferManager.java
@@ -66,17 +66,17 @@
 
 	/**
 	 * Registers a transfer.
-	 * @param paceMillis how long the other side may pause and still be on time
+	 * @param windowMillis how long the other side may pause and still be on time
 	 */
-	BufferAccount open(String id, long paceMillis, Transfer party) {
-		BufferAccount holder = this.budget.orElseThrow().openAccount(id, paceMillis);
-		this.transfers.put(holder, party);
-		return holder;
+	BufferAccount open(String id, long windowMillis, Transfer party) {
+		BufferAccount account = this.budget.orElseThrow().openAccount(id, windowMillis);
+		this.transfers.put(account, party);
+		return account;
 	}
 
-	void close(BufferAccount holder) {
-		this.transfers.remove(holder);
-		holder.close();
+	void close(BufferAccount account) {
+		this.transfers.remove(account);
+		account.close();
 	}
 
 	/**
@@ -88,23 +88,23 @@
 			return;
 		}
 		List.copyOf(this.transfers.values()).forEach((party) -> party.check(now));
-		this.budget.flatMap((each) -> each.findToAbort(now)).ifPresent((holder) -> abort(holder, now));
+		this.budget.flatMap((each) -> each.findToAbort(now)).ifPresent((account) -> abort(account, now));
 	}
 
-	private void abort(BufferAccount holder, long now) {
-		Transfer party = this.transfers.get(holder);
-		this.log.transferAborted(holder, party.kind(), holder.secondsToEmpty(now),
+	private void abort(BufferAccount account, long now) {
+		Transfer party = this.transfers.get(account);
+		this.log.transferAborted(account, party.kind(), account.secondsToEmpty(now),
 				this.budget.orElseThrow().bufferedBytes());
 		this.telemetry.count("given.up." + party.kind());
-		close(holder);
+		close(account);
 		party.abort();
 	}
 
 	/**
 	 * Records that a paused answer is read ahead so that its replica does not abort it.
 	 */
-	void recordReadAhead(BufferAccount holder, long pausedMillis) {
-		this.log.answerReadAhead(holder, pausedMillis);
+	void recordReadAhead(BufferAccount account, long pausedMillis) {
+		this.log.answerReadAhead(account, pausedMillis);
 		this.telemetry.count("read.on.answer");
 	}
 
--- a/daemon/src/main/java/org/gullsaddle/gateway/Cascade.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/Cascade.java
@@ -42,13 +42,13 @@
 	/**
 	 * Begins with the model that the caller names, or with the first model of the route.
 	 */
-	Cascade(Gateway gateway, ServedRequest request, RetryPolicy rule, RequestPriority turn) {
+	Cascade(Gateway gateway, ServedRequest request, RetryPolicy retryPolicy, RequestPriority turn) {
 		this.routingState = gateway.routingState();
 		this.log = gateway.log();
 		this.telemetry = gateway.telemetry();
 		this.request = request;
 		this.route = request.route();
-		this.retryPolicy = rule;
+		this.retryPolicy = retryPolicy;
 		this.priority = turn;
 		this.model = this.route.models().isEmpty() ? request.caller().model()
 				: this.routingState.models().firstModel(this.route);
--- a/daemon/src/main/java/org/gullsaddle/gateway/CrashTrials.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/CrashTrials.java
@@ -42,10 +42,10 @@
 
 	private final Set<Trait> pending = new HashSet<>();
 
-	CrashTrials(Store store, String node, CrashTracker crashTable, DecisionLog log, Telemetry telemetry) {
+	CrashTrials(Store store, String node, CrashTracker crashTracker, DecisionLog log, Telemetry telemetry) {
 		this.store = store;
 		this.node = node;
-		this.crashTracker = crashTable;
+		this.crashTracker = crashTracker;
 		this.log = log;
 		this.telemetry = telemetry;
 	}
--- a/daemon/src/main/java/org/gullsaddle/gateway/DecisionLog.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/DecisionLog.java
@@ -270,22 +270,22 @@
 		}
 	}
 
-	void answerReadAhead(BufferAccount holder, long pausedMillis) {
+	void answerReadAhead(BufferAccount account, long pausedMillis) {
 		if (shouldWrite(false)) {
 			LOG.atInfo()
-				.addKeyValue("id", holder.id())
-				.addKeyValue("heldBytes", holder.bufferedBytes())
+				.addKeyValue("id", account.id())
+				.addKeyValue("heldBytes", account.bufferedBytes())
 				.addKeyValue("pausedMillis", pausedMillis)
 				.log("slow caller's answer read on");
 		}
 	}
 
-	void transferAborted(BufferAccount holder, String what, double secondsToEmpty, long held) {
+	void transferAborted(BufferAccount account, String what, double secondsToEmpty, long held) {
 		if (shouldWrite(true)) {
 			LOG.atInfo()
-				.addKeyValue("id", holder.id())
+				.addKeyValue("id", account.id())
 				.addKeyValue("what", what)
-				.addKeyValue("heldBytes", holder.bufferedBytes())
+				.addKeyValue("heldBytes", account.bufferedBytes())
 				.addKeyValue("secondsToEmpty", Double.isFinite(secondsToEmpty) ? Math.round(secondsToEmpty) : -1)
 				.addKeyValue("heldInAll", held)
 				.log("given up for memory");
@@ -316,13 +316,13 @@
 		}
 	}
 
-	void traitBlocked(Trait trait, CrashTracker crashTable, String source) {
+	void traitBlocked(Trait trait, CrashTracker crashTracker, String source) {
 		if (shouldWrite(true)) {
 			LOG.atInfo()
 				.addKeyValue("trait", trait.value())
 				.addKeyValue("source", source)
-				.addKeyValue("crashes", crashTable.crashCount(trait))
-				.addKeyValue("soundBefore", crashTable.hasSuccessWithEach(List.of(trait)))
+				.addKeyValue("crashes", crashTracker.crashCount(trait))
+				.addKeyValue("soundBefore", crashTracker.hasSuccessWithEach(List.of(trait)))
 				.log("refused for crashes");
 		}
 	}
@@ -402,7 +402,7 @@
 	 * @param verdict whether it may have run
 	 * @param attempts how many replicas it was sent to
 	 * @param overShare whether its team sent more than its share, so that it waited
-	 * behind others of its rank
+	 * behind other requests of its rank
 	 * @param retryAfterMillis retry delay sent to the caller, negative if none
 	 * @param objectiveMillis objective of its route, 0 if no route matched
 	 * @param configVersion version of the configuration in force
--- a/daemon/src/main/java/org/gullsaddle/gateway/LoadProbe.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/LoadProbe.java
@@ -46,18 +46,18 @@
 
 	private int failedCount;
 
-	LoadProbe(Vertx vertx, ChannelPool pool, HeaderCodec codec, ReplicaSelector picker,
+	LoadProbe(Vertx vertx, ChannelPool pool, HeaderCodec codec, ReplicaSelector replicaSelector,
 			BackpressureController backpressure, DecisionLog log) {
 		this.vertx = vertx;
 		this.log = log;
 		this.pool = pool;
 		this.codec = codec;
-		this.replicaSelector = picker;
+		this.replicaSelector = replicaSelector;
 		this.backpressure = backpressure;
 	}
 
 	/**
-	 * Asks engines for their load and passes the reports to the picker.
+	 * Asks engines for their load and passes the reports to the replica selector.
 	 * @param replicas the engines
 	 * @param then receives those that reported in time, possibly none
 	 */
@@ -91,7 +91,7 @@
 	}
 
 	/**
-	 * Asks one engine for its load and passes the report to the picker.
+	 * Asks one engine for its load and passes the report to the replica selector.
 	 * @param replica the engine
 	 * @param waitMillis time within which it must report, in milliseconds
 	 * @return the report, empty if none came in time
--- a/daemon/src/main/java/org/gullsaddle/gateway/ReplicaChooser.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/ReplicaChooser.java
@@ -26,7 +26,7 @@
  */
 final class ReplicaChooser {
 
-	/** Reasons for which the rules know how long there is no replica. */
+	/** Reasons for which it is known how long there is no replica. */
 	private static final Set<ReplicaEligibility.NoReplica> REASONS_WITH_KNOWN_DELAY = EnumSet.of(
 			ReplicaEligibility.NoReplica.LIMITED, ReplicaEligibility.NoReplica.RESTING,
 			ReplicaEligibility.NoReplica.CRASHES);
@@ -75,7 +75,7 @@
 	}
 
 	/**
-	 * Takes an admission for the request at a replica.
+	 * Takes a permission to send the request to a replica.
 	 */
 	SendPermission admit(Replica replica) {
 		return this.gateway.backpressure().backpressureTable().admit(MonotonicClock.millis(), replica);
@@ -84,11 +84,11 @@
 	/**
 	 * Returns whether the request may still be sent to the chosen replica.
 	 */
-	boolean canStillSend(Replica chosen, SendPermission admission, String model) {
+	boolean canStillSend(Replica chosen, SendPermission sendPermission, String model) {
 		return !isBlocked(model) && this.gateway.fleet().directory().canStillUse(MonotonicClock.millis(), chosen)
 				&& this.gateway.backpressure()
 					.backpressureTable()
-					.canStillSend(MonotonicClock.millis(), chosen, admission);
+					.canStillSend(MonotonicClock.millis(), chosen, sendPermission);
 	}
 
 	/**
--- a/daemon/src/main/java/org/gullsaddle/gateway/RequestBodyReader.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/RequestBodyReader.java
@@ -80,10 +80,10 @@
 		if (this.bufferAccount.isEmpty()) {
 			this.bufferAccount = Optional.of(this.gateway.buffers().open(id, RATE_WINDOW_MILLIS, this));
 		}
-		BufferAccount bodyHolder = this.bufferAccount.get();
-		bodyHolder.recordBuffered(this.body.length(), true, MonotonicClock.millis());
-		bodyHolder.recordTransferred(bytes, MonotonicClock.millis());
-		if (this.gateway.buffers().isExhausted() && !bodyHolder.canRead()) {
+		BufferAccount bodyAccount = this.bufferAccount.get();
+		bodyAccount.recordBuffered(this.body.length(), true, MonotonicClock.millis());
+		bodyAccount.recordTransferred(bytes, MonotonicClock.millis());
+		if (this.gateway.buffers().isExhausted() && !bodyAccount.canRead()) {
 			this.paused = true;
 			this.request.pause();
 		}
--- a/daemon/src/main/java/org/gullsaddle/gateway/RequestExecution.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/RequestExecution.java
@@ -150,12 +150,12 @@
 		this.gateway.routingState().replicaSelector().onSent(MonotonicClock.millis(), choice, this.task);
 		this.replicas.recordSent(choice.replica());
 		this.gateway.rollouts().recordSent(choice.replica());
-		SendPermission admission = this.replicas.admit(choice.replica());
+		SendPermission sendPermission = this.replicas.admit(choice.replica());
 		Optional<String> lastEvent = this.relay.lastEventId().or(this.request.caller()::lastEventId);
 		ForwardingContext context = ForwardingContext.of(this.request, choice.replica().id(), remainingMillis, model(),
 				this.priority.recordSent(MonotonicClock.millis(), choice, this.task), lastEvent);
 		MultiMap headers = this.gateway.codec().replicaHeaders(this.request.http().headers(), context);
-		this.attempt = new Attempt(choice, admission, this.replicas.coldMillis(choice.replica()), id(),
+		this.attempt = new Attempt(choice, sendPermission, this.replicas.coldMillis(choice.replica()), id(),
 				this.gateway.pool(), this.gateway.codec(), this);
 		this.attempt.send(this.request.http().method(), this.request.http().uri(), headers, this.request.body(),
 				route().kind() == RouteKind.ONCE);
--- a/daemon/src/main/java/org/gullsaddle/gateway/RequestPriority.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/RequestPriority.java
@@ -8,8 +8,8 @@
 import org.gullsaddle.serve.WorkShares;
 
 /**
- * Tracks whether a generation waits behind others of its rank because its team has used
- * up its share: of the requests, or under pressure of the engines' work.
+ * Tracks whether a generation waits behind other requests of its rank because its team
+ * has used up its share: of the requests, or under pressure of the engines' work.
  */
 final class RequestPriority {
 
@@ -61,7 +61,7 @@
 	}
 
 	/**
-	 * Returns whether the request waited behind others of its rank.
+	 * Returns whether the request waited behind other requests of its rank.
 	 */
 	boolean isOverShare() {
 		return this.overShare;
--- a/daemon/src/main/java/org/gullsaddle/gateway/SilentReplicaHandler.java
+++ b/daemon/src/main/java/org/gullsaddle/gateway/SilentReplicaHandler.java
@@ -55,11 +55,11 @@
 
 	private long nextComparisonAt;
 
-	SilentReplicaHandler(Gateway gateway, RequestExecution execution, RetryPolicy rule, ReplicaChooser replicas,
+	SilentReplicaHandler(Gateway gateway, RequestExecution execution, RetryPolicy retryPolicy, ReplicaChooser replicas,
 			AnswerRelay relay) {
 		this.gateway = gateway;
 		this.execution = execution;
-		this.retryPolicy = rule;
+		this.retryPolicy = retryPolicy;
 		this.replicas = replicas;
 		this.relay = relay;
 	}
@@ -95,23 +95,23 @@
 		if (!asks) {
 			return isSilent(now, attempt) ? SilentReplicaPolicy.Action.LEAVE : SilentReplicaPolicy.Action.WAIT;
 		}
-		long patience = replicaSelector().maxSilenceMillis(attempt.choice(), attempt.answer() == null,
+		long maxSilenceMillis = replicaSelector().maxSilenceMillis(attempt.choice(), attempt.answer() == null,
 				patienceMillis());
 		return this.gateway.routingState()
 			.silentReplicaPolicy()
 			.decideAction(now, replica.id(), replicaSelector().silentSince(attempt.choice(), silentSince(attempt)),
-					patience);
+					maxSilenceMillis);
 	}
 
 	private void probe(Replica replica) {
-		SilentReplicaPolicy patience = this.gateway.routingState().silentReplicaPolicy();
-		patience.onLoadQuery(replica.id());
+		SilentReplicaPolicy silentReplicaPolicy = this.gateway.routingState().silentReplicaPolicy();
+		silentReplicaPolicy.onLoadQuery(replica.id());
 		this.gateway.telemetry().count("silent.replicas.asked");
 		this.gateway.loadProbe()
 			.probe(replica, SilentReplicaPolicy.LOAD_QUERY_MILLIS)
 			.onSuccess((answer) -> answer.ifPresentOrElse(
-					(report) -> patience.onLoadReport(MonotonicClock.millis(), replica.id(), report),
-					() -> patience.onNoLoadReport(MonotonicClock.millis(), replica.id())));
+					(report) -> silentReplicaPolicy.onLoadReport(MonotonicClock.millis(), replica.id(), report),
+					() -> silentReplicaPolicy.onNoLoadReport(MonotonicClock.millis(), replica.id())));
 	}
 
 	/**
